--- a/internal/plan/restore.go
+++ b/internal/plan/restore.go
@@ -8,105 +8,106 @@
 	"github.com/skylarklock/skylarklock/internal/work"
 )
 
-// restore takes over a job that a former leader had begun. Each run that its
-// record names may exist, so it holds its room until its executor reports or
-// its lease is certainly over.
-func (c *Cell) restore(j *job, p *work.Progress, now time.Time) {
+// restoreJob restores a job that a former leader had started. Each run that its record
+// names may exist, so it holds its capacity until its executor reports or its lease has
+// certainly expired.
+func (c *Cell) restoreJob(j *job, p *work.Progress, now time.Time) {
 	j.state = p.State
-	j.toldRunning = p.State == work.Running
-	j.finished = p.Finished
-	j.next = p.Finished
+	j.recordedRunning = p.State == work.Running
+	j.endedBelow = p.Finished
+	j.nextOccurrence = p.Finished
 	for _, number := range p.Ended {
-		if j.ended == nil {
-			j.ended = make(map[int]bool)
+		if j.endedOccurrences == nil {
+			j.endedOccurrences = make(map[int]bool)
 		}
-		j.ended[number] = true
-		j.next = max(j.next, number+1)
+		j.endedOccurrences[number] = true
+		j.nextOccurrence = max(j.nextOccurrence, number+1)
 	}
 	for i := range p.Occurrences {
-		po := &p.Occurrences[i]
-		o := newOccurrence(j, po.Number, j.arrived)
-		if due := j.spec.Due(po.Number); due > 0 {
-			o.due = time.UnixMilli(due)
+		recorded := &p.Occurrences[i]
+		occ := newOccurrence(j, recorded.Number, j.arrivedAt)
+		if due := j.spec.Due(recorded.Number); due > 0 {
+			occ.due = time.UnixMilli(due)
 		}
-		j.next = max(j.next, po.Number+1)
-		j.running = append(j.running, o)
-		for k := range po.Steps {
-			c.restoreStep(o.steps[k], po.Steps[k], p.VMs, now)
+		j.nextOccurrence = max(j.nextOccurrence, recorded.Number+1)
+		j.activeOccurrences = append(j.activeOccurrences, occ)
+		for k := range recorded.Steps {
+			c.restoreStep(occ.steps[k], recorded.Steps[k], p.VMs, now)
 		}
-		for _, s := range o.steps {
+		for _, s := range occ.steps {
 			if s.complete() {
-				o.left--
+				occ.stepsLeft--
 			}
 		}
-		c.offer(o)
+		c.enqueueReadySteps(occ)
 	}
 }
 
 func (c *Cell) restoreStep(s *step, rows []work.TaskProgress, vms []work.Life, now time.Time) {
 	for i, row := range rows {
 		t := s.tasks[i]
-		t.run = row.Run
+		t.lastRun = row.Run
 		t.failures = int(row.Failures)
-		t.losses = losses{crashes: int(row.Crashes), unproved: int(row.Losses)}
+		t.losses = losses{crashes: int(row.Crashes), unproven: int(row.Losses)}
 		t.checkpoint = row.Checkpoint
 		t.phase = row.Phase
-		s.fails = max(s.fails, t.failures)
+		s.gangFailures = max(s.gangFailures, t.failures)
 		switch row.Phase {
 		case work.Done:
-			s.done++
+			s.doneTasks++
 		case work.Started:
-			t.vm = vms[row.VM]
-			v := c.inherit(t.vm, now)
-			run := platform.Run{Task: t.key(), Number: t.run}
-			cl := &claim{run: run, task: t, need: s.spec.Need, state: inherited, ends: now.Add(s.spec.Estimate)}
-			c.inheritOrder(cl, now)
-			v.add(cl)
+			t.incarnation = vms[row.VM]
+			v := c.inheritVM(t.incarnation, now)
+			run := platform.Run{Task: t.key(), Number: t.lastRun}
+			alloc := &allocation{run: run, task: t, resources: s.spec.Need, state: stateInherited, expectedEnd: now.Add(s.spec.Estimate)}
+			c.setInheritedOrderExpiry(alloc, now)
+			v.addAllocation(alloc)
 		}
 	}
 }
 
-// inherit returns the executor of a run that a former leader ordered. The
-// registry may not list it any more.
-func (c *Cell) inherit(life work.Life, now time.Time) *vm {
-	v := c.vms[life.ID]
+// inheritVM returns the executor of a run that a former leader ordered. It may no longer be
+// registered.
+func (c *Cell) inheritVM(incarnation work.Life, now time.Time) *vm {
+	v := c.vms[incarnation.ID]
 	if v == nil {
-		v = c.addVM(platform.ExecutorRef{ID: life.ID})
+		v = c.addVM(platform.ExecutorRef{ID: incarnation.ID})
 	}
-	if v.known {
+	if v.hasReported {
 		return v
 	}
-	lasts := c.cfg.orderLasts()
-	if life.Born != 0 {
-		lasts = c.cfg.longestLease()
+	duration := c.cfg.maxOrderDuration()
+	if incarnation.Born != 0 {
+		duration = c.cfg.maxLeaseDuration()
 	}
-	if over := now.Add(c.cfg.FormerLeaderRenewal + lasts); over.After(v.lapses) {
-		v.lapses = over
+	if expiry := now.Add(c.cfg.FormerLeaderRenewal + duration); expiry.After(v.inheritedLeaseExpiry) {
+		v.inheritedLeaseExpiry = expiry
 	}
 	return v
 }
 
-// ExecutorsWithoutAddress returns the executors that may run something by a former leader's word and
-// that can't be called, since nothing is known of them but their ids.
+// ExecutorsWithoutAddress returns the executors that may run something according to a
+// former leader's records and that can't be called, since only their IDs are known. Each is
+// returned once.
 func (c *Cell) ExecutorsWithoutAddress() []string {
 	var ids []string
-	for _, v := range c.sorted {
-		if v.Ref.Address == "" && len(v.claims) > 0 && !v.recalled {
-			v.recalled = true
+	for _, v := range c.sortedVMs {
+		if v.Ref.Address == "" && len(v.allocations) > 0 && !v.historyRequested {
+			v.historyRequested = true
 			ids = append(ids, v.Ref.ID)
 		}
 	}
 	return ids
 }
 
-// ApplyLastRecord takes in the last record of an executor that isn't registered any more. A call to
-// where it was tells whether another life has followed it there.
+// ApplyLastRecord applies the last record of an executor that is no longer registered. A
+// call to its address shows whether another incarnation has taken the address since.
 func (c *Cell) ApplyLastRecord(e fleet.Executor, now time.Time) {
 	v := c.vms[e.Ref.ID]
-	if v == nil || v.listed || v.Ref.Address != "" {
+	if v == nil || v.registered || v.Ref.Address != "" {
 		return
 	}
 	v.register(&e, now)
-	v.listed = false
+	v.registered = false
 	c.dropReplaced(now)
 }
--- a/internal/plan/shrink_test.go
+++ b/internal/plan/shrink_test.go
@@ -66,9 +66,9 @@
 	w.cell.AdviceCalls(w.now, askers)
 	w.resize("e0", roomOfCPUs(32))
 	w.cycle()
-	for _, s := range w.cell.waiting {
-		if w.now.Before(s.advice.look) {
-			t.Errorf("step %v doesn't look for advice for another %v", s.key(), s.advice.look.Sub(w.now))
+	for _, s := range w.cell.waitingSteps {
+		if w.now.Before(s.advice.nextCheck) {
+			t.Errorf("step %v doesn't look for advice for another %v", s.key(), s.advice.nextCheck.Sub(w.now))
 		}
 	}
 }
--- a/internal/plan/speed_test.go
+++ b/internal/plan/speed_test.go
@@ -36,8 +36,8 @@
 			w.pass(2 * time.Second)
 			w.report(slow.To.ID, nil, ended(1, slow.Run, platform.EndDone))
 			v := w.cell.vms[slow.To.ID]
-			So(v.slow(w.now), ShouldBeGreaterThanOrEqualTo, slowFrom)
-			So(v.slow(w.now.Add(slowFor+time.Second)), ShouldEqual, 1)
+			So(v.slowdown(w.now), ShouldBeGreaterThanOrEqualTo, minSlowRatio)
+			So(v.slowdown(w.now.Add(slownessDuration+time.Second)), ShouldEqual, 1)
 		})
 	})
 }
--- a/internal/plan/suspect.go
+++ b/internal/plan/suspect.go
@@ -10,96 +10,100 @@
 	"github.com/skylarklock/skylarklock/internal/work"
 )
 
-// A crash takes everything on its executor with it, so a lost run accuses all tasks that
-// were there. They start again apart from each other; one that loses a second executor is
-// suspected and starts alone on an executor. If that crashes too, it is to blame.
+// A crash takes down everything on its executor, so a lost run puts suspicion on all tasks
+// that ran there. They start again apart from each other. One that loses a second executor
+// is suspected and starts alone on an executor. If that executor crashes too, the task is
+// to blame.
 
 const (
-	// suspectCrashes and suspectLosses are how many executors have to crash under a task,
-	// and how many of its runs have to be lost in all, for it to be suspected.
+	// suspectCrashes is how many executors have to crash under a task for it to be
+	// suspected, and suspectLosses how many of its runs have to be lost in all for that.
 	suspectCrashes = 2
 	suspectLosses  = 3
-	// crashesToBlame is how many executors have to have crashed under a task for a crash
-	// while nothing but its job was there to end the job; crashesToBlameCanary is that
-	// of a step that starts one task at a time.
+	// crashesToBlame is how many executors must have crashed under a task for a crash on an
+	// executor with nothing but its job to fail the job. crashesToBlameCanary is the same
+	// for a step that starts one task at a time.
 	crashesToBlame       = 3
 	crashesToBlameCanary = 2
-	// correlatedWithin is the time within which so many other executors have to fall silent
-	// (correlatedOthers) for one cause to be assumed that is no task: a rack, a data
-	// centre, an operator.
+	// correlatedWithin is the time within which correlatedOthers other executors have to
+	// become unresponsive for a common cause other than a task to be assumed: a rack, a
+	// data centre or an operator.
 	correlatedWithin = 500 * time.Millisecond
 	correlatedOthers = 2
-	// isolateWithin is for how long an executor is kept from other work until a suspected
-	// task can start alone there. After that it starts with what is left beside it.
-	isolateWithin = 2 * time.Second
-	// isolatedTime is for how long a suspected run keeps others off its executor.
-	isolatedTime = 10 * time.Second
-	// isolatedShare bounds the executors that are kept for suspected tasks at a time: one
-	// in so many.
-	isolatedShare = 8
+	// isolationWait is how long an executor is kept from other work until a suspected task
+	// can start alone there. After that the task starts beside the runs that are left.
+	isolationWait = 2 * time.Second
+	// isolationTime is how long a suspected run keeps others off its executor.
+	isolationTime = 10 * time.Second
+	// isolationShare bounds the executors that are kept for suspected tasks at a time: one
+	// in this many usable executors.
+	isolationShare = 8
 )
 
 // suspected reports whether a task may be what crashes its executors.
 func (t *task) suspected() bool {
-	return t.losses.crashes >= suspectCrashes || t.losses.all() >= suspectLosses || t.step.inCanary()
+	return t.losses.crashes >= suspectCrashes || t.losses.total() >= suspectLosses || t.step.inCanary()
 }
 
-// blames reports whether the crash of an executor shows that a task is to blame for it.
-func (t *task) blames(l loss) bool {
-	need := crashesToBlame
+// blamedFor reports whether the crash of an executor shows that the task is to blame for
+// it.
+func (t *task) blamedFor(l loss) bool {
+	minCrashes := crashesToBlame
 	if t.step.inCanary() {
-		need = crashesToBlameCanary
+		minCrashes = crashesToBlameCanary
 	}
-	return l.evidence != Unregistered && l.only == t.step.job && !l.correlated && t.losses.crashes >= need
+	return l.evidence != Unregistered && l.soleJob == t.step.job && !l.correlated && t.losses.crashes >= minCrashes
 }
 
-// lossOf returns what is known of the end of an executor's life.
-func (c *Cell) lossOf(v *vm, e Evidence, now time.Time) loss {
-	_, left := v.leaves(now)
-	l := loss{executor: v.Ref.Life(), since: v.lastSign(), evidence: e, left: left, correlated: c.silentTogether(v), silent: e == Unregistered}
-	if !v.clockAt.IsZero() { // else it isn't known what ran there
-		l.only = v.soleJob()
+// describeLoss returns what is known of the end of an executor incarnation, and records the
+// time of the loss.
+func (c *Cell) describeLoss(v *vm, e Evidence, now time.Time) loss {
+	_, leaving := v.isLeaving(now)
+	l := loss{executor: v.Ref.Life(), unresponsiveSince: v.lostSince(), evidence: e, leaving: leaving, correlated: c.correlatedLoss(v), unresponsive: e == Unregistered}
+	if !v.reportedAt.IsZero() { // otherwise it isn't known what ran there
+		l.soleJob = v.findSoleJob()
 	}
-	c.noteSilence(v.lastSign())
+	c.recordLossTime(v.lostSince())
 	return l
 }
 
-// soleJob returns the job to which all runs on the executor belong that may have begun;
-// nil: there are several, or none.
-func (v *vm) soleJob() *job {
-	var only *job
-	for _, cl := range v.claims {
+// findSoleJob returns the job to which all runs on the executor belong that may have
+// started, or nil if there are several or none.
+func (v *vm) findSoleJob() *job {
+	var sole *job
+	for _, alloc := range v.allocations {
 		switch {
-		case cl.state == planned:
-		case cl.task == nil, only != nil && only != cl.task.step.job:
+		case alloc.state == statePlanned:
+		case alloc.task == nil, sole != nil && sole != alloc.task.step.job:
 			return nil
 		default:
-			only = cl.task.step.job
+			sole = alloc.task.step.job
 		}
 	}
-	return only
+	return sole
 }
 
-// noteSilence remembers when an executor that is lost fell silent.
-func (c *Cell) noteSilence(at time.Time) {
-	c.silences = slices.DeleteFunc(c.silences, func(o time.Time) bool { return at.Sub(o) > longestAge })
-	c.silences = append(c.silences, at)
+// recordLossTime records when a lost executor became unresponsive.
+func (c *Cell) recordLossTime(at time.Time) {
+	c.lossTimes = slices.DeleteFunc(c.lossTimes, func(other time.Time) bool { return at.Sub(other) > maxAge })
+	c.lossTimes = append(c.lossTimes, at)
 }
 
-// silentTogether reports whether other executors fell silent at about the same time.
-func (c *Cell) silentTogether(v *vm) bool {
-	at, others := v.lastSign(), 0
-	count := func(o time.Time) {
-		if at.Sub(o).Abs() <= correlatedWithin {
+// correlatedLoss reports whether other executors became unresponsive at about the same
+// time.
+func (c *Cell) correlatedLoss(v *vm) bool {
+	at, others := v.lostSince(), 0
+	count := func(other time.Time) {
+		if at.Sub(other).Abs() <= correlatedWithin {
 			others++
 		}
 	}
-	for _, o := range c.silences {
-		count(o)
+	for _, other := range c.lossTimes {
+		count(other)
 	}
-	for _, o := range c.sorted {
-		if o != v && o.silentFrom.After(o.clockAt) {
-			count(o.silentFrom)
+	for _, other := range c.sortedVMs {
+		if other != v && other.unresponsiveSince.After(other.reportedAt) {
+			count(other.unresponsiveSince)
 		}
 	}
 	return others >= correlatedOthers
@@ -108,31 +112,32 @@
 // isolation is an executor that is kept from other work for a suspected task.
 type isolation struct {
 	vm    *vm
-	until time.Time
+	until time.Time // from then on the suspected task may start beside other runs
 }
 
 // closedTo reports whether an executor is kept for a suspected task of another step, or has
-// one that should be alone.
+// one that should run alone.
 func (v *vm) closedTo(s *step, now time.Time) bool {
-	if v.suspect != nil && v.suspect.isolates(now) {
+	if v.suspectedRun != nil && v.suspectedRun.needsIsolation(now) {
 		return true
 	}
-	// The step may never start, as when its queue is removed.
-	return v.isolatedFor != nil && v.isolatedFor != s && now.Before(v.isolatedFor.isolation.until.Add(isolateWithin))
+	// The time limit is needed since the step may never start, for example if its queue is
+	// removed.
+	return v.isolatedFor != nil && v.isolatedFor != s && now.Before(v.isolatedFor.isolation.until.Add(isolationWait))
 }
 
-// isolates reports whether a suspected run, or one that is about to begin, keeps others
-// off its executor.
-func (cl *claim) isolates(now time.Time) bool {
-	began := cl.ordered
-	if began.IsZero() {
-		began = cl.since // a former leader ordered it
+// needsIsolation reports whether a suspected run, or one that is about to start, keeps
+// others off its executor.
+func (alloc *allocation) needsIsolation(now time.Time) bool {
+	started := alloc.orderedAt
+	if started.IsZero() {
+		started = alloc.runningSince // ordered by a former leader
 	}
-	return began.IsZero() || now.Sub(began) < isolatedTime
+	return started.IsZero() || now.Sub(started) < isolationTime
 }
 
-// suspectOf returns a suspected task among those of a step that wait; nil: there is none.
-func suspectOf(tasks []*task) *task {
+// firstSuspect returns the first suspected task, or nil if there is none.
+func firstSuspect(tasks []*task) *task {
 	for _, t := range tasks {
 		if t.suspected() {
 			return t
@@ -141,47 +146,47 @@
 	return nil
 }
 
-// isolate keeps an executor for a suspected task of a step that waits: of those that may
-// run it, the one on which least will be left when it starts.
+// isolate keeps an executor for a suspected task of a waiting step: of those that may run
+// it, the one with the fewest runs expected to be left at the end of the wait.
 func (c *Cell) isolate(s *step, q *queue.Queue, now time.Time) {
 	if s.isolation.vm != nil || !s.isolation.until.IsZero() {
 		return
 	}
-	s.isolation.until = now.Add(isolateWithin)
-	kept, usable := 0, 0
-	for _, v := range c.sorted {
-		if v.isolatedFor != nil || v.suspect != nil {
-			kept++
+	s.isolation.until = now.Add(isolationWait)
+	isolated, usable := 0, 0
+	for _, v := range c.sortedVMs {
+		if v.isolatedFor != nil || v.suspectedRun != nil {
+			isolated++
 		}
 		if v.usable(now, &c.cfg) {
 			usable++
 		}
 	}
-	if kept >= max(1, usable/isolatedShare) {
+	if isolated >= max(1, usable/isolationShare) {
 		return
 	}
-	least := 0
-	for _, v := range c.mayRunOn(s, q) {
-		if v.isolatedFor != nil || !c.suits(s, q, v, now) || fits(v.Capacity, s.spec.Need) == 0 {
+	fewest := 0
+	for _, v := range c.permittedVMs(s, q) {
+		if v.isolatedFor != nil || !c.suitable(s, q, v, now) || fitCount(v.Capacity, s.spec.Need) == 0 {
 			continue
 		}
-		left := 0
-		for _, cl := range v.claims {
-			if cl.endsFrom(now).After(s.isolation.until) {
-				left++
+		remaining := 0
+		for _, alloc := range v.allocations {
+			if alloc.expectedEndAt(now).After(s.isolation.until) {
+				remaining++
 			}
 		}
-		if s.isolation.vm == nil || left < least {
-			s.isolation.vm, least = v, left
+		if s.isolation.vm == nil || remaining < fewest {
+			s.isolation.vm, fewest = v, remaining
 		}
 	}
 	if v := s.isolation.vm; v != nil {
 		v.isolatedFor = s
-		c.events.WithFields(logrus.Fields{"step": s.key(), "executor": v.Ref.ID, "runs": len(v.claims), "stay": least}).Info("executor is kept for a task that may crash it")
+		c.logger.WithFields(logrus.Fields{"step": s.key(), "executor": v.Ref.ID, "runs": len(v.allocations), "stay": fewest}).Info("executor is kept for a task that may crash it")
 	}
 }
 
-// endIsolation gives up the executor that is kept for a step.
+// endIsolation releases the executor that is kept for a step.
 func (s *step) endIsolation() {
 	if v := s.isolation.vm; v != nil {
 		v.isolatedFor = nil
@@ -189,31 +194,31 @@
 	s.isolation = isolation{}
 }
 
-// alone reports whether an executor runs nothing, or a suspected task has waited for that
-// for long enough.
-func (s *step) alone(v *vm, room *roomView, now time.Time) bool {
-	return len(v.claims) == 0 && room.count[v] == 0 || !now.Before(s.isolation.until)
+// maySuspectStartOn reports whether an executor runs nothing, or the step's suspected tasks
+// have waited long enough for that.
+func (s *step) maySuspectStartOn(v *vm, usage *placementUsage, now time.Time) bool {
+	return len(v.allocations) == 0 && usage.runs[v] == 0 || !now.Before(s.isolation.until)
 }
 
-// lostWith returns how many runs on an executor belong to tasks that were lost together
-// with a task.
-func (v *vm) lostWith(t *task) int {
-	if t.lostOn == (work.Life{}) {
+// runsLostWith returns how many runs on the executor belong to tasks that were last lost
+// together with t.
+func (v *vm) runsLostWith(t *task) int {
+	if t.lastLostOn == (work.Life{}) {
 		return 0
 	}
 	n := 0
-	for _, cl := range v.claims {
-		if cl.task != nil && cl.task.lostOn == t.lostOn {
+	for _, alloc := range v.allocations {
+		if alloc.task != nil && alloc.task.lastLostOn == t.lastLostOn {
 			n++
 		}
 	}
 	return n
 }
 
-// suspectsFirst returns the tasks of a step in the order in which they are placed: the
-// suspected ones have least choice.
+// suspectsFirst returns the tasks of a step in the order in which they are placed.
+// Suspected tasks come first, since they have the least choice.
 func suspectsFirst(tasks []*task) []*task {
-	if suspectOf(tasks) == nil {
+	if firstSuspect(tasks) == nil {
 		return tasks
 	}
 	sorted := slices.Clone(tasks)
--- a/internal/plan/suspect_test.go
+++ b/internal/plan/suspect_test.go
@@ -11,7 +11,7 @@
 // suspect has a task of a job lose two executors, so that it is suspected.
 func (w *world) suspect(id work.ID) *step {
 	w.t.Helper()
-	s := w.cell.jobs[id].running[0].steps[0]
+	s := w.cell.jobs[id].activeOccurrences[0].steps[0]
 	s.tasks[0].losses.crashes = suspectCrashes
 	return s
 }
@@ -50,7 +50,7 @@
 		w.reportAll()
 	}
 	if orders := w.cycle(); len(orders) != 1 {
-		t.Errorf("%d starts beside a suspected run that has been at work for %v", len(orders), isolatedTime)
+		t.Errorf("%d starts beside a suspected run that has been at work for %v", len(orders), isolationTime)
 	}
 }
 
@@ -75,8 +75,8 @@
 			for _, next := range w.cycle() {
 				if next.Start.Run.Task.Job != (work.ID{2}) {
 					t.Errorf("%v starts on the executor that is kept", next.Start.Run.Task)
-				} else if len(kept.claims) != 1 {
-					t.Errorf("the suspected task starts beside %d runs", len(kept.claims)-1)
+				} else if len(kept.allocations) != 1 {
+					t.Errorf("the suspected task starts beside %d runs", len(kept.allocations)-1)
 				}
 			}
 		}
@@ -90,9 +90,9 @@
 	p := newCrashPlay(t, 3, crashers())
 	p.runFor(time.Second)
 	gang := p.job(1, testQueue, work.Step{Tasks: 8, Need: cpus(4), Estimate: time.Second, Gang: true})
-	for _, s := range p.cell.jobs[gang.ID].running[0].steps {
+	for _, s := range p.cell.jobs[gang.ID].activeOccurrences[0].steps {
 		for _, task := range s.tasks {
-			task.losses.unproved = suspectLosses
+			task.losses.unproven = suspectLosses
 		}
 	}
 	p.runFor(20 * time.Second)
--- a/internal/plan/unwanted_test.go
+++ b/internal/plan/unwanted_test.go
@@ -17,8 +17,8 @@
 // Ways in which a job ends.
 var endings = map[string]func(*play, work.ID){
 	"cancelled": func(p *play, id work.ID) { p.cell.Cancel(id) },
-	"failed":    func(p *play, id work.ID) { p.cell.end(p.cell.jobs[id], work.Failed) },
-	"completed": func(p *play, id work.ID) { p.cell.end(p.cell.jobs[id], work.Completed) },
+	"failed":    func(p *play, id work.ID) { p.cell.endJob(p.cell.jobs[id], work.Failed) },
+	"completed": func(p *play, id work.ID) { p.cell.endJob(p.cell.jobs[id], work.Completed) },
 	"forgotten": func(p *play, id work.ID) {
 		p.cell.Cancel(id)
 		p.save()
@@ -61,8 +61,8 @@
 		}
 	}
 	for id, v := range p.cell.vms {
-		if len(v.claims) > 0 || v.used.MilliCPU != 0 {
-			t.Errorf("executor %s still holds room for %d runs", id, len(v.claims))
+		if len(v.allocations) > 0 || v.used.MilliCPU != 0 {
+			t.Errorf("executor %s still holds room for %d runs", id, len(v.allocations))
 		}
 	}
 }
@@ -324,8 +324,8 @@
 				t.Errorf("%d stops were sent over 5 reports that list the run", stops)
 			}
 			w.report("e0", nil, ended(1, starts[0].Run, platform.EndStopped))
-			if v := w.cell.vms["e0"]; len(v.claims) != 0 || v.used.MilliCPU != 0 {
-				t.Errorf("%d runs hold room after the end", len(v.claims))
+			if v := w.cell.vms["e0"]; len(v.allocations) != 0 || v.used.MilliCPU != 0 {
+				t.Errorf("%d runs hold room after the end", len(v.allocations))
 			}
 		})
 	}
--- a/internal/plan/vm.go
+++ b/internal/plan/vm.go
@@ -8,196 +8,195 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// claimState is what is known of a run that may exist.
-type claimState uint8
+// allocationState is what is known of a run that may exist.
+type allocationState uint8
 
 const (
-	planned   claimState = iota // its record is being written; nothing was sent
-	sent                        // the order is on its way
-	unsure                      // the order had no answer and may come late
-	atWork                      // the executor has confirmed or listed it
-	inherited                   // a former leader ordered it
-	stopping                    // the executor has taken a stop of it
-	former                      // it was ordered to a life of the executor that is over
+	statePlanned     allocationState = iota // its record is being written and no order was sent
+	stateSent                               // the order is in flight
+	stateUnconfirmed                        // the order got no answer and may be carried out late
+	stateRunning                            // the executor has confirmed or listed it
+	stateInherited                          // it was ordered by a former leader
+	stateStopping                           // the executor has accepted a stop of it
+	stateFormer                             // it was ordered to a former incarnation of the executor
 )
 
 // String returns the state's name in logs.
-func (s claimState) String() string {
+func (s allocationState) String() string {
 	return [...]string{"planned", "sent", "unsure", "at_work", "inherited", "stopping", "former"}[s]
 }
 
-// claim holds the room of one run on an executor.
-type claim struct {
-	run       platform.Run
-	task      *task // nil: of a job that is not planned any more
-	vm        *vm
-	need      api.Resources
-	state     claimState
-	was       claimState             // while it is former: its state at the life that is over
-	voidAt    platform.ExecutorClock // of the order that is sent or unsure
-	bound     bool                   // its order is good for one life of the executor only
-	openUntil time.Time              // until when its order may be carried out by a life that isn't known to have; zero: that is settled
-	ordered   time.Time              // when its order was sent; zero: by a former leader, or not yet
-	since     time.Time              // when it was confirmed to be at work
-	ends      time.Time              // expected
-	unwanted  bool                   // to be stopped
-	stopped   time.Time              // when a stop was last sent
-	resumed   bool                   // it began from a checkpoint
-	progress  progress
+// allocation holds the capacity of one run on an executor.
+type allocation struct {
+	run           platform.Run
+	task          *task // nil if its job is not planned any more
+	vm            *vm
+	resources     api.Resources
+	state         allocationState
+	formerState   allocationState        // state at the former incarnation, while state is stateFormer
+	orderVoidAt   platform.ExecutorClock // when a sent or unconfirmed order becomes void
+	ticketBound   bool                   // the order is valid for one incarnation of the executor only
+	orderExpiry   time.Time              // until when an incarnation that isn't known to have carried out the order may do so; zero if that is settled
+	orderedAt     time.Time              // when its order was sent; zero if by a former leader or not yet
+	runningSince  time.Time              // when it was confirmed to be running or, in stateStopping, when its stop was accepted
+	expectedEnd   time.Time
+	stopRequested bool
+	lastStop      time.Time // when a stop was last sent
+	resumed       bool      // it started from a checkpoint
+	progress      progress
 }
 
-// vm is one life of an executor as the leader sees it.
+// vm is one incarnation of an executor as the leader sees it.
 type vm struct {
 	fleet.Executor
-	listed    bool            // in the registry, under its id
-	record    *fleet.Executor // the newest there under its id, which may be of another life; nil: none was read
-	described bool            // its own record was read: room, kind and service are known
-	elsewhere bool            // the newest hold that opened a connection went where record says
-	lives     uint64          // of the executor that this leader knew before
-	former    *formerLife     // the end of the life before, until it is settled what became of its runs
-	recalled  bool            // the registry's history was asked for its address
-	address   string          // that the registry names; Ref has the one to call
-	used      api.Resources
-	kept      api.Resources // for gangs that gather room (yield.go)
-	promised  api.Resources // to steps whose calls for advice name it (promise.go)
-	claims    map[platform.Run]*claim
-	draining  time.Time // when it was first read as leaving; zero: it wasn't
-	ready     time.Time // since when its records say that it is ready after all
-
-	known       bool                   // it has reported to this leader
-	clock       platform.ExecutorClock // at its newest report
-	clockAt     time.Time              // when that report arrived; zero: never
-	silentFrom  time.Time              // when a hold first had no answer since that report
-	lease       platform.ExecutorClock // latest end of lease that was sent
-	seen        uint64                 // ends up to here are durable
-	taken       uint64                 // ends up to here were applied
-	lapses      time.Time              // when an inherited lease is certainly over
-	suspect     *claim                 // a suspected task's, which should be alone
-	isolatedFor *step                  // kept from other work until a suspected task of it starts here
-	lapsed      []*claim               // runs that were over with the lease, while it isn't known whether its life is
-
-	failJobs   map[*job]struct{} // whose tasks failed in a row
-	failedLast time.Time         // when a task last failed there
-	avoidUntil time.Time
-	unanswered time.Time // when an order last got no answer
-	ratio      float64   // moving mean of run times to estimates; 0: none was seen
-	slowness   float64   // how many times as long as the fleet it takes; 1: it isn't slow
-	slowAt     time.Time // latest sign of that
+	registered           bool               // in the registry, under its ID
+	registryRecord       *fleet.Executor    // newest record under its ID, which may be of another incarnation; nil if none was read
+	hasOwnRecord         bool               // the record of this incarnation was read: capacity, kind and service are known
+	useRegisteredAddress bool               // the newest hold that opened a connection went to registeredAddress
+	formerIncarnations   uint64             // number of earlier incarnations that this leader knew
+	former               *formerIncarnation // former incarnation, until the outcome of its runs is settled
+	historyRequested     bool               // the registry's history was queried for its address
+	registeredAddress    string             // address in the registry; Ref has the one to call
+	used                 api.Resources
+	nominated            api.Resources // capacity nominated to gangs by preemption (preempt.go)
+	tentative            api.Resources // capacity that steps with advice calls in flight are expected to take (tentative.go)
+	allocations          map[platform.Run]*allocation
+	drainingSince        time.Time // when it was first read as leaving; zero if it wasn't
+	readySince           time.Time // since when its records say that it is ready after all
+
+	hasReported          bool                   // it has reported to this leader
+	clock                platform.ExecutorClock // executor's clock at its newest report
+	reportedAt           time.Time              // when that report arrived; zero if never
+	unresponsiveSince    time.Time              // when a hold first got no answer since that report
+	leaseEnd             platform.ExecutorClock // latest end of a lease that was sent
+	durableEnds          uint64                 // ends up to this number are durable
+	appliedEnds          uint64                 // ends up to this number were applied
+	inheritedLeaseExpiry time.Time              // when a lease from a former leader or incarnation has certainly expired
+	suspectedRun         *allocation            // run of a suspected task, which should be alone
+	isolatedFor          *step                  // step for which it is kept from other work until a suspected task of it starts here
+	expiredRuns          []*allocation          // runs that ended with the lease, while it isn't known whether the incarnation has ended
+
+	failedJobs     map[*job]struct{} // jobs whose tasks failed here in a row
+	lastFailure    time.Time         // when a task last failed here
+	avoidUntil     time.Time
+	lastUnanswered time.Time // when an order last got no answer
+	runRatio       float64   // moving mean of run time divided by estimate; 0 if none was seen
+	slowness       float64   // how many times as long as the fleet it takes; 1 if it isn't slow
+	lastSlow       time.Time // time of the latest sign of slowness
 }
 
-// newVM returns an executor of which nothing is known but how it is called.
+// newVM returns an executor of which only its reference is known.
 func newVM(ref platform.ExecutorRef) *vm {
-	v := &vm{claims: make(map[platform.Run]*claim), failJobs: make(map[*job]struct{}), slowness: 1}
+	v := &vm{allocations: make(map[platform.Run]*allocation), failedJobs: make(map[*job]struct{}), slowness: 1}
 	v.Ref = ref
 	return v
 }
 
-// register takes in the newest record under the executor's id. Which life is there is
-// known from answers alone: records may come late, and of a life that is over.
+// register applies the newest record under the executor's ID. Only answers tell which
+// incarnation is there: records may come late, and may be of an incarnation that has ended.
 func (v *vm) register(e *fleet.Executor, now time.Time) {
-	v.address = e.Ref.Address
-	v.listed = true
-	v.record = e
-	if !v.known || v.Ref.Life().Same(e.Ref.Life()) {
+	v.registeredAddress = e.Ref.Address
+	v.registered = true
+	v.registryRecord = e
+	if !v.hasReported || v.Ref.Life().Same(e.Ref.Life()) {
 		v.describe(e, now)
 	}
 }
 
-// describe takes in the record of this life. One that has answered is called where it did
-// until it is silent and its lease is over: a life keeps its address, and calls to another
-// place would be taken for its end.
+// describe applies the record of this incarnation. An executor that has answered is called
+// at the same address until it is unresponsive and its lease has expired: an incarnation
+// keeps its address, and calls to another address would be taken as proof of its end.
 func (v *vm) describe(e *fleet.Executor, now time.Time) {
 	ref := e.Ref
-	if v.known {
+	if v.hasReported {
 		ref = v.Ref
 	}
 	v.Executor = *e
 	v.Ref = ref
-	v.described = true
+	v.hasOwnRecord = true
 	switch {
-	case e.Draining && v.draining.IsZero():
-		v.draining = now
+	case e.Draining && v.drainingSince.IsZero():
+		v.drainingSince = now
 	case e.Draining:
-		v.ready = time.Time{}
-	case !v.draining.IsZero() && v.ready.IsZero():
-		v.ready = now
+		v.readySince = time.Time{}
+	case !v.drainingSince.IsZero() && v.readySince.IsZero():
+		v.readySince = now
 	}
 }
 
-// leaves reports whether the executor leaves, since when.
-func (v *vm) leaves(now time.Time) (since time.Time, leaves bool) {
-	back := !v.ready.IsZero() && now.Sub(v.ready) >= backAfter
-	return v.draining, !v.draining.IsZero() && !back
+// isLeaving reports whether the executor is leaving, and since when.
+func (v *vm) isLeaving(now time.Time) (since time.Time, leaving bool) {
+	returned := !v.readySince.IsZero() && now.Sub(v.readySince) >= returnDelay
+	return v.drainingSince, !v.drainingSince.IsZero() && !returned
 }
 
-// isFollowedBy reports whether another life has answered at the executor's
-// address after it.
-func (v *vm) isFollowedBy(o *vm) bool {
-	return o.listed && o.Ref.Address == v.Ref.Address && o.clockAt.After(v.clockAt)
+// isReplacedBy reports whether another executor has answered at this executor's address
+// after it did.
+func (v *vm) isReplacedBy(other *vm) bool {
+	return other.registered && other.Ref.Address == v.Ref.Address && other.reportedAt.After(v.reportedAt)
 }
 
-// free returns the room that no claim holds.
+// free returns the capacity that no allocation holds.
 func (v *vm) free() api.Resources { return v.Capacity.Sub(v.used) }
 
-// add takes room for a run.
-func (v *vm) add(c *claim) {
-	c.vm = v
-	v.claims[c.run] = c
-	v.used = v.used.Add(c.need)
-	if c.task != nil {
-		c.task.claims++
-		if c.task.suspected() {
-			v.suspect = c
+// addAllocation allocates the capacity of a run.
+func (v *vm) addAllocation(alloc *allocation) {
+	alloc.vm = v
+	v.allocations[alloc.run] = alloc
+	v.used = v.used.Add(alloc.resources)
+	if alloc.task != nil {
+		alloc.task.allocations++
+		if alloc.task.suspected() {
+			v.suspectedRun = alloc
 		}
 	}
 }
 
-// remove gives the room of a run back.
-func (v *vm) remove(c *claim) {
-	delete(v.claims, c.run)
-	v.used = v.used.Sub(c.need)
-	if v.suspect == c {
-		v.suspect = nil
+// removeAllocation frees the capacity of a run.
+func (v *vm) removeAllocation(alloc *allocation) {
+	delete(v.allocations, alloc.run)
+	v.used = v.used.Sub(alloc.resources)
+	if v.suspectedRun == alloc {
+		v.suspectedRun = nil
 	}
-	if c.task != nil {
-		c.task.claims--
+	if alloc.task != nil {
+		alloc.task.allocations--
 	}
 }
 
-// clockNow returns a reading that the executor's clock has reached by now at
-// the earliest.
-func (v *vm) clockNow(now time.Time, drift float64) platform.ExecutorClock {
-	passed := float64(now.Sub(v.clockAt)) * (1 - drift)
-	return v.clock.Add(time.Duration(passed))
+// minClock returns the earliest reading that the executor's clock can have at now.
+func (v *vm) minClock(now time.Time, drift float64) platform.ExecutorClock {
+	elapsed := float64(now.Sub(v.reportedAt)) * (1 - drift)
+	return v.clock.Add(time.Duration(elapsed))
 }
 
-// leaseOver reports whether everything on the executor is certainly over.
-func (v *vm) leaseOver(now time.Time, drift float64) bool {
-	if !v.lapses.IsZero() && now.Before(v.lapses) {
+// leaseExpired reports whether the lease of everything on the executor has certainly
+// expired.
+func (v *vm) leaseExpired(now time.Time, drift float64) bool {
+	if !v.inheritedLeaseExpiry.IsZero() && now.Before(v.inheritedLeaseExpiry) {
 		return false
 	}
-	if v.clockAt.IsZero() {
-		return !v.lapses.IsZero()
+	if v.reportedAt.IsZero() {
+		return !v.inheritedLeaseExpiry.IsZero()
 	}
-	return v.clockNow(now, drift) > v.lease
+	return v.minClock(now, drift) > v.leaseEnd
 }
 
-// usable reports whether the executor may be given new work. After a call that had no
-// answer, or didn't reach it, it has to report first.
+// usable reports whether the executor may be given new work. After a call that got no
+// answer or didn't reach it, it has to report first.
 func (v *vm) usable(now time.Time, cfg *Config) bool {
-	_, leaves := v.leaves(now)
-	return v.listed && v.described && v.known && !leaves &&
-		now.Sub(v.clockAt) < cfg.MaxReportAge &&
+	_, leaving := v.isLeaving(now)
+	return v.registered && v.hasOwnRecord && v.hasReported && !leaving &&
+		now.Sub(v.reportedAt) < cfg.MaxReportAge &&
 		!now.Before(v.avoidUntil) &&
-		v.clockAt.After(v.unanswered) && !v.silentFrom.After(v.clockAt) &&
-		(!v.onTrial(cfg) || len(v.claims) == 0)
+		v.reportedAt.After(v.lastUnanswered) && !v.unresponsiveSince.After(v.reportedAt) &&
+		(!v.onTrial(cfg) || len(v.allocations) == 0)
 }
 
-// onTrial reports whether the executor has failed so often that it gets one
-// task at a time.
-func (v *vm) onTrial(cfg *Config) bool { return len(v.failJobs) >= cfg.FailureStreak }
+// onTrial reports whether the executor has failed so often that it gets one task at a time.
+func (v *vm) onTrial(cfg *Config) bool { return len(v.failedJobs) >= cfg.FailureStreak }
 
-// backAfter is for how long the records of an executor that was read as leaving
-// have to say that it is ready before it is given work again: reads may be some
-// 3 s old, and executors write a record about every 1.5 s.
-const backAfter = 5 * time.Second
+// returnDelay is how long the records of an executor that was read as leaving have to say
+// that it is ready before it is given work again. Reads may be some 3 s old, and executors
+// write a record about every 1.5 s.
+const returnDelay = 5 * time.Second
--- a/internal/plan/yield_test.go
+++ b/internal/plan/yield_test.go
@@ -34,7 +34,7 @@
 // startAndSettle starts what is planned and has it be at work for long enough to yield.
 func (w *world) startAndSettle() {
 	w.startAll(w.cycle())
-	w.pass(settledRun)
+	w.pass(minPreemptedRunTime)
 	w.reportAll()
 }
 
@@ -48,12 +48,12 @@
 	for _, s := range stops {
 		v := w.cell.vms[s.To.ID]
 		var runs []platform.Run
-		for run := range v.claims {
+		for run := range v.allocations {
 			if run != s.Run {
 				runs = append(runs, run)
 			}
 		}
-		w.report(s.To.ID, running(runs...), []platform.EndedRun{{Number: v.taken + 1, Run: s.Run, How: platform.EndStopped, Checkpoint: "saved"}})
+		w.report(s.To.ID, running(runs...), []platform.EndedRun{{Number: v.appliedEnds + 1, Run: s.Run, How: platform.EndStopped, Checkpoint: "saved"}})
 	}
 }
 
@@ -77,7 +77,7 @@
 	if len(starts) != 4 {
 		t.Fatalf("%d tasks of the gang started, want 4", len(starts))
 	}
-	for _, s := range w.cell.jobs[roster.ID].running[0].steps[0].tasks {
+	for _, s := range w.cell.jobs[roster.ID].activeOccurrences[0].steps[0].tasks {
 		if s.phase == work.Pending && s.checkpoint != "saved" {
 			t.Error("a task that yielded has lost its progress")
 		}
@@ -144,11 +144,11 @@
 	for id, v := range p.cell.vms {
 		var runs []platform.Run
 		var ended []platform.EndedRun
-		number := v.taken
-		for run, cl := range v.claims {
+		number := v.appliedEnds
+		for run, cl := range v.allocations {
 			end, timed := p.ends[run]
 			switch {
-			case cl.unwanted:
+			case cl.stopRequested:
 				number++
 				ended = append(ended, platform.EndedRun{Number: number, Run: run, How: platform.EndStopped, Checkpoint: "saved"})
 			case timed && !end.After(p.now):
@@ -207,7 +207,7 @@
 			}
 		}
 		for task, stops := range p.stops {
-			if of := p.stored[task.Job].Queue; stops > mostYields || of != rostersQueue {
+			if of := p.stored[task.Job].Queue; stops > maxPreemptions || of != rostersQueue {
 				t.Errorf("seed %d: task %s of %s was stopped %d times", seed, task, of, stops)
 			}
 		}
