--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -10,10 +10,10 @@
 
 import "time"
 
-// LongestWait is how long all executors, or all machines that make calls for advice,
+// BacklogThreshold is how long all executors, or all machines that make calls for advice,
 // may need for what waits before new jobs are admitted at half the rate. What has been
 // accepted has to be started within some 10 s when nothing new comes.
-const LongestWait = 8 * time.Second
+const BacklogThreshold = 8 * time.Second
 
 const (
 	// newShare is the part of a crowded resource that new jobs get. What was accepted
@@ -24,21 +24,21 @@
 	burst = time.Duration(newShare * float64(time.Second))
 )
 
-// Need is what a job needs of one resource.
-type Need struct {
+// Demand is what a job needs of one resource.
+type Demand struct {
 	Resource string
-	Waiting  time.Duration // for which what waits keeps all of the resource busy
+	Backlog  time.Duration // for which what waits keeps all of the resource busy
 	Added    time.Duration // for which the job by itself does
 }
 
 // crowded reports whether what waits for the resource is to be protected.
-func (n Need) crowded() bool { return n.Waiting > LongestWait }
+func (n Demand) crowded() bool { return n.Backlog > BacklogThreshold }
 
 // Request is a job that is handed in.
 type Request struct {
-	Wait   time.Duration // for its first start, behind what comes before it
-	Useful time.Duration // the longest wait with which it is still of use
-	Needs  []Need
+	ExpectedWait  time.Duration // for its first start, behind what comes before it
+	MaxUsefulWait time.Duration // the longest wait with which it is still of use
+	Demands       []Demand
 }
 
 // Reason says why a job is refused.
@@ -46,48 +46,48 @@
 
 // Reasons of refusals.
 const (
-	TooLate Reason = "it would end too late to be of use"
-	Crowded Reason = "too much waits"
+	TooLate    Reason = "it would end too late to be of use"
+	Overloaded Reason = "too much waits"
 )
 
-// Verdict is the decision on a request; no reason: it is accepted.
-type Verdict struct {
+// Decision is the decision on a request; no reason: it is accepted.
+type Decision struct {
 	Reason     Reason
 	Resource   string        // that is crowded
 	RetryAfter time.Duration // after which this will have changed
 }
 
-// Gate decides on the jobs that are handed in to one leader. Its user guards it.
-type Gate struct {
+// Controller decides on the jobs that are handed in to one leader. Its user guards it.
+type Controller struct {
 	allowances map[string]*allowance
 }
 
 // Decide returns whether a job is accepted, and counts what it takes of crowded
 // resources.
-func (g *Gate) Decide(r Request, now time.Time) Verdict {
-	if excess := r.Wait - r.Useful; excess > 0 {
-		return Verdict{Reason: TooLate, RetryAfter: excess}
+func (g *Controller) Decide(r Request, now time.Time) Decision {
+	if excess := r.ExpectedWait - r.MaxUsefulWait; excess > 0 {
+		return Decision{Reason: TooLate, RetryAfter: excess}
 	}
-	for _, n := range r.Needs {
+	for _, n := range r.Demands {
 		if !n.crowded() {
 			continue
 		}
 		if wait := g.allowance(n.Resource, now).wait(n.Added); wait > 0 {
-			return Verdict{Reason: Crowded, Resource: n.Resource, RetryAfter: min(wait, n.drained())}
+			return Decision{Reason: Overloaded, Resource: n.Resource, RetryAfter: min(wait, n.drained())}
 		}
 	}
-	for _, n := range r.Needs { // of none before all are there
+	for _, n := range r.Demands { // of none before all are there
 		if n.crowded() {
 			g.allowance(n.Resource, now).left -= n.Added
 		}
 	}
-	return Verdict{}
+	return Decision{}
 }
 
 // drained returns after what time the resource will not be crowded any more, when new
 // jobs take all that they may.
-func (n Need) drained() time.Duration {
-	return time.Duration(float64(n.Waiting-LongestWait) / (1 - newShare))
+func (n Demand) drained() time.Duration {
+	return time.Duration(float64(n.Backlog-BacklogThreshold) / (1 - newShare))
 }
 
 // allowance is what new jobs may take of a crowded resource.
@@ -97,7 +97,7 @@
 }
 
 // allowance returns what new jobs may take of a resource now.
-func (g *Gate) allowance(resource string, now time.Time) *allowance {
+func (g *Controller) allowance(resource string, now time.Time) *allowance {
 	a := g.allowances[resource]
 	if a == nil {
 		a = &allowance{left: burst, at: now}
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -12,11 +12,11 @@
 
 // room is a job that needs room of which so much waits.
 func room(waiting, added time.Duration) Request {
-	return Request{Useful: time.Second, Needs: []Need{{Resource: "room", Waiting: waiting, Added: added}}}
+	return Request{MaxUsefulWait: time.Second, Demands: []Demand{{Resource: "room", Backlog: waiting, Added: added}}}
 }
 
 // refusals returns 1 if the job is refused, else 0.
-func refusals(g *Gate, r Request, now time.Time) int {
+func refusals(g *Controller, r Request, now time.Time) int {
 	if g.Decide(r, now).Reason != "" {
 		return 1
 	}
@@ -24,20 +24,20 @@
 }
 
 func TestGate(t *testing.T) {
-	const small, crowd = 2 * time.Millisecond, LongestWait + 2*time.Second
+	const small, crowd = 2 * time.Millisecond, BacklogThreshold + 2*time.Second
 	Convey("Given a gate", t, func() {
-		g := &Gate{}
+		g := &Controller{}
 		Convey("while little waits every job is accepted", func() {
 			refused := 0
 			for range 1000 {
-				refused += refusals(g, room(LongestWait, time.Second), start)
+				refused += refusals(g, room(BacklogThreshold, time.Second), start)
 			}
 			So(refused, ShouldEqual, 0)
 		})
 		Convey("a job that would wait for too long is refused until it would not", func() {
 			r := room(0, small)
-			r.Wait = 1500 * time.Millisecond
-			So(g.Decide(r, start), ShouldResemble, Verdict{Reason: TooLate, RetryAfter: 500 * time.Millisecond})
+			r.ExpectedWait = 1500 * time.Millisecond
+			So(g.Decide(r, start), ShouldResemble, Decision{Reason: TooLate, RetryAfter: 500 * time.Millisecond})
 		})
 		Convey("while much waits, jobs that need less than half of the room are all accepted", func() {
 			refused := 0
@@ -60,20 +60,20 @@
 			large := room(crowd, 3*burst)
 			So(g.Decide(large, start).Reason, ShouldBeEmpty)
 			got := g.Decide(room(crowd, small), start)
-			So(got.Reason, ShouldEqual, Crowded)
+			So(got.Reason, ShouldEqual, Overloaded)
 			So(got.Resource, ShouldEqual, "room")
 			So(got.RetryAfter, ShouldEqual, 2*(2*burst+small))
 		})
 		Convey("clients come back when what waits has become less, if that is sooner", func() {
 			So(g.Decide(room(crowd, 20*burst), start).Reason, ShouldBeEmpty)
-			got := g.Decide(room(LongestWait+100*time.Millisecond, small), start)
+			got := g.Decide(room(BacklogThreshold+100*time.Millisecond, small), start)
 			So(got.RetryAfter, ShouldEqual, 200*time.Millisecond)
 		})
 		Convey("a job that is refused for one resource takes nothing of another", func() {
-			calls := Need{Resource: "calls", Waiting: crowd, Added: 2 * burst}
+			calls := Demand{Resource: "calls", Backlog: crowd, Added: 2 * burst}
 			both := room(crowd, burst)
-			both.Needs = append(both.Needs, calls)
-			So(g.Decide(Request{Needs: []Need{calls}}, start).Reason, ShouldBeEmpty)
+			both.Demands = append(both.Demands, calls)
+			So(g.Decide(Request{Demands: []Demand{calls}}, start).Reason, ShouldBeEmpty)
 			So(g.Decide(both, start).Resource, ShouldEqual, "calls")
 			So(g.Decide(room(crowd, burst), start).Reason, ShouldBeEmpty)
 		})
@@ -83,8 +83,8 @@
 // A client that comes back when it was told to is accepted, if nobody else came.
 func TestRetryAfterIsLongEnough(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g, now := &Gate{}, start
-		waiting := LongestWait + time.Duration(rapid.Int64Range(1, 20_000).Draw(t, "crowd_ms"))*time.Millisecond
+		g, now := &Controller{}, start
+		waiting := BacklogThreshold + time.Duration(rapid.Int64Range(1, 20_000).Draw(t, "crowd_ms"))*time.Millisecond
 		for range rapid.IntRange(1, 50).Draw(t, "jobs") {
 			added := time.Duration(rapid.Int64Range(0, 2_000_000).Draw(t, "added_us")) * time.Microsecond
 			got := g.Decide(room(waiting, added), now)
@@ -100,7 +100,7 @@
 			if again := g.Decide(room(waiting-time.Microsecond, added), now.Add(time.Microsecond)); again.Reason != "" {
 				t.Fatalf("refused once more: %+v after %+v", again, got)
 			}
-			if waiting <= LongestWait {
+			if waiting <= BacklogThreshold {
 				return
 			}
 		}
@@ -116,7 +116,7 @@
 		check = 2500 * time.Microsecond // of all executors' time; 48 a second are handed in
 		sweep = 300 * time.Millisecond  // 6 a second
 	)
-	g := &Gate{}
+	g := &Controller{}
 	old, fresh := 12*time.Second, time.Duration(0) // that waits
 	checks, accepted := 0, 0
 	handIn := func(added time.Duration, now time.Time) bool {
@@ -143,7 +143,7 @@
 		fresh -= done
 		old -= min(old, step-done)
 	}
-	if old > LongestWait {
+	if old > BacklogThreshold {
 		t.Errorf("%v of what was accepted waits after 9 s, 12 s did before", old)
 	}
 	if accepted < checks*9/10 {
--- a/internal/assist/demand.go
+++ b/internal/assist/demand.go
@@ -24,7 +24,7 @@
 	middlingUpTo = 200 * time.Millisecond
 )
 
-func lengthOf(call queue.Call) length {
+func lengthOf(call queue.CallTime) length {
 	switch {
 	case call.Fixed <= shortestUpTo:
 		return shortest
@@ -36,7 +36,7 @@
 }
 
 // Lane names the length of a call: calls of one length share machines.
-func Lane(call queue.Call) string {
+func Lane(call queue.CallTime) string {
 	return [lengths]string{"short calls", "middling calls", "long calls"}[lengthOf(call)]
 }
 
--- a/internal/assist/demand_test.go
+++ b/internal/assist/demand_test.go
@@ -11,7 +11,7 @@
 )
 
 // lasting returns a call of a time that doesn't depend on what it names.
-func lasting(d time.Duration) queue.Call { return queue.Call{Fixed: d, Cost: d} }
+func lasting(d time.Duration) queue.CallTime { return queue.CallTime{Fixed: d, Total: d} }
 
 func TestHelpers(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
--- a/internal/assist/helpers.go
+++ b/internal/assist/helpers.go
@@ -177,7 +177,7 @@
 // Calls of unlike length go to unlike machines, so that a short one never
 // waits behind a long one; the machines are divided by what the calls of each
 // length take in all.
-func (h *Helpers) Take(call queue.Call, now time.Time) *Slot {
+func (h *Helpers) Take(call queue.CallTime, now time.Time) *Slot {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	of := lengthOf(call)
@@ -185,12 +185,12 @@
 	if m == nil {
 		return nil
 	}
-	h.demand.add(of, call.Cost)
-	return m.take(of, call.Cost)
+	h.demand.add(of, call.Total)
+	return m.take(of, call.Total)
 }
 
 // Free reports whether Take would return a slot.
-func (h *Helpers) Free(call queue.Call, now time.Time) bool {
+func (h *Helpers) Free(call queue.CallTime, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.find(lengthOf(call), now) != nil
@@ -234,8 +234,8 @@
 
 // Wait returns how long a new call would wait for its turn, given those that wait
 // already.
-func (h *Helpers) Wait(call queue.Call, waiting []queue.Call, now time.Time) time.Duration {
-	if call.Cost == 0 {
+func (h *Helpers) Wait(call queue.CallTime, waiting []queue.CallTime, now time.Time) time.Duration {
+	if call.Total == 0 {
 		return 0
 	}
 	h.mu.Lock()
@@ -250,7 +250,7 @@
 	total := time.Duration(0)
 	for _, w := range waiting {
 		if lengthOf(w) == of {
-			total += w.Cost
+			total += w.Total
 		}
 	}
 	return total / time.Duration(machines)
--- a/internal/assist/helpers_test.go
+++ b/internal/assist/helpers_test.go
@@ -36,7 +36,7 @@
 		h.Attached(Attachment{Node: node, Address: string(node)}, now)
 	}
 	one := lasting(time.Second)
-	waiting := []queue.Call{one, one, one, one}
+	waiting := []queue.CallTime{one, one, one, one}
 	if got := h.Wait(one, waiting, now); got != time.Second {
 		t.Errorf("four calls of a second with four machines: a wait of %v", got)
 	}
@@ -52,7 +52,7 @@
 	}
 	taken := make(map[*helper]int)
 	for range machines {
-		s := h.Take(queue.Call{Fixed: 26 * time.Millisecond, Cost: 50 * time.Millisecond}, now)
+		s := h.Take(queue.CallTime{Fixed: 26 * time.Millisecond, Total: 50 * time.Millisecond}, now)
 		if s == nil {
 			t.Fatal("no machine has time")
 		}
@@ -70,8 +70,8 @@
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	h := NewHelpers("self", nil, nil)
 	const machines = 97
-	short := queue.Call{Fixed: 26 * time.Millisecond, Cost: 50 * time.Millisecond}
-	long := queue.Call{Fixed: 637 * time.Millisecond, Cost: 1500 * time.Millisecond}
+	short := queue.CallTime{Fixed: 26 * time.Millisecond, Total: 50 * time.Millisecond}
+	long := queue.CallTime{Fixed: 637 * time.Millisecond, Total: 1500 * time.Millisecond}
 	type running struct {
 		slot *Slot
 		ends time.Time
@@ -107,7 +107,7 @@
 			}
 		}
 		for s := h.Take(long, now); s != nil; s = h.Take(long, now) {
-			under = append(under, running{s, now.Add(long.Cost)})
+			under = append(under, running{s, now.Add(long.Total)})
 		}
 	}
 	if refused*50 > asked {
@@ -126,7 +126,7 @@
 	for i := range machines - 1 {
 		h.Attached(Attachment{Node: api.NodeID([]byte{'a', byte(i)}), Address: "x"}, now)
 	}
-	long := queue.Call{Fixed: 440 * time.Millisecond, Cost: time.Second}
+	long := queue.CallTime{Fixed: 440 * time.Millisecond, Total: time.Second}
 	var under []*Slot
 	for s := h.Take(long, now); s != nil; s = h.Take(long, now) {
 		under = append(under, s)
@@ -135,7 +135,7 @@
 		h.giveBack(s)
 	}
 	under = nil
-	short := queue.Call{Fixed: 15 * time.Millisecond, Cost: 25 * time.Millisecond}
+	short := queue.CallTime{Fixed: 15 * time.Millisecond, Total: 25 * time.Millisecond}
 	for s := h.Take(short, now); s != nil; s = h.Take(short, now) {
 		under = append(under, s)
 	}
--- a/internal/assist/round.go
+++ b/internal/assist/round.go
@@ -20,7 +20,7 @@
 func (h *Helpers) Round(now time.Time) *Round { return &Round{helpers: h, now: now} }
 
 // Free reports whether about such a call could be made now.
-func (r *Round) Free(call queue.Call) bool {
+func (r *Round) Free(call queue.CallTime) bool {
 	of := lengthOf(call)
 	if !r.full[of] {
 		r.full[of] = !r.helpers.Free(call, r.now)
@@ -29,7 +29,7 @@
 }
 
 // Take gives a call to a machine, or returns false.
-func (r *Round) Take(call queue.Call) bool {
+func (r *Round) Take(call queue.CallTime) bool {
 	slot := r.helpers.Take(call, r.now)
 	if slot == nil {
 		r.full[lengthOf(call)] = true
--- a/internal/assist/silent_test.go
+++ b/internal/assist/silent_test.go
@@ -31,7 +31,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHelpers("self", ownAdviser{}, cutOff{})
 		h.Attached(Attachment{Node: "other", Address: "other:1"}, time.Now())
-		call := queue.Call{Fixed: 26 * time.Millisecond, Cost: 40 * time.Millisecond}
+		call := queue.CallTime{Fixed: 26 * time.Millisecond, Total: 40 * time.Millisecond}
 		s := h.Take(call, time.Now())
 		if s == nil || s.helper.address == "" {
 			t.Fatal("the call goes to the machine that has less to do")
@@ -60,7 +60,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := NewHelpers("self", ownAdviser{}, cutOff{})
 		h.Attached(Attachment{Node: "other", Address: "other:1"}, time.Now())
-		s := h.Take(queue.Call{Fixed: 600 * time.Millisecond, Cost: 2 * time.Second}, time.Now())
+		s := h.Take(queue.CallTime{Fixed: 600 * time.Millisecond, Total: 2 * time.Second}, time.Now())
 		stop := make(chan struct{})
 		go func() {
 			for {
--- a/internal/capacity/placement.go
+++ b/internal/capacity/placement.go
@@ -22,17 +22,17 @@
 	return scheduler.VM{ID: vmName(i), DataCentre: "dc-a", Rack: fmt.Sprint("r", i/6), Capacity: vmSize, Schedulable: true}
 }
 
-func runningTask(number, vm int, now time.Time) scheduler.Running {
+func runningTask(number, vm int, now time.Time) scheduler.RunningTask {
 	spec := jobSpec(number, 1)
-	return scheduler.Running{
+	return scheduler.RunningTask{
 		Task: api.TaskID{Job: spec.ID}, VM: vmName(vm), Team: spec.Team, Class: spec.Class,
 		Priority: spec.Priority, Resources: spec.Resources, Started: now, ExpectedEnd: now.Add(10 * time.Minute),
 	}
 }
 
 // fleetOf returns a world of VMs that each run tasksPerVM tasks.
-func fleetOf(vms int, now time.Time) *scheduler.World {
-	w := scheduler.NewWorld()
+func fleetOf(vms int, now time.Time) *scheduler.State {
+	w := scheduler.NewState()
 	for i := range vms {
 		w.PutVM(schedulerVM(i))
 	}
@@ -79,8 +79,8 @@
 }
 
 // worldHeap returns the bytes that fill adds to a world of 1,700 VMs.
-func worldHeap(vms int, fill func(*scheduler.World)) (float64, error) {
-	w := scheduler.NewWorld()
+func worldHeap(vms int, fill func(*scheduler.State)) (float64, error) {
+	w := scheduler.NewState()
 	for i := range vms {
 		w.PutVM(schedulerVM(i))
 	}
@@ -98,7 +98,7 @@
 		{
 			Name: "world_vm_bytes", XLabel: "worker VMs", YLabel: "bytes", Sizes: []int{1700, 5000, 10_000, 18_000},
 			Run: func(size int) (float64, error) {
-				return worldHeap(0, func(w *scheduler.World) {
+				return worldHeap(0, func(w *scheduler.State) {
 					for i := range size {
 						w.PutVM(schedulerVM(i))
 					}
@@ -107,7 +107,7 @@
 		}, {
 			Name: "world_task_bytes", XLabel: "running tasks", YLabel: "bytes", Sizes: []int{10_000, 20_000, 40_000, 80_000},
 			Run: func(size int) (float64, error) {
-				return worldHeap(vms, func(w *scheduler.World) {
+				return worldHeap(vms, func(w *scheduler.State) {
 					for i := range size {
 						w.Occupy(runningTask(i, i%vms, now))
 					}
@@ -116,7 +116,7 @@
 		}, {
 			Name: "world_job_bytes", XLabel: "pending jobs of one task", YLabel: "bytes", Sizes: []int{5000, 10_000, 20_000, 40_000},
 			Run: func(size int) (float64, error) {
-				return worldHeap(vms, func(w *scheduler.World) {
+				return worldHeap(vms, func(w *scheduler.State) {
 					for i := range size {
 						spec := jobSpec(i, 1)
 						w.PutJob(scheduler.Job{Spec: spec, Submitted: now, Pending: []uint32{0}, Estimate: spec.Resources})
--- a/internal/controller/learning/learning.go
+++ b/internal/controller/learning/learning.go
@@ -125,13 +125,13 @@
 		c.started[r.Task] = now.Add(-r.RunFor)
 	}
 	verdict := c.estimates.Observe(job.Spec, estimate.Report{
-		Task: r.Task, Use: r.Usage, Measured: now, Started: c.started[r.Task],
+		Task: r.Task, Usage: r.Usage, MeasuredAt: now, StartedAt: c.started[r.Task],
 	})
 	c.act(vm, r, verdict)
 }
 
 // act notes what a verdict asks for. c.mu is held.
-func (c *Controller) act(vm api.VMID, r platform.TaskReport, v estimate.Verdict) {
+func (c *Controller) act(vm api.VMID, r platform.TaskReport, v estimate.Decision) {
 	switch v.Action {
 	case estimate.ActionThrottle:
 		c.counters.Inc(counterGroup, v.Reason)
@@ -156,10 +156,10 @@
 	delete(c.started, task)
 	switch ending {
 	case cell.ReportSucceeded:
-		c.failures.Succeeded(vm, task, now)
-		c.failures.Forget(task)
+		c.failures.RecordSuccess(vm, task, now)
+		c.failures.ForgetTask(task)
 		if ok && known {
-			c.estimates.Finished(job.Spec, task, now.Sub(started))
+			c.estimates.RecordRun(job.Spec, task, now.Sub(started))
 		}
 	case cell.ReportErrored:
 		c.failed(vm, task, now)
@@ -167,14 +167,14 @@
 			c.avoidVM(vm, task.Job)
 		}
 	default:
-		c.estimates.Forget(task)
+		c.estimates.ForgetTask(task)
 	}
 }
 
 // failed notes that a task failed by itself on vm. c.mu is held.
 func (c *Controller) failed(vm api.VMID, task api.TaskID, now time.Time) {
-	c.estimates.Forget(task)
-	if _, blamed := c.failures.Failed(vm, task, now); blamed {
+	c.estimates.ForgetTask(task)
+	if _, blamed := c.failures.RecordFailure(vm, task, now); blamed {
 		c.counters.Inc(counterGroup, api.ReasonFailsAnywhere)
 	}
 }
--- a/internal/controller/placement/bench_test.go
+++ b/internal/controller/placement/bench_test.go
@@ -36,7 +36,7 @@
 func (r *rig) PutVM(scheduler.VM)                {}
 func (r *rig) RemoveVM(api.VMID)                 {}
 func (r *rig) RemoveJob(api.JobID)               {}
-func (r *rig) Occupy(scheduler.Running)          {}
+func (r *rig) Occupy(scheduler.RunningTask)      {}
 func (r *rig) Vacate(api.TaskID)                 {}
 func (r *rig) Release(api.TaskID)                {}
 func (r *rig) PutJob(j scheduler.Job)            { r.pending = append(r.pending, j) }
--- a/internal/controller/placement/feed.go
+++ b/internal/controller/placement/feed.go
@@ -105,7 +105,7 @@
 }
 
 func (f *feed) occupy(task api.TaskID, vm api.VMID, held api.Resources, now time.Time) {
-	r := scheduler.Running{Task: task, VM: vm, Resources: held, Started: now}
+	r := scheduler.RunningTask{Task: task, VM: vm, Resources: held, Started: now}
 	if job, ok := f.c.machine.Job(task.Job); ok {
 		r.Team = job.Spec.Team
 		r.Class = job.Spec.Class
@@ -256,7 +256,7 @@
 }
 
 // preempts turns planned preemptions into stops, each task once.
-func (f *feed) preempts(planned []scheduler.Preempt) []cell.Stop {
+func (f *feed) preempts(planned []scheduler.Preemption) []cell.Stop {
 	var stops []cell.Stop
 	for _, p := range planned {
 		view, ok := f.c.machine.Task(p.Task)
@@ -269,7 +269,7 @@
 			Attempt:    view.Attempt,
 			Checkpoint: true,
 			Reason:     api.ReasonPreempted,
-			For:        p.For,
+			For:        p.Preemptor,
 		})
 	}
 	return stops
--- a/internal/controller/placement/placement.go
+++ b/internal/controller/placement/placement.go
@@ -27,7 +27,7 @@
 	PutJob(scheduler.Job)
 	RemoveJob(api.JobID)
 	// Occupy tells that a start was applied.
-	Occupy(scheduler.Running)
+	Occupy(scheduler.RunningTask)
 	// Vacate tells that a task holds its VM no longer.
 	Vacate(api.TaskID)
 	// Release tells that a planned start was rejected or given up.
@@ -218,7 +218,7 @@
 	for _, batch := range c.feed.starts(plan.Starts, c.cfg.MaxBatch) {
 		c.propose(ctx, running, c.feed.epoch, batch)
 	}
-	if stops := c.feed.preempts(plan.Preempts); len(stops) > 0 {
+	if stops := c.feed.preempts(plan.Preemptions); len(stops) > 0 {
 		entry := c.machine.StopEntry(c.feed.epoch, stops)
 		running.Go(func() {
 			if err := c.proposer.Propose(ctx, entry); err != nil {
--- a/internal/controller/placement/site_test.go
+++ b/internal/controller/placement/site_test.go
@@ -177,11 +177,11 @@
 	order []api.VMID
 	vms   map[api.VMID]scheduler.VM
 	jobs  map[api.JobID]scheduler.Job
-	held  map[api.TaskID]scheduler.Running
+	held  map[api.TaskID]scheduler.RunningTask
 }
 
 func newFirstFit() placement.World {
-	return &firstFit{vms: map[api.VMID]scheduler.VM{}, jobs: map[api.JobID]scheduler.Job{}, held: map[api.TaskID]scheduler.Running{}}
+	return &firstFit{vms: map[api.VMID]scheduler.VM{}, jobs: map[api.JobID]scheduler.Job{}, held: map[api.TaskID]scheduler.RunningTask{}}
 }
 
 func (w *firstFit) PutVM(vm scheduler.VM) {
@@ -190,12 +190,12 @@
 	}
 	w.vms[vm.ID] = vm
 }
-func (w *firstFit) RemoveVM(id api.VMID)       { delete(w.vms, id) }
-func (w *firstFit) PutJob(j scheduler.Job)     { w.jobs[j.Spec.ID] = j }
-func (w *firstFit) RemoveJob(id api.JobID)     { delete(w.jobs, id) }
-func (w *firstFit) Occupy(r scheduler.Running) { w.held[r.Task] = r }
-func (w *firstFit) Vacate(id api.TaskID)       { delete(w.held, id) }
-func (w *firstFit) Release(id api.TaskID)      { delete(w.held, id) }
+func (w *firstFit) RemoveVM(id api.VMID)           { delete(w.vms, id) }
+func (w *firstFit) PutJob(j scheduler.Job)         { w.jobs[j.Spec.ID] = j }
+func (w *firstFit) RemoveJob(id api.JobID)         { delete(w.jobs, id) }
+func (w *firstFit) Occupy(r scheduler.RunningTask) { w.held[r.Task] = r }
+func (w *firstFit) Vacate(id api.TaskID)           { delete(w.held, id) }
+func (w *firstFit) Release(id api.TaskID)          { delete(w.held, id) }
 
 func (w *firstFit) Cycle(_ time.Time, maxStarts int) scheduler.Plan {
 	var p scheduler.Plan
@@ -208,7 +208,7 @@
 				left = append(left, index)
 				continue
 			}
-			w.held[task] = scheduler.Running{Task: task, VM: w.order[i], Resources: j.Estimate}
+			w.held[task] = scheduler.RunningTask{Task: task, VM: w.order[i], Resources: j.Estimate}
 			p.Starts = append(p.Starts, scheduler.Start{Task: task, VM: w.order[i], Resources: j.Estimate, Gang: j.Spec.Class == api.ClassGang})
 		}
 		j.Pending = left
--- a/internal/controller/placement/urgent_test.go
+++ b/internal/controller/placement/urgent_test.go
@@ -15,16 +15,16 @@
 
 // scheduled is the real scheduler with its world.
 type scheduled struct {
-	*scheduler.World
+	*scheduler.State
 	*scheduler.Scheduler
 }
 
 func (s scheduled) Cycle(now time.Time, maxStarts int) scheduler.Plan {
-	return s.Scheduler.Cycle(s.World, now, maxStarts)
+	return s.Scheduler.Cycle(s.State, now, maxStarts)
 }
 
 func newScheduled() placement.World {
-	return scheduled{scheduler.NewWorld(), scheduler.New(scheduler.Config{}, rand.New(rand.NewPCG(1, 1)))}
+	return scheduled{scheduler.NewState(), scheduler.New(scheduler.Config{}, rand.New(rand.NewPCG(1, 1)))}
 }
 
 // In a cell that is full of checkpointable batch work, urgent work is running
--- a/internal/controller/placement/waits.go
+++ b/internal/controller/placement/waits.go
@@ -14,10 +14,10 @@
 func (f *feed) noteWaits(plan scheduler.Plan) {
 	changed := f.dropped
 	f.dropped = false
-	for _, w := range plan.Waits {
+	for _, w := range plan.Waiting {
 		changed = f.noteWait(w, false) || changed
 	}
-	for _, w := range plan.Impossible {
+	for _, w := range plan.Infeasible {
 		changed = f.noteWait(w, true) || changed
 	}
 	if changed {
@@ -26,7 +26,7 @@
 }
 
 // noteWait notes why a job waits and reports whether that is news.
-func (f *feed) noteWait(w scheduler.Wait, never bool) bool {
+func (f *feed) noteWait(w scheduler.WaitingJob, never bool) bool {
 	note := cell.WaitNote{Reason: w.Reason, Detail: w.Detail, Never: never}
 	if f.waits[w.Job] == note {
 		return false
--- a/internal/controller/placement/waits_test.go
+++ b/internal/controller/placement/waits_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	f := &feed{c: &Controller{machine: m}, waits: make(map[api.JobID]cell.WaitNote)}
-	f.noteWaits(scheduler.Plan{Impossible: []scheduler.Wait{{Job: "big", Reason: api.ReasonNeverFits}}})
+	f.noteWaits(scheduler.Plan{Infeasible: []scheduler.WaitingJob{{Job: "big", Reason: api.ReasonNeverFits}}})
 	f.noteWaits(scheduler.Plan{}) // the scheduler names only news
 	if x, _ := m.Explain("big"); x.Wait == nil || x.Wait.Reason != api.ReasonNeverFits || !x.Wait.Never {
 		t.Fatalf("explained as %+v", x.Wait)
--- a/internal/dispatch/early_test.go
+++ b/internal/dispatch/early_test.go
@@ -45,7 +45,7 @@
 	p := newCellPlay(t)
 	p.log = slowStore{p.store, appends}
 	p.helpers = assist.NewHelpers("a", generousAdviser{15 * time.Millisecond}, nil)
-	p.advice = &queue.Advice{Decision: 10 * time.Millisecond, PerVM: time.Millisecond, Valid: 2 * time.Second}
+	p.advice = &queue.Advice{DecisionTime: 10 * time.Millisecond, TimePerVM: time.Millisecond, TicketValidity: 2 * time.Second}
 	p.register("ready")
 	p.lead()
 	time.Sleep(2 * time.Second)
--- a/internal/dispatch/play_test.go
+++ b/internal/dispatch/play_test.go
@@ -289,7 +289,7 @@
 func (p *cellPlay) lead() {
 	p.stop()
 	p.epoch++
-	table := &queue.Table{Queues: []queue.Queue{{Name: "q", Service: "svc", Attempts: 1, Stretch: 2, TargetLatency: time.Second, Advice: p.advice}}}
+	table := &queue.Configuration{Queues: []queue.Queue{{Name: "q", Service: "svc", MaxAttempts: 1, Stretch: 2, TargetLatency: time.Second, Advice: p.advice}}}
 	helpers := p.helpers
 	if helpers == nil {
 		helpers = assist.NewHelpers("a", nil, nil)
@@ -305,7 +305,7 @@
 		Replica:   p.replica,
 		Reader:    p.reader,
 		Helpers:   helpers,
-		Table:     func() *queue.Table { return table },
+		Table:     func() *queue.Configuration { return table },
 		MayRenew:  func() bool { return true },
 		Replaced:  func() {},
 		Renewed:   func() leader.Renewal { return leader.Renewal{} },
--- a/internal/dispatch/runner.go
+++ b/internal/dispatch/runner.go
@@ -58,7 +58,7 @@
 	Centre    api.DataCentre // of this machine
 	Link      float64        // bytes a second that its link carries; 0: not told
 	Full      func() bool    // little more can be sent by it without delay; nil: never
-	Table     func() *queue.Table
+	Table     func() *queue.Configuration
 	MayRenew  func() bool           // leases may be extended
 	Replaced  func()                // somebody refused this leader's epoch
 	CutOff    func() bool           // this machine reaches neither the store nor another data centre; nil: never
@@ -79,7 +79,7 @@
 	mu       sync.Mutex // guards the fields below
 	cell     *plan.Cell
 	cycle    chan struct{} // closed when the next whole cycle has ended
-	gate     admission.Gate
+	gate     admission.Controller
 	inbox    []*submission // to be stored with the next cycle
 	patience time.Duration // how long the store may take before submissions are refused
 	stuck    time.Time     // since when an append has had no answer; zero: none is under way
--- a/internal/dispatch/runner_test.go
+++ b/internal/dispatch/runner_test.go
@@ -35,9 +35,9 @@
 func waitingCell(jobs int) *plan.Cell {
 	now := time.Now()
 	cell := plan.NewCell(plan.DefaultConfig(), func(work.ID) *work.Job { return nil }, logging.Silent(), now.Add(-time.Minute))
-	cell.Configure(&queue.Table{Queues: []queue.Queue{{
-		Name: "q", Service: "svc", Attempts: 1, Stretch: 2, TargetLatency: time.Second,
-		Advice: &queue.Advice{Decision: 10 * time.Millisecond, PerVM: time.Millisecond, Valid: 2 * time.Second},
+	cell.Configure(&queue.Configuration{Queues: []queue.Queue{{
+		Name: "q", Service: "svc", MaxAttempts: 1, Stretch: 2, TargetLatency: time.Second,
+		Advice: &queue.Advice{DecisionTime: 10 * time.Millisecond, TimePerVM: time.Millisecond, TicketValidity: 2 * time.Second},
 	}}})
 	cell.UpdateExecutors(map[string]*fleet.Executor{"e": {
 		Ref: platform.ExecutorRef{ID: "e", Address: "10.0.0.1:1"}, Service: "svc",
@@ -143,7 +143,7 @@
 		t.Run(fmt.Sprint(c.cost), func(t *testing.T) {
 			round := assist.NewHelpers("a", &countingAdviser{}, nil).Round(time.Now())
 			n := 0
-			call := queue.Call{Fixed: c.cost, Cost: c.cost}
+			call := queue.CallTime{Fixed: c.cost, Total: c.cost}
 			for round.Free(call) && round.Take(call) {
 				n++
 			}
@@ -211,7 +211,7 @@
 		e := &placedExecutor{address: right, called: make(map[string]int)}
 		r := New(Config{Executors: e, MayRenew: func() bool { return true }, Events: logging.Silent()})
 		cell := plan.NewCell(plan.DefaultConfig(), func(work.ID) *work.Job { return nil }, logging.Silent(), time.Now())
-		cell.Configure(&queue.Table{Services: map[string]queue.Service{"svc": {Name: "svc"}}})
+		cell.Configure(&queue.Configuration{Services: map[string]queue.Service{"svc": {Name: "svc"}}})
 		r.cell = cell
 		ctx, stop := context.WithCancel(t.Context())
 		list := func(address string) {
--- a/internal/dispatch/stop_test.go
+++ b/internal/dispatch/stop_test.go
@@ -55,7 +55,7 @@
 			Replica: jobs,
 			Reader:  reader,
 			Helpers: assist.NewHelpers("a", nil, nil),
-			Table:   func() *queue.Table { return &queue.Table{} },
+			Table:   func() *queue.Configuration { return &queue.Configuration{} },
 			Renewed: func() leader.Renewal { return leader.Renewal{} },
 			Events:  logging.Silent(),
 		})
--- a/internal/dispatch/store.go
+++ b/internal/dispatch/store.go
@@ -190,22 +190,22 @@
 }
 
 // admit decides whether a job is accepted, given what waits in the cell; r.mu is held.
-func (r *Runner) admit(j *work.Job, backlog plan.Backlog, now time.Time) admission.Verdict {
-	q := r.cfg.Table().Named(j.Queue)
+func (r *Runner) admit(j *work.Job, backlog plan.Backlog, now time.Time) admission.Decision {
+	q := r.cfg.Table().QueueNamed(j.Queue)
 	ask := r.cell.FirstAdviceCall(q)
 	before := backlog.AheadOf(j, q, now)
 	beforeAdvice := r.cfg.Helpers.Wait(ask, before.AdviceCalls(), now)
 	request := admission.Request{
-		Wait:   before.ProcessingTime() + beforeAdvice,
-		Useful: plan.MaxUsefulWait(j, q),
-		Needs: []admission.Need{{
+		ExpectedWait:  before.ProcessingTime() + beforeAdvice,
+		MaxUsefulWait: plan.MaxUsefulWait(j, q),
+		Demands: []admission.Demand{{
 			Resource: "room",
-			Waiting:  backlog.ProcessingTime(),
+			Backlog:  backlog.ProcessingTime(),
 			Added:    backlog.JobProcessingTime(j),
 		}, {
 			Resource: assist.Lane(ask),
-			Waiting:  r.cfg.Helpers.Wait(ask, backlog.AdviceCalls(), now),
-			Added:    r.cfg.Helpers.Wait(ask, slices.Repeat([]queue.Call{ask}, len(j.Steps)), now),
+			Backlog:  r.cfg.Helpers.Wait(ask, backlog.AdviceCalls(), now),
+			Added:    r.cfg.Helpers.Wait(ask, slices.Repeat([]queue.CallTime{ask}, len(j.Steps)), now),
 		}},
 	}
 	verdict := r.gate.Decide(request, now)
@@ -215,14 +215,14 @@
 	return verdict
 }
 
-func (r *Runner) logRefusal(j *work.Job, request admission.Request, verdict admission.Verdict, beforeAdvice time.Duration, processors int) {
+func (r *Runner) logRefusal(j *work.Job, request admission.Request, verdict admission.Decision, beforeAdvice time.Duration, processors int) {
 	fields := logrus.Fields{
-		"job": j.ID, "queue": j.Queue, "wait_ms": request.Wait.Milliseconds(), "wait_advice_ms": beforeAdvice.Milliseconds(),
-		"useful_ms": request.Useful.Milliseconds(), "processors": processors, "retry_ms": verdict.RetryAfter.Milliseconds(),
+		"job": j.ID, "queue": j.Queue, "wait_ms": request.ExpectedWait.Milliseconds(), "wait_advice_ms": beforeAdvice.Milliseconds(),
+		"useful_ms": request.MaxUsefulWait.Milliseconds(), "processors": processors, "retry_ms": verdict.RetryAfter.Milliseconds(),
 	}
 	for i, name := range []string{"room", "advice"} {
-		fields["backlog_"+name+"_ms"] = request.Needs[i].Waiting.Milliseconds()
-		fields["adds_"+name+"_ms"] = request.Needs[i].Added.Milliseconds()
+		fields["backlog_"+name+"_ms"] = request.Demands[i].Backlog.Milliseconds()
+		fields["adds_"+name+"_ms"] = request.Demands[i].Added.Milliseconds()
 	}
 	if verdict.Resource != "" {
 		fields["short_of"] = verdict.Resource
--- a/internal/entry/world.go
+++ b/internal/entry/world.go
@@ -13,7 +13,7 @@
 // world binds a scheduler to the state that it plans on and keeps both in
 // step with the policy and the quotas in force.
 type world struct {
-	*scheduler.World
+	*scheduler.State
 	scheduler *scheduler.Scheduler
 	configs   *config.Machine
 	revision  api.Revision // that policy and quotas were last read at
@@ -24,7 +24,7 @@
 func (n *Node) newWorld() placement.World {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	w := &world{
-		World:     scheduler.NewWorld(),
+		State:     scheduler.NewState(),
 		scheduler: scheduler.New(scheduler.Config{Policy: n.streams.configs.Policy()}, random),
 		configs:   n.streams.configs,
 		quotas:    make(map[string]api.QuotaSpec),
@@ -38,7 +38,7 @@
 	if w.configs.Revision() != w.revision {
 		w.refresh()
 	}
-	return w.scheduler.Cycle(w.World, now, maxStarts)
+	return w.scheduler.Cycle(w.State, now, maxStarts)
 }
 
 // refresh puts the policy and the quotas in force. The revision is read
--- a/internal/estimate/config.go
+++ b/internal/estimate/config.go
@@ -12,11 +12,11 @@
 const (
 	DefaultOveruseFactor = 1.5
 	DefaultOverrunFactor = 3.0
-	DefaultFloor         = 0.5
+	DefaultMinShare      = 0.5
 	DefaultQuantile      = 0.95
-	DefaultFewestReports = 32
-	DefaultFewestRuns    = 8
-	DefaultGrace         = 30 * time.Second
+	DefaultMinReports    = 32
+	DefaultMinRuns       = 8
+	DefaultGracePeriod   = 30 * time.Second
 	DefaultMaxSignatures = 20_000
 )
 
@@ -24,17 +24,17 @@
 type Config struct {
 	// Policy gives OveruseFactor and OverrunFactor.
 	Policy api.PolicySpec
-	// Floor is the least share of the declared amounts to plan with, 0 to 1.
-	Floor float64
+	// MinShare is the least share of the declared amounts to plan with, 0 to 1.
+	MinShare float64
 	// Quantile of the processor use and run times to plan with, 0 to 1.
 	Quantile float64
-	// FewestReports and FewestRuns are needed before an estimate falls below
+	// MinReports and FewestRuns are needed before an estimate falls below
 	// what was declared.
-	FewestReports int
-	FewestRuns    int
-	// Grace is the time an action is given to show in the reports before the
+	MinReports int
+	MinRuns    int
+	// GracePeriod is the time an action is given to show in the reports before the
 	// next, sterner one.
-	Grace time.Duration
+	GracePeriod time.Duration
 	// MaxSignatures bounds the memory; those unused longest are forgotten.
 	MaxSignatures int
 }
@@ -46,11 +46,11 @@
 	share := func(f float64) bool { return f >= 0 && f <= 1 }
 	l.Check(factor(c.Policy.OveruseFactor), "policy.overuse_factor", c.Policy.OveruseFactor, "0 (default), or 1 or more")
 	l.Check(factor(c.Policy.OverrunFactor), "policy.overrun_factor", c.Policy.OverrunFactor, "0 (default), or 1 or more")
-	l.Check(share(c.Floor), "floor", c.Floor, "0 (default) to 1")
+	l.Check(share(c.MinShare), "floor", c.MinShare, "0 (default) to 1")
 	l.Check(share(c.Quantile), "quantile", c.Quantile, "0 (default) to 1")
-	l.Check(c.FewestReports >= 0, "fewest_reports", c.FewestReports, "0 (default) or more")
-	l.Check(c.FewestRuns >= 0, "fewest_runs", c.FewestRuns, "0 (default) or more")
-	l.Check(c.Grace >= 0, "grace", c.Grace, "0 (default) or more")
+	l.Check(c.MinReports >= 0, "fewest_reports", c.MinReports, "0 (default) or more")
+	l.Check(c.MinRuns >= 0, "fewest_runs", c.MinRuns, "0 (default) or more")
+	l.Check(c.GracePeriod >= 0, "grace", c.GracePeriod, "0 (default) or more")
 	l.Check(c.MaxSignatures >= 0, "max_signatures", c.MaxSignatures, "0 (default) or more")
 	return l.Err()
 }
@@ -59,11 +59,11 @@
 func (c Config) WithDefaults() Config {
 	defaults.Set(&c.Policy.OveruseFactor, DefaultOveruseFactor)
 	defaults.Set(&c.Policy.OverrunFactor, DefaultOverrunFactor)
-	defaults.Set(&c.Floor, DefaultFloor)
+	defaults.Set(&c.MinShare, DefaultMinShare)
 	defaults.Set(&c.Quantile, DefaultQuantile)
-	defaults.Set(&c.FewestReports, DefaultFewestReports)
-	defaults.Set(&c.FewestRuns, DefaultFewestRuns)
-	defaults.Set(&c.Grace, DefaultGrace)
+	defaults.Set(&c.MinReports, DefaultMinReports)
+	defaults.Set(&c.MinRuns, DefaultMinRuns)
+	defaults.Set(&c.GracePeriod, DefaultGracePeriod)
 	defaults.Set(&c.MaxSignatures, DefaultMaxSignatures)
 	return c
 }
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -30,10 +30,10 @@
 
 // Report is a worker's word on one running task.
 type Report struct {
-	Task     api.TaskID
-	Use      api.Resources
-	Measured time.Time // local time of the measurement, at the earliest
-	Started  time.Time
+	Task       api.TaskID
+	Usage      api.Resources
+	MeasuredAt time.Time // local time of the measurement, at the earliest
+	StartedAt  time.Time
 }
 
 // Estimate is what to plan a task with.
@@ -75,20 +75,20 @@
 }
 
 // Observe learns from a report and returns what to do about the task.
-func (e *Estimator) Observe(spec api.JobSpec, r Report) Verdict {
+func (e *Estimator) Observe(spec api.JobSpec, r Report) Decision {
 	l := e.learnedOf(SignatureOf(spec))
 	if spec.Resources.MilliCPU > 0 {
-		l.milliCPU.add(ratio(r.Use.MilliCPU, spec.Resources.MilliCPU))
+		l.milliCPU.add(ratio(r.Usage.MilliCPU, spec.Resources.MilliCPU))
 	}
 	if spec.Resources.MemoryMB > 0 {
-		l.memory.add(ratio(r.Use.MemoryMB, spec.Resources.MemoryMB))
+		l.memory.add(ratio(r.Usage.MemoryMB, spec.Resources.MemoryMB))
 	}
 	return e.judge(spec, r)
 }
 
-// Finished learns the run time of a task that ended well, and forgets what
+// RecordRun learns the run time of a task that ended well, and forgets what
 // was held against it.
-func (e *Estimator) Finished(spec api.JobSpec, task api.TaskID, ran time.Duration) {
+func (e *Estimator) RecordRun(spec api.JobSpec, task api.TaskID, ran time.Duration) {
 	delete(e.offences, task)
 	if spec.RunTime <= 0 {
 		return
@@ -96,8 +96,8 @@
 	e.learnedOf(SignatureOf(spec)).runTime.add(ratio(int64(ran), int64(spec.RunTime)))
 }
 
-// Forget drops what was held against a task that no longer runs.
-func (e *Estimator) Forget(task api.TaskID) {
+// ForgetTask drops what was held against a task that no longer runs.
+func (e *Estimator) ForgetTask(task api.TaskID) {
 	delete(e.offences, task)
 }
 
@@ -110,12 +110,12 @@
 	if l == nil {
 		return out
 	}
-	enough := l.memory.total >= uint32(e.cfg.FewestReports)
+	enough := l.memory.total >= uint32(e.cfg.MinReports)
 	out.Reports = l.memory.total
 	out.Runs = l.runTime.total
 	out.Resources.MilliCPU = e.plan(spec.Resources.MilliCPU, l.milliCPU.quantile(e.cfg.Quantile), enough)
 	out.Resources.MemoryMB = e.plan(spec.Resources.MemoryMB, l.memory.quantile(1), enough)
-	enough = l.runTime.total >= uint32(e.cfg.FewestRuns)
+	enough = l.runTime.total >= uint32(e.cfg.MinRuns)
 	out.RunTime = time.Duration(e.plan(int64(spec.RunTime), l.runTime.quantile(e.cfg.Quantile), enough))
 	return out
 }
@@ -139,7 +139,7 @@
 	case learnedRatio < 1 && !enough:
 		return declared
 	}
-	return int64(float64(declared) * max(learnedRatio, e.cfg.Floor))
+	return int64(float64(declared) * max(learnedRatio, e.cfg.MinShare))
 }
 
 func (e *Estimator) learnedOf(s Signature) *learned {
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -14,8 +14,8 @@
 
 func report(cpu, memory int64, ran time.Duration) Report {
 	start := time.Unix(1000, 0)
-	return Report{Task: api.TaskID{Job: "job"}, Use: api.Resources{MilliCPU: cpu, MemoryMB: memory, Accelerators: 1},
-		Started: start, Measured: start.Add(ran)}
+	return Report{Task: api.TaskID{Job: "job"}, Usage: api.Resources{MilliCPU: cpu, MemoryMB: memory, Accelerators: 1},
+		StartedAt: start, MeasuredAt: start.Add(ran)}
 }
 
 func TestEstimate(t *testing.T) {
@@ -31,7 +31,7 @@
 			So(e.TaskEstimate(spec, api.Resources{MemoryMB: 20000}).MemoryMB, ShouldEqual, 20000)
 		})
 		Convey("goes down only on enough reports, not under the floor, and keeps the largest memory", func() {
-			for range DefaultFewestReports - 1 {
+			for range DefaultMinReports - 1 {
 				e.Observe(spec, report(100, 5000, 0))
 			}
 			So(e.Estimate(spec).Resources, ShouldResemble, spec.Resources)
@@ -45,7 +45,7 @@
 		})
 		Convey("learns run times from those that ended", func() {
 			for range 20 {
-				e.Finished(spec, api.TaskID{}, 3*time.Minute)
+				e.RecordRun(spec, api.TaskID{}, 3*time.Minute)
 			}
 			So(e.Estimate(spec).RunTime, ShouldBeBetweenOrEqual, 3*time.Minute, 200*time.Second)
 		})
@@ -60,26 +60,26 @@
 		})
 	})
 	Convey("Findings name every bad field", t, func() {
-		err := Config{Floor: 2, Quantile: -1}.Validate()
+		err := Config{MinShare: 2, Quantile: -1}.Validate()
 		So(err.Error(), ShouldContainSubstring, "floor")
 		So(err.Error(), ShouldContainSubstring, "quantile")
 	})
 }
 
 func TestJudge(t *testing.T) {
-	step := DefaultGrace + time.Second
+	step := DefaultGracePeriod + time.Second
 	Convey("Too much processor use is throttled, then checkpointed, then stopped", t, func() {
 		e := New(Config{})
 		So(e.Observe(spec, report(4500, 100, 0)).Action, ShouldEqual, ActionNone)
 		So(e.Observe(spec, report(8000, 100, step)).Action, ShouldEqual, ActionThrottle)
 
 		Convey("but not on reports that lag behind the action", func() {
-			So(e.Observe(spec, report(8000, 100, step+DefaultGrace)).Action, ShouldEqual, ActionNone)
+			So(e.Observe(spec, report(8000, 100, step+DefaultGracePeriod)).Action, ShouldEqual, ActionNone)
 			So(e.Observe(spec, report(8000, 100, 0)).Action, ShouldEqual, ActionNone)
 		})
 		Convey("with a report that still shows it", func() {
 			So(e.Observe(spec, report(8000, 100, 2*step)).Action, ShouldEqual, ActionCheckpoint)
-			So(e.Observe(spec, report(8000, 100, 3*step)), ShouldResemble, Verdict{Action: ActionStop,
+			So(e.Observe(spec, report(8000, 100, 3*step)), ShouldResemble, Decision{Action: ActionStop,
 				Reason: api.ReasonOveruse, Detail: "uses 8000 thousandths of a processor, declared 4000"})
 		})
 		Convey("and forgiven when it ends", func() {
--- a/internal/estimate/judge.go
+++ b/internal/estimate/judge.go
@@ -29,8 +29,8 @@
 	return actionNames[a]
 }
 
-// Verdict is an action with its reason.
-type Verdict struct {
+// Decision is an action with its reason.
+type Decision struct {
 	Action Action
 	Reason api.Reason // ReasonOveruse or ReasonOverrun; empty with ActionNone
 	Detail string
@@ -46,15 +46,15 @@
 // judge returns the next action against a task: the mildest that can help,
 // then a sterner one with each report, measured more than the grace after
 // the last action, that still shows the offence.
-func (e *Estimator) judge(spec api.JobSpec, r Report) Verdict {
+func (e *Estimator) judge(spec api.JobSpec, r Report) Decision {
 	first, reason, detail := e.offenceOf(spec, r)
 	if reason == "" {
 		delete(e.offences, r.Task)
-		return Verdict{}
+		return Decision{}
 	}
 	last, known := e.offences[r.Task]
-	if known && last.reason == reason && r.Measured.Sub(last.acted) <= e.cfg.Grace {
-		return Verdict{}
+	if known && last.reason == reason && r.MeasuredAt.Sub(last.acted) <= e.cfg.GracePeriod {
+		return Decision{}
 	}
 	action := first
 	if known && last.reason == reason {
@@ -64,8 +64,8 @@
 	if action == ActionCheckpoint && !spec.Checkpointable {
 		action = ActionStop
 	}
-	e.offences[r.Task] = offence{action: action, reason: reason, acted: r.Measured}
-	return Verdict{Action: action, Reason: reason, Detail: detail}
+	e.offences[r.Task] = offence{action: action, reason: reason, acted: r.MeasuredAt}
+	return Decision{Action: action, Reason: reason, Detail: detail}
 }
 
 // offenceOf returns the offence a report shows, if any, and the mildest
@@ -73,15 +73,15 @@
 // nor time.
 func (e *Estimator) offenceOf(spec api.JobSpec, r Report) (Action, api.Reason, string) {
 	limit := e.cfg.Policy.OveruseFactor
-	if over(r.Use.MemoryMB, spec.Resources.MemoryMB, limit) {
+	if over(r.Usage.MemoryMB, spec.Resources.MemoryMB, limit) {
 		return ActionCheckpoint, api.ReasonOveruse, fmt.Sprintf(
-			"uses %d MB, declared %d", r.Use.MemoryMB, spec.Resources.MemoryMB)
+			"uses %d MB, declared %d", r.Usage.MemoryMB, spec.Resources.MemoryMB)
 	}
-	if over(r.Use.MilliCPU, spec.Resources.MilliCPU, limit) {
+	if over(r.Usage.MilliCPU, spec.Resources.MilliCPU, limit) {
 		return ActionThrottle, api.ReasonOveruse, fmt.Sprintf(
-			"uses %d thousandths of a processor, declared %d", r.Use.MilliCPU, spec.Resources.MilliCPU)
+			"uses %d thousandths of a processor, declared %d", r.Usage.MilliCPU, spec.Resources.MilliCPU)
 	}
-	ran := r.Measured.Sub(r.Started)
+	ran := r.MeasuredAt.Sub(r.StartedAt)
 	expected := max(spec.RunTime, e.Estimate(spec).RunTime)
 	if over(int64(ran), int64(expected), e.cfg.Policy.OverrunFactor) {
 		return ActionCheckpoint, api.ReasonOverrun, fmt.Sprintf("runs for %v, expected %v", ran, expected)
--- a/internal/jobapi/api.go
+++ b/internal/jobapi/api.go
@@ -32,7 +32,7 @@
 // API answers clients' requests.
 type API struct {
 	Forms   Forms
-	Table   func() *queue.Table // nil before the first configuration
+	Table   func() *queue.Configuration // nil before the first configuration
 	Replica *replica.Replica
 	Sync    func(ctx context.Context) error // reads what the store holds by now
 	Store   Store
@@ -76,7 +76,7 @@
 // request is what the stages learn of a client's request.
 type request struct {
 	*http.Request
-	table *queue.Table
+	table *queue.Configuration
 	queue *queue.Queue
 	rest  string // of the path behind the queue's prefix
 }
@@ -117,11 +117,11 @@
 
 // locate finds the queue.
 func (a *API) locate(r *request) *reply {
-	r.queue = r.table.Find(r.Host, r.URL.Path)
+	r.queue = r.table.Match(r.Host, r.URL.Path)
 	if r.queue == nil {
 		return a.refuse(http.StatusNotFound, "no such queue", 0)
 	}
-	r.rest = r.URL.Path[len(r.queue.Prefix):]
+	r.rest = r.URL.Path[len(r.queue.PathPrefix):]
 	return nil
 }
 
--- a/internal/jobapi/jobs.go
+++ b/internal/jobapi/jobs.go
@@ -52,12 +52,12 @@
 // retryAfter returns when the client should come back with a job that the store
 // didn't take.
 func retryAfter(r *request, j *work.Job) time.Duration {
-	return min(max(busyRetryAfter, time.Duration(retryShare*float64(r.queue.Objective(j.Chain())))), retryMost)
+	return min(max(busyRetryAfter, time.Duration(retryShare*float64(r.queue.LatencyObjective(j.Chain())))), retryMost)
 }
 
 // patience returns how long the store is waited for with a job.
 func patience(r *request, j *work.Job) time.Duration {
-	wait := time.Duration(objectivePatience * float64(r.queue.Objective(j.Chain())))
+	wait := time.Duration(objectivePatience * float64(r.queue.LatencyObjective(j.Chain())))
 	if deadline, ok := r.Context().Deadline(); ok {
 		wait = min(wait, time.Duration(storePatience*float64(time.Until(deadline))))
 	}
@@ -80,7 +80,7 @@
 
 // read reads a request's body within the limits in force.
 func (a *API) read(r *request) ([]byte, *reply) {
-	limit := r.table.Limits.BodyBytes
+	limit := r.table.Limits.MaxBodyBytes
 	if r.ContentLength > limit {
 		return nil, a.refuse(http.StatusRequestEntityTooLarge, "body is larger than "+strconv.FormatInt(limit, 10)+" bytes", 0)
 	}
--- a/internal/jobapi/leaving_test.go
+++ b/internal/jobapi/leaving_test.go
@@ -16,7 +16,7 @@
 	for _, leaving := range []bool{false, true} {
 		api := &API{
 			Forms:   Forms{Remaining: platform.Remaining, EncodeError: platform.EncodeError},
-			Table:   func() *queue.Table { return nil },
+			Table:   func() *queue.Configuration { return nil },
 			Leaving: func() bool { return leaving },
 			Events:  logging.Silent(),
 		}
--- a/internal/jobapi/pending_test.go
+++ b/internal/jobapi/pending_test.go
@@ -41,8 +41,8 @@
 						EncodePending: platform.EncodePending,
 						EncodeError:   platform.EncodeError,
 					},
-					Table: func() *queue.Table {
-						return &queue.Table{Queues: []queue.Queue{{Name: "q", Host: "h", Prefix: "/q/"}}}
+					Table: func() *queue.Configuration {
+						return &queue.Configuration{Queues: []queue.Queue{{Name: "q", Host: "h", PathPrefix: "/q/"}}}
 					},
 					Replica: r,
 					Leaving: func() bool { return false },
--- a/internal/jobapi/retry_test.go
+++ b/internal/jobapi/retry_test.go
@@ -45,10 +45,10 @@
 					return &work.Job{Steps: []work.Step{{Tasks: 1, Estimate: c.work}}}, nil
 				},
 			},
-			Table: func() *queue.Table {
-				return &queue.Table{
-					Queues: []queue.Queue{{Name: "q", Host: "h", Prefix: "/q/", Stretch: 1.5, TargetLatency: 250 * time.Millisecond}},
-					Limits: queue.Limits{BodyBytes: 1 << 10},
+			Table: func() *queue.Configuration {
+				return &queue.Configuration{
+					Queues: []queue.Queue{{Name: "q", Host: "h", PathPrefix: "/q/", Stretch: 1.5, TargetLatency: 250 * time.Millisecond}},
+					Limits: queue.Limits{MaxBodyBytes: 1 << 10},
 				}
 			},
 			Replica: replica.New(time.Minute, logging.Silent()),
@@ -79,10 +79,10 @@
 				return &work.Job{Steps: []work.Step{{Tasks: 1, Estimate: time.Second}}}, nil
 			},
 		},
-		Table: func() *queue.Table {
-			return &queue.Table{
-				Queues: []queue.Queue{{Name: "q", Host: "h", Prefix: "/q/", Stretch: 1.5}},
-				Limits: queue.Limits{BodyBytes: 1 << 10},
+		Table: func() *queue.Configuration {
+			return &queue.Configuration{
+				Queues: []queue.Queue{{Name: "q", Host: "h", PathPrefix: "/q/", Stretch: 1.5}},
+				Limits: queue.Limits{MaxBodyBytes: 1 << 10},
 			}
 		},
 		Replica: replica.New(time.Minute, logging.Silent()),
--- a/internal/node/leading.go
+++ b/internal/node/leading.go
@@ -97,7 +97,7 @@
 	if !n.replica.Synced() || !n.replica.Whole() || n.replica.Behind(time.Now()) > farBehind {
 		return leader.Unread
 	}
-	if n.watch.Table() == nil { // nothing is known of the queues: how often to try, where, how late
+	if n.watch.Configuration() == nil { // nothing is known of the queues: how often to try, where, how late
 		return leader.Unread
 	}
 	return leader.Compare(n.settings.Processors, n.helpers.Fittest(time.Now()))
@@ -105,7 +105,7 @@
 
 // fitness returns the processors with which this machine could lead now.
 func (n *Node) fitness() float64 {
-	if n.draining.Load() || n.store.Down() || !n.replica.Synced() || n.watch.Table() == nil {
+	if n.draining.Load() || n.store.Down() || !n.replica.Synced() || n.watch.Configuration() == nil {
 		return 0
 	}
 	if n.settings.Processors == 0 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -46,7 +46,7 @@
 	log       *logrus.Entry
 	traffic   *traffic.Account
 	store     *storehealth.Log
-	watch     *queue.Watch
+	watch     *queue.Watcher
 	replica   *replica.Replica
 	reader    *replica.Reader
 	intake    *intake.Intake
@@ -84,12 +84,12 @@
 		n.adviser = platform.NewAdvice(s.Advice, account)
 	}
 	jobs := product.Partition{Topic: topicJobs, Number: cellNumber, Keyed: true}
-	n.watch = &queue.Watch{
+	n.watch = &queue.Watcher{
 		Log:       n.store,
 		Partition: platform.OperatorRecords,
 		Key:       platform.ConfigurationKey,
 		Decode:    platform.DecodeConfiguration,
-		Events:    log,
+		Logger:    log,
 	}
 	n.replica = replica.New(2*s.StateKept, log)
 	n.reader = &replica.Reader{
@@ -146,11 +146,11 @@
 }
 
 // table returns the configuration in force, or an empty one before the first.
-func (n *Node) table() *queue.Table {
-	if t := n.watch.Table(); t != nil {
+func (n *Node) table() *queue.Configuration {
+	if t := n.watch.Configuration(); t != nil {
 		return t
 	}
-	return &queue.Table{}
+	return &queue.Configuration{}
 }
 
 func (n *Node) planConfig() plan.Config {
@@ -176,7 +176,7 @@
 			EncodePending: platform.EncodePending,
 			EncodeError:   platform.EncodeError,
 		},
-		Table:   n.watch.Table,
+		Table:   n.watch.Configuration,
 		Replica: n.replica,
 		Sync:    n.sync,
 		Store:   n.intake,
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -131,7 +131,7 @@
 
 func (n *Node) ready() bool {
 	return !n.draining.Load() &&
-		n.watch.Table() != nil &&
+		n.watch.Configuration() != nil &&
 		n.replica.Synced() &&
 		n.replica.Age(time.Now()) < storeSilence &&
 		!n.cutOff()
--- a/internal/node/standing_test.go
+++ b/internal/node/standing_test.go
@@ -58,7 +58,7 @@
 		n := &Node{
 			settings: &platform.Settings{Processors: 0.8},
 			replica:  replica.New(time.Minute, logging.Silent()),
-			watch:    &queue.Watch{},
+			watch:    &queue.Watcher{},
 			helpers:  assist.NewHelpers("a", nil, nil),
 		}
 		r := &replica.Reader{Replica: n.replica, Log: emptyLog{}, Timing: replica.DefaultTiming()}
--- a/internal/plan/admit_test.go
+++ b/internal/plan/admit_test.go
@@ -18,7 +18,7 @@
 		So(w.cycle(), ShouldHaveLength, 1)
 		w.job(2, testQueue, work.Step{Tasks: 10, Need: cpus(32), Estimate: time.Second})
 		w.cycle()
-		q := w.cell.queueTable.Named(testQueue)
+		q := w.cell.queueTable.QueueNamed(testQueue)
 		backlog := w.cell.Backlog(w.now)
 		So(backlog.ProcessingTime(), ShouldEqual, 10*time.Second)
 
@@ -33,9 +33,9 @@
 	Convey("A job may wait until its end would be three times too late, at most 8 s", t, func() {
 		table := testTable()
 		short := &work.Job{Steps: []work.Step{{Tasks: 1, Estimate: 500 * time.Millisecond}}}
-		So(MaxUsefulWait(short, table.Named(testQueue)), ShouldEqual, 5500*time.Millisecond)
+		So(MaxUsefulWait(short, table.QueueNamed(testQueue)), ShouldEqual, 5500*time.Millisecond)
 		long := &work.Job{Steps: []work.Step{{Tasks: 1, Estimate: 10 * time.Second}}}
-		So(MaxUsefulWait(long, table.Named(testQueue)), ShouldEqual, admission.LongestWait)
+		So(MaxUsefulWait(long, table.QueueNamed(testQueue)), ShouldEqual, admission.BacklogThreshold)
 	})
 	Convey("A job that could not be made durable leaves nothing behind", t, func() {
 		w := newWorld(t, 1)
--- a/internal/plan/advice.go
+++ b/internal/plan/advice.go
@@ -107,9 +107,9 @@
 // AdviceDispatcher assigns advice calls to the machines that make them.
 type AdviceDispatcher interface {
 	// Free reports whether such a call could be made now.
-	Free(call queue.Call) bool
+	Free(call queue.CallTime) bool
 	// Take assigns a call to a machine, or returns false if no machine can make it now.
-	Take(call queue.Call) bool
+	Take(call queue.CallTime) bool
 }
 
 // AdviceCalls returns the advice calls that are due and that the dispatcher accepts, in the
@@ -125,7 +125,7 @@
 		if q == nil || q.Advice == nil || s.advice.hasNewAnswer || s.advice.callsInFlight > 0 || now.Before(s.advice.retryAfter) || now.Before(s.advice.nextCheck) || !s.ready {
 			continue
 		}
-		if !dispatcher.Free(q.Advice.Call(c.expectedCallSize(s))) {
+		if !dispatcher.Free(q.Advice.CallTime(c.expectedCallSize(s))) {
 			continue
 		}
 		named := c.callCandidates(s, q, fleet, now)
@@ -146,13 +146,13 @@
 	var assigned []candidate
 	count := (len(named) + c.cfg.MaxExecutorsPerCall - 1) / c.cfg.MaxExecutorsPerCall
 	for chunk := range slices.Chunk(named, (len(named)+count-1)/count) {
-		call := q.Advice.Call(len(chunk))
+		call := q.Advice.CallTime(len(chunk))
 		if !dispatcher.Take(call) {
 			break
 		}
-		c.countAdviceCall(s, chunk, call.Cost)
+		c.countAdviceCall(s, chunk, call.Total)
 		assigned = append(assigned, chunk...)
-		calls = append(calls, AdviceCall{Step: s.key(), Executors: executorIDs(chunk), Cost: call.Cost})
+		calls = append(calls, AdviceCall{Step: s.key(), Executors: executorIDs(chunk), Cost: call.Total})
 	}
 	if len(calls) > 0 {
 		c.addTentative(s, assigned, len(s.tasksToPlace()))
@@ -178,7 +178,7 @@
 	if c.isPreempting(s, now) {
 		return nil // it starts as soon as the preempted runs have stopped
 	}
-	answerBy := now.Add(q.Advice.Call(c.expectedCallSize(s)).Cost + renewAhead)
+	answerBy := now.Add(q.Advice.CallTime(c.expectedCallSize(s)).Total + renewAhead)
 	executors := fleet.candidatesFor(s, q, answerBy)
 	limit := c.cfg.MaxExecutorsPerCall
 	if s.spec.Gang && s.lateness == inTime {
--- a/internal/plan/advice_test.go
+++ b/internal/plan/advice_test.go
@@ -14,8 +14,8 @@
 // anybody takes every call.
 type anybody struct{}
 
-func (anybody) Free(queue.Call) bool { return true }
-func (anybody) Take(queue.Call) bool { return true }
+func (anybody) Free(queue.CallTime) bool { return true }
+func (anybody) Take(queue.CallTime) bool { return true }
 
 func grants(ids ...string) []platform.Grant {
 	var out []platform.Grant
--- a/internal/plan/backlog.go
+++ b/internal/plan/backlog.go
@@ -11,8 +11,8 @@
 // waitingStep is a step with tasks that wait for a start, as admission sees it.
 type waitingStep struct {
 	rank            rank
-	call            queue.Call // advice call that the step needs before it can start; zero if none
-	milliCPUSeconds float64    // work of the tasks to place, in thousandths of a processor times seconds
+	call            queue.CallTime // advice call that the step needs before it can start; zero if none
+	milliCPUSeconds float64        // work of the tasks to place, in thousandths of a processor times seconds
 }
 
 // Backlog is the work of a cell that waits for a start.
@@ -34,7 +34,7 @@
 			milliCPUSeconds: milliCPUSecondsOf(s.spec, tasks),
 		}
 		if q := c.queueOf(s.job); q != nil && q.Advice != nil && !s.advice.hasValidTicket(now) {
-			w.call = q.Advice.Call(c.expectedCallSize(s))
+			w.call = q.Advice.CallTime(c.expectedCallSize(s))
 		}
 		b.steps = append(b.steps, w)
 	}
@@ -55,10 +55,10 @@
 }
 
 // AdviceCalls returns the advice calls that the waiting steps still need.
-func (b Backlog) AdviceCalls() []queue.Call {
-	var calls []queue.Call
+func (b Backlog) AdviceCalls() []queue.CallTime {
+	var calls []queue.CallTime
 	for _, w := range b.steps {
-		if w.call.Cost > 0 {
+		if w.call.Total > 0 {
 			calls = append(calls, w.call)
 		}
 	}
@@ -142,18 +142,18 @@
 
 // FirstAdviceCall returns the size and cost expected of a first advice call for a job of
 // the queue, or the zero Call if the queue needs no advice.
-func (c *Cell) FirstAdviceCall(q *queue.Queue) queue.Call {
+func (c *Cell) FirstAdviceCall(q *queue.Queue) queue.CallTime {
 	if q == nil || q.Advice == nil {
-		return queue.Call{}
+		return queue.CallTime{}
 	}
-	return q.Advice.Call(min(c.registeredByService[q.Service], c.cfg.MaxExecutorsPerCall))
+	return q.Advice.CallTime(min(c.registeredByService[q.Service], c.cfg.MaxExecutorsPerCall))
 }
 
 // MaxUsefulWait returns how long a job may wait for its first start and still end in time
 // to be useful.
 func MaxUsefulWait(j *work.Job, q *queue.Queue) time.Duration {
 	if j.LongRunning() || j.Repetitions > 0 {
-		return admission.LongestWait
+		return admission.BacklogThreshold
 	}
-	return min(admission.LongestWait, overdueFactor*objectiveFor(j, q)-j.Chain())
+	return min(admission.BacklogThreshold, overdueFactor*objectiveFor(j, q)-j.Chain())
 }
--- a/internal/plan/bench_test.go
+++ b/internal/plan/bench_test.go
@@ -16,11 +16,11 @@
 
 // benchTable has a queue with the advice of one of the users' queues, and one whose runs
 // yield to its gangs.
-func benchTable() *queue.Table {
-	return &queue.Table{
-		Queues: []queue.Queue{{Name: testAdvised, Service: testService, Attempts: 2, Stretch: 2, TargetLatency: time.Second,
-			Advice: &queue.Advice{Decision: 182 * time.Millisecond, PerVM: 2600 * time.Microsecond, Valid: 2 * time.Second}},
-			{Name: testQueue, Service: testService, Priority: 1, Attempts: 2, Stretch: 40, TargetLatency: time.Second}},
+func benchTable() *queue.Configuration {
+	return &queue.Configuration{
+		Queues: []queue.Queue{{Name: testAdvised, Service: testService, MaxAttempts: 2, Stretch: 2, TargetLatency: time.Second,
+			Advice: &queue.Advice{DecisionTime: 182 * time.Millisecond, TimePerVM: 2600 * time.Microsecond, TicketValidity: 2 * time.Second}},
+			{Name: testQueue, Service: testService, Priority: 1, MaxAttempts: 2, Stretch: 40, TargetLatency: time.Second}},
 		Services: map[string]queue.Service{testService: {Name: testService}},
 	}
 }
@@ -82,8 +82,8 @@
 // nobody has time for a call when it comes to it, so that asking changes nothing.
 type nobody struct{}
 
-func (nobody) Free(queue.Call) bool { return true }
-func (nobody) Take(queue.Call) bool { return false }
+func (nobody) Free(queue.CallTime) bool { return true }
+func (nobody) Take(queue.CallTime) bool { return false }
 
 // One look at all steps that wait, whether a call for advice is due. With 540
 // executors and steps it took 52 ms when each step worked out anew what room is
--- a/internal/plan/candidates.go
+++ b/internal/plan/candidates.go
@@ -164,10 +164,10 @@
 
 // cheapCallSize returns how many executors a call may name at little cost.
 func cheapCallSize(a *queue.Advice) int {
-	if a.PerVM <= 0 {
+	if a.TimePerVM <= 0 {
 		return 1 << 20
 	}
-	return max(1, int(namingTimeShare*float64(a.Decision)/float64(a.PerVM)))
+	return max(1, int(namingTimeShare*float64(a.DecisionTime)/float64(a.TimePerVM)))
 }
 
 // totalSlots returns how many tasks should fit on the candidates.
--- a/internal/plan/cell.go
+++ b/internal/plan/cell.go
@@ -16,7 +16,7 @@
 	cfg                 Config
 	logger              *logrus.Entry
 	lookupJob           func(work.ID) *work.Job // returns any stored job, also one that has ended; nil if unknown
-	queueTable          *queue.Table
+	queueTable          *queue.Configuration
 	registeredByService map[string]int    // number of registered executors by service
 	ledSince            time.Time         // when this leader took over
 	vms                 map[string]*vm    // by ID
@@ -60,7 +60,7 @@
 		cfg:                cfg,
 		logger:             logger,
 		lookupJob:          lookupJob,
-		queueTable:         &queue.Table{},
+		queueTable:         &queue.Configuration{},
 		ledSince:           now,
 		vms:                make(map[string]*vm),
 		formerIncarnations: make(map[string]uint64),
@@ -73,15 +73,15 @@
 }
 
 // Configure replaces the configuration of queues and services.
-func (c *Cell) Configure(table *queue.Table) { c.queueTable = table }
+func (c *Cell) Configure(table *queue.Configuration) { c.queueTable = table }
 
 // queueOf returns the queue of a job as configured now, or nil if the queue was removed.
 func (c *Cell) queueOf(j *job) *queue.Queue {
 	if j.table != c.queueTable {
 		j.table = c.queueTable
-		j.queue = c.queueTable.Named(j.spec.Queue)
+		j.queue = c.queueTable.QueueNamed(j.spec.Queue)
 		if j.queue != nil {
-			j.maxAttempts = j.queue.Attempts
+			j.maxAttempts = j.queue.MaxAttempts
 		}
 		j.latencyObjective = objectiveFor(j.spec, j.queue)
 	}
--- a/internal/plan/deferral.go
+++ b/internal/plan/deferral.go
@@ -28,7 +28,7 @@
 	validity := c.cfg.MaxOrderDelay
 	if q := c.queueOf(alloc.task.step.job); q != nil && q.Advice != nil {
 		alloc.ticketBound = true
-		validity = q.Advice.Valid
+		validity = q.Advice.TicketValidity
 	}
 	alloc.orderExpiry = now.Add(c.cfg.FormerLeaderRenewal + validity)
 }
--- a/internal/plan/foreign_start_test.go
+++ b/internal/plan/foreign_start_test.go
@@ -28,9 +28,9 @@
 	Convey("A job of a queue that was removed runs only while its service is configured", t, func() {
 		w := newWorld(t, 1)
 		w.job(1, testQueue, oneTask(4))
-		w.cell.Configure(&queue.Table{})
+		w.cell.Configure(&queue.Configuration{})
 		So(w.cycle(), ShouldBeEmpty)
-		w.cell.Configure(&queue.Table{Services: map[string]queue.Service{testService: {Name: testService}}})
+		w.cell.Configure(&queue.Configuration{Services: map[string]queue.Service{testService: {Name: testService}}})
 		So(w.cycle(), ShouldHaveLength, 1)
 	})
 }
--- a/internal/plan/foreign_test.go
+++ b/internal/plan/foreign_test.go
@@ -61,7 +61,7 @@
 		})
 		Convey("it doesn't count among those that a call for advice names", func() {
 			table := testTable()
-			So(w.cell.FirstAdviceCall(table.Named(testAdvised)), ShouldResemble, table.Named(testAdvised).Advice.Call(1))
+			So(w.cell.FirstAdviceCall(table.QueueNamed(testAdvised)), ShouldResemble, table.QueueNamed(testAdvised).Advice.CallTime(1))
 		})
 		Convey("it is called once a configuration names its service", func() {
 			table := testTable()
@@ -72,7 +72,7 @@
 		})
 		Convey("or a queue of one", func() {
 			table := testTable()
-			table.Queues = append(table.Queues, queue.Queue{Name: "q2", Service: foreignService, Attempts: 1})
+			table.Queues = append(table.Queues, queue.Queue{Name: "q2", Service: foreignService, MaxAttempts: 1})
 			w.cell.Configure(table)
 			So(w.called(), ShouldResemble, []string{"e0", "f"})
 		})
@@ -84,7 +84,7 @@
 			So(w.cycle(), ShouldHaveLength, 2)
 		})
 		Convey("without a configuration nothing is called", func() {
-			w.cell.Configure(&queue.Table{})
+			w.cell.Configure(&queue.Configuration{})
 			So(w.called(), ShouldBeEmpty)
 		})
 	})
--- a/internal/plan/harness_test.go
+++ b/internal/plan/harness_test.go
@@ -51,12 +51,12 @@
 	return w
 }
 
-func testTable() *queue.Table {
-	return &queue.Table{
+func testTable() *queue.Configuration {
+	return &queue.Configuration{
 		Queues: []queue.Queue{
-			{Name: testQueue, Service: testService, Attempts: testAttempts, Stretch: 2, TargetLatency: time.Second},
-			{Name: testAdvised, Service: testService, Attempts: testAttempts, Stretch: 2, TargetLatency: time.Second,
-				Advice: &queue.Advice{Decision: 10 * time.Millisecond, PerVM: time.Millisecond, Valid: 2 * time.Second}},
+			{Name: testQueue, Service: testService, MaxAttempts: testAttempts, Stretch: 2, TargetLatency: time.Second},
+			{Name: testAdvised, Service: testService, MaxAttempts: testAttempts, Stretch: 2, TargetLatency: time.Second,
+				Advice: &queue.Advice{DecisionTime: 10 * time.Millisecond, TimePerVM: time.Millisecond, TicketValidity: 2 * time.Second}},
 		},
 		Services: map[string]queue.Service{testService: {Name: testService}},
 	}
--- a/internal/plan/job.go
+++ b/internal/plan/job.go
@@ -10,10 +10,10 @@
 
 // job is the leader's state of one job that has not ended.
 type job struct {
-	queue             *queue.Queue  // as configured in table; nil if the queue was removed
-	table             *queue.Table  // the table that queue was looked up in
-	maxAttempts       int           // attempts for each task, as last configured; 0 if never known here
-	latencyObjective  time.Duration // latency objective of an occurrence, according to queue
+	queue             *queue.Queue         // as configured in table; nil if the queue was removed
+	table             *queue.Configuration // the table that queue was looked up in
+	maxAttempts       int                  // attempts for each task, as last configured; 0 if never known here
+	latencyObjective  time.Duration        // latency objective of an occurrence, according to queue
 	spec              *work.Job
 	arrivedAt         time.Time
 	state             work.State
@@ -137,7 +137,7 @@
 	if q == nil {
 		return j.Chain()
 	}
-	return q.Objective(j.Chain())
+	return q.LatencyObjective(j.Chain())
 }
 
 // latencyStart returns the time from which the occurrence's latency counts.
--- a/internal/plan/removed_test.go
+++ b/internal/plan/removed_test.go
@@ -14,13 +14,13 @@
 func TestAttemptsOfARemovedQueue(t *testing.T) {
 	Convey("A job whose queue is removed keeps its number of attempts", t, func() {
 		w := newWorld(t, 1)
-		q := w.cell.queueTable.Named(testQueue)
-		So(q.Attempts, ShouldBeGreaterThan, 1)
+		q := w.cell.queueTable.QueueNamed(testQueue)
+		So(q.MaxAttempts, ShouldBeGreaterThan, 1)
 		j := w.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(1), Estimate: time.Second})
 		orders := w.cycle()
 		So(orders, ShouldHaveLength, 1)
 		w.startAll(orders)
-		w.cell.Configure(&queue.Table{Services: map[string]queue.Service{testService: {Name: testService}}})
+		w.cell.Configure(&queue.Configuration{Services: map[string]queue.Service{testService: {Name: testService}}})
 		w.report("e0", nil, ended(1, orders[0].Start.Run, platform.EndFailed))
 		w.save()
 		So(w.saved[j.ID].State, ShouldNotEqual, work.Failed)
--- a/internal/plan/yield_test.go
+++ b/internal/plan/yield_test.go
@@ -20,11 +20,11 @@
 // newCrowd returns a world whose queues differ in urgency.
 func newCrowd(t *testing.T, executors int) *world {
 	w := newWorld(t, executors)
-	w.cell.Configure(&queue.Table{
+	w.cell.Configure(&queue.Configuration{
 		Queues: []queue.Queue{
-			{Name: checksQueue, Service: testService, Priority: 0, Attempts: 2, Stretch: 1.5, TargetLatency: 250 * time.Millisecond},
-			{Name: gangsQueue, Service: testService, Priority: 1, Attempts: 2, Stretch: 1.5, TargetLatency: time.Second},
-			{Name: rostersQueue, Service: testService, Priority: 2, Attempts: 2, Stretch: 4, TargetLatency: 3 * time.Second},
+			{Name: checksQueue, Service: testService, Priority: 0, MaxAttempts: 2, Stretch: 1.5, TargetLatency: 250 * time.Millisecond},
+			{Name: gangsQueue, Service: testService, Priority: 1, MaxAttempts: 2, Stretch: 1.5, TargetLatency: time.Second},
+			{Name: rostersQueue, Service: testService, Priority: 2, MaxAttempts: 2, Stretch: 4, TargetLatency: 3 * time.Second},
 		},
 		Services: map[string]queue.Service{testService: {Name: testService}},
 	})
--- a/internal/quarantine/blame.go
+++ b/internal/quarantine/blame.go
@@ -18,7 +18,7 @@
 		return
 	}
 	t.order = append(t.order, task)
-	for len(t.order) > t.cfg.MaxRemembered {
+	for len(t.order) > t.cfg.MaxTrackedTasks {
 		delete(t.failures, t.order[0])
 		t.order = t.order[1:]
 	}
@@ -26,17 +26,17 @@
 
 // blame returns the verdict on a task once it has failed on enough healthy
 // VMs, and then takes its failures off those VMs' records.
-func (t *Tracker) blame(task api.TaskID) (Blame, bool) {
+func (t *Tracker) blame(task api.TaskID) (FailingTask, bool) {
 	healthy := t.healthyAmong(t.failures[task])
-	if len(healthy) < t.cfg.DistinctVMs {
-		return Blame{}, false
+	if len(healthy) < t.cfg.MinDistinctVMs {
+		return FailingTask{}, false
 	}
 	for _, vm := range healthy {
 		t.vms[vm].rate.forgive()
 		t.fleet.forgive()
 	}
 	delete(t.failures, task)
-	return Blame{
+	return FailingTask{
 		Task:   task,
 		Reason: api.ReasonFailsAnywhere,
 		Detail: fmt.Sprintf("failed on %d VMs that are healthy: %v", len(healthy), healthy),
@@ -60,5 +60,5 @@
 // doubtful reports whether several jobs failed on v and little ended well
 // there, so that a failure says little about the task.
 func (t *Tracker) doubtful(v *vmRecord) bool {
-	return len(v.jobs) >= t.cfg.FewestJobs && v.rate.of() >= t.cfg.LeastRate
+	return len(v.jobs) >= t.cfg.MinFailedJobs && v.rate.of() >= t.cfg.MinFailureRate
 }
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -30,8 +30,8 @@
 	Detail      string // for operators
 }
 
-// Blame is a task that is to be stopped because it fails everywhere.
-type Blame struct {
+// FailingTask is a task that is to be stopped because it fails everywhere.
+type FailingTask struct {
 	Task   api.TaskID
 	Reason api.Reason // ReasonFailsAnywhere
 	Detail string
@@ -73,16 +73,16 @@
 	t.cfg = cfg.WithDefaults()
 }
 
-// Succeeded records a task that ended well on a VM. On a quarantined VM it
+// RecordSuccess records a task that ended well on a VM. On a quarantined VM it
 // counts as a probe.
-func (t *Tracker) Succeeded(vm api.VMID, task api.TaskID, now time.Time) {
+func (t *Tracker) RecordSuccess(vm api.VMID, task api.TaskID, now time.Time) {
 	delete(t.failures, task)
 	v := t.record(vm, false, now)
 	if !v.quarantined {
 		return
 	}
 	v.probesWell++
-	if v.probesWell < t.cfg.Probes {
+	if v.probesWell < t.cfg.RequiredProbes {
 		return
 	}
 	t.quarantined--
@@ -90,10 +90,10 @@
 	t.released = append(t.released, Change{VM: vm, Detail: fmt.Sprintf("%d probes ended well", v.probesWell)})
 }
 
-// Failed records a task that failed on a VM by itself, not by a stop or the
+// RecordFailure records a task that failed on a VM by itself, not by a stop or the
 // loss of the VM. It returns the blame when the task has now failed on
 // enough healthy VMs.
-func (t *Tracker) Failed(vm api.VMID, task api.TaskID, now time.Time) (Blame, bool) {
+func (t *Tracker) RecordFailure(vm api.VMID, task api.TaskID, now time.Time) (FailingTask, bool) {
 	v := t.record(vm, true, now)
 	v.probesWell = 0
 	v.remember(task.Job)
@@ -102,8 +102,8 @@
 	return t.blame(task)
 }
 
-// Forget drops what is remembered of a task that ended for good.
-func (t *Tracker) Forget(task api.TaskID) {
+// ForgetTask drops what is remembered of a task that ended for good.
+func (t *Tracker) ForgetTask(task api.TaskID) {
 	delete(t.failures, task)
 }
 
@@ -182,8 +182,8 @@
 func (t *Tracker) standsOut(v *vmRecord, now time.Time) bool {
 	v.rate.fade(now, t.cfg.HalfLife)
 	return v.rate.failed > float64(t.cfg.Policy.QuarantineFailures)-1 &&
-		len(v.jobs) >= t.cfg.FewestJobs &&
-		v.rate.of() >= t.cfg.LeastRate &&
+		len(v.jobs) >= t.cfg.MinFailedJobs &&
+		v.rate.of() >= t.cfg.MinFailureRate &&
 		v.rate.of() >= t.cfg.RateFactor*t.elsewhere(v)
 }
 
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -24,9 +24,9 @@
 		for n := range fleetSize {
 			id := task(r*fleetSize + n)
 			if n < bad {
-				t.Failed(vm(n), id, now)
+				t.RecordFailure(vm(n), id, now)
 			} else {
-				t.Succeeded(vm(n), id, now)
+				t.RecordSuccess(vm(n), id, now)
 			}
 		}
 	}
@@ -35,16 +35,16 @@
 func TestWorkersThatFailEverything(t *testing.T) {
 	Convey("A VM that fails everything is quarantined, probed and released", t, func() {
 		tr := New(Config{})
-		run(tr, DefaultFailures-1, 1)
+		run(tr, DefaultQuarantineFailures-1, 1)
 		So(tr.Decide(fleetSize, now), ShouldBeEmpty)
 		run(tr, 1, 1)
 		So(tr.Decide(fleetSize, now), ShouldResemble, []Change{{VM: vm(0), Quarantined: true,
 			Detail: "100% of the last tasks failed there, 0% elsewhere"}})
-		tr.Succeeded(vm(0), task(1), now)
-		tr.Failed(vm(0), task(2), now)
-		tr.Succeeded(vm(0), task(3), now)
+		tr.RecordSuccess(vm(0), task(1), now)
+		tr.RecordFailure(vm(0), task(2), now)
+		tr.RecordSuccess(vm(0), task(3), now)
 		So(tr.Decide(fleetSize, now), ShouldBeEmpty)
-		tr.Succeeded(vm(0), task(4), now)
+		tr.RecordSuccess(vm(0), task(4), now)
 		So(tr.Decide(fleetSize, now), ShouldResemble, []Change{{VM: vm(0), Detail: "2 probes ended well"}})
 		So(tr.Quarantined(vm(0)), ShouldBeFalse)
 	})
@@ -65,7 +65,7 @@
 	})
 	Convey("Old failures fade", t, func() {
 		tr := New(Config{})
-		run(tr, DefaultFailures, 1)
+		run(tr, DefaultQuarantineFailures, 1)
 		So(tr.Decide(fleetSize, now.Add(DefaultHalfLife)), ShouldBeEmpty)
 	})
 }
@@ -76,10 +76,10 @@
 		run(tr, 10, 1)
 		tr.Decide(fleetSize, now)
 		for n := range 3 { // vm-0 is quarantined and says nothing
-			_, blamed := tr.Failed(vm(n), task(9999), now)
+			_, blamed := tr.RecordFailure(vm(n), task(9999), now)
 			So(blamed, ShouldBeFalse)
 		}
-		b, blamed := tr.Failed(vm(3), task(9999), now)
+		b, blamed := tr.RecordFailure(vm(3), task(9999), now)
 		So(blamed, ShouldBeTrue)
 		So(b.Reason, ShouldEqual, api.ReasonFailsAnywhere)
 		So(tr.vms[vm(1)].rate.failed, ShouldEqual, 0)
@@ -88,7 +88,7 @@
 		tr := New(Config{})
 		blamed := 0
 		for n := range 200 {
-			if _, ok := tr.Failed(vm(n%fleetSize), api.TaskID{Job: "bad", Index: uint32(n / 3)}, now); ok {
+			if _, ok := tr.RecordFailure(vm(n%fleetSize), api.TaskID{Job: "bad", Index: uint32(n / 3)}, now); ok {
 				blamed++
 			}
 		}
@@ -96,13 +96,13 @@
 		So(tr.Decide(fleetSize, now), ShouldBeEmpty)
 	})
 	Convey("What is remembered is bounded", t, func() {
-		tr := New(Config{MaxRemembered: 10})
+		tr := New(Config{MaxTrackedTasks: 10})
 		run(tr, 5, fleetSize)
 		So(len(tr.failures), ShouldBeLessThanOrEqualTo, 10)
 		So(len(tr.order), ShouldBeLessThanOrEqualTo, 10)
 	})
 	Convey("Findings name every bad field", t, func() {
-		err := Config{LeastRate: 2, RateFactor: 0.5}.Validate()
+		err := Config{MinFailureRate: 2, RateFactor: 0.5}.Validate()
 		So(err.Error(), ShouldContainSubstring, "least_rate")
 		So(err.Error(), ShouldContainSubstring, "rate_factor")
 	})
--- a/internal/queue/watch.go
+++ b/internal/queue/watch.go
@@ -20,37 +20,37 @@
 	watchRetry   = 100 * time.Millisecond
 )
 
-// Watch follows the operator's configuration in the store. The version in
+// Watcher follows the operator's configuration in the store. The version in
 // force never goes back, whatever the store returns.
-type Watch struct {
+type Watcher struct {
 	Log       platform.PartitionLog
 	Partition platform.Partition
 	Key       string // of the configuration's record
-	Decode    func([]byte) (*Table, error)
-	Events    *logrus.Entry
+	Decode    func([]byte) (*Configuration, error)
+	Logger    *logrus.Entry
 
-	table  atomic.Pointer[Table]
+	table  atomic.Pointer[Configuration]
 	next   platform.Offset
 	read   bool // the newest record was read once
 	faults platform.UnreadableLog
 }
 
-// Table returns the configuration in force; nil before the first.
-func (w *Watch) Table() *Table { return w.table.Load() }
+// Configuration returns the configuration in force; nil before the first.
+func (w *Watcher) Configuration() *Configuration { return w.table.Load() }
 
 // Run follows the configuration until ctx ends.
-func (w *Watch) Run(ctx context.Context) error {
-	w.faults.Events = w.Events.WithField("topic", w.Partition.Topic)
+func (w *Watcher) Run(ctx context.Context) error {
+	w.faults.Events = w.Logger.WithField("topic", w.Partition.Topic)
 	for ctx.Err() == nil {
 		if err := w.step(ctx); err != nil {
-			w.Events.WithError(err).Debug("configuration not read")
+			w.Logger.WithError(err).Debug("configuration not read")
 			pause.For(ctx, watchRetry)
 		}
 	}
 	return nil
 }
 
-func (w *Watch) step(ctx context.Context) error {
+func (w *Watcher) step(ctx context.Context) error {
 	if !w.read {
 		return w.newest(ctx)
 	}
@@ -73,13 +73,13 @@
 }
 
 // newest reads the newest configuration and where to go on.
-func (w *Watch) newest(ctx context.Context) error {
+func (w *Watcher) newest(ctx context.Context) error {
 	next, err := platform.ReadNewest(ctx, w.Log, w.Partition, platform.PageTimeout{Least: watchTimeout}, func(records []platform.Record) {
 		for _, r := range records {
 			w.apply(r)
 		}
 	}, func(err error) {
-		w.Events.WithError(err).Debug("page of the newest records not read; it is asked for again")
+		w.Logger.WithError(err).Debug("page of the newest records not read; it is asked for again")
 	})
 	if err != nil {
 		return err
@@ -91,7 +91,7 @@
 
 // apply takes in one of the operator's records. One that can't be read leaves
 // the configuration in force as it is.
-func (w *Watch) apply(r platform.Record) {
+func (w *Watcher) apply(r platform.Record) {
 	if r.Err != nil {
 		w.faults.Unreadable(r, r.Err)
 		return
@@ -109,5 +109,5 @@
 		return
 	}
 	w.table.Store(t)
-	w.Events.WithFields(logrus.Fields{"version": t.Version, "queues": len(t.Queues)}).Info("configuration in force")
+	w.Logger.WithFields(logrus.Fields{"version": t.Version, "queues": len(t.Queues)}).Info("configuration in force")
 }
--- a/internal/queue/watch_test.go
+++ b/internal/queue/watch_test.go
@@ -52,7 +52,7 @@
 
 // watched returns the configuration in force after everything was read, and
 // what was logged.
-func watched(t *testing.T, l *operatorLog) (table *queue.Table, logged string) {
+func watched(t *testing.T, l *operatorLog) (table *queue.Configuration, logged string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		var buf bytes.Buffer
@@ -60,11 +60,11 @@
 		logger.SetOutput(&buf)
 		ctx, cancel := context.WithCancel(t.Context())
 		l.done = cancel
-		w := &queue.Watch{Log: l, Partition: adapter.OperatorRecords, Key: adapter.ConfigurationKey, Decode: adapter.DecodeConfiguration, Events: logrus.NewEntry(logger)}
+		w := &queue.Watcher{Log: l, Partition: adapter.OperatorRecords, Key: adapter.ConfigurationKey, Decode: adapter.DecodeConfiguration, Logger: logrus.NewEntry(logger)}
 		if err := w.Run(ctx); err != nil {
 			t.Error(err)
 		}
-		table, logged = w.Table(), buf.String()
+		table, logged = w.Configuration(), buf.String()
 	})
 	return table, logged
 }
--- a/internal/scheduler/baseline/baseline.go
+++ b/internal/scheduler/baseline/baseline.go
@@ -45,9 +45,9 @@
 
 // Cycle plans up to maxStarts starts at time now and reserves them in w. It
 // reads the whole fleet and the whole queue.
-func (s *Scheduler) Cycle(w *scheduler.World, now time.Time, maxStarts int) scheduler.Plan {
+func (s *Scheduler) Cycle(w *scheduler.State, now time.Time, maxStarts int) scheduler.Plan {
 	c := &cycle{Scheduler: s, world: w, now: now, vms: w.VMs()}
-	for _, j := range w.Queue() {
+	for _, j := range w.QueuedJobs() {
 		if len(c.plan.Starts) >= maxStarts {
 			break
 		}
@@ -58,7 +58,7 @@
 
 type cycle struct {
 	*Scheduler
-	world *scheduler.World
+	world *scheduler.State
 	now   time.Time
 	vms   []api.VMID
 	plan  scheduler.Plan
@@ -78,7 +78,7 @@
 		if gang {
 			c.undo(first)
 		}
-		c.plan.Waits = append(c.plan.Waits, scheduler.Wait{Job: j.Spec.ID, Reason: api.ReasonNoCapacity})
+		c.plan.Waiting = append(c.plan.Waiting, scheduler.WaitingJob{Job: j.Spec.ID, Reason: api.ReasonNoCapacity})
 		return
 	}
 }
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -18,7 +18,7 @@
 
 // cycler is what the schedulers that are compared have in common.
 type cycler interface {
-	Cycle(w *scheduler.World, now time.Time, maxStarts int) scheduler.Plan
+	Cycle(w *scheduler.State, now time.Time, maxStarts int) scheduler.Plan
 }
 
 func seeded(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, seed)) }
@@ -37,7 +37,7 @@
 
 // putFleet adds VMs of 32 processors and 64 GB, six to a rack, over the
 // data centres, one in six with eight accelerators.
-func putFleet(w *scheduler.World, vms, dcs int) {
+func putFleet(w *scheduler.State, vms, dcs int) {
 	for i := range vms {
 		vm := scheduler.VM{ID: api.VMID(fmt.Sprintf("vm-%05d", i)), DataCentre: api.DataCentre(fmt.Sprintf("dc-%d", i%dcs)),
 			Rack: fmt.Sprintf("rack-%d-%d", i%dcs, i/dcs/6), Capacity: capacityOf(i), Schedulable: true}
@@ -103,14 +103,14 @@
 
 // cell applies plans to a World and remembers what runs.
 type cell struct {
-	*scheduler.World
+	*scheduler.State
 	by      cycler
 	specs   map[api.JobID]api.JobSpec
-	running []scheduler.Running
+	running []scheduler.RunningTask
 }
 
 func newCell(by cycler) *cell {
-	return &cell{World: scheduler.NewWorld(), by: by, specs: map[api.JobID]api.JobSpec{}}
+	return &cell{State: scheduler.NewState(), by: by, specs: map[api.JobID]api.JobSpec{}}
 }
 
 func (c *cell) submit(j scheduler.Job) {
@@ -121,7 +121,7 @@
 func (c *cell) apply(p scheduler.Plan, now time.Time) {
 	for _, s := range p.Starts {
 		spec := c.specs[s.Task.Job]
-		r := scheduler.Running{Task: s.Task, VM: s.VM, Team: spec.Team, Class: spec.Class, Priority: spec.Priority, Resources: s.Resources,
+		r := scheduler.RunningTask{Task: s.Task, VM: s.VM, Team: spec.Team, Class: spec.Class, Priority: spec.Priority, Resources: s.Resources,
 			Checkpointable: spec.Checkpointable, Started: now, ExpectedEnd: now.Add(spec.RunTime)}
 		if spec.RunTime == 0 {
 			r.ExpectedEnd = time.Time{}
@@ -149,7 +149,7 @@
 // filled returns a cell with so many tasks running, and its stream.
 func filled(vms, tasks, dcs int) (*cell, *stream) {
 	c, s := newCell(contender("sampled")), &stream{rnd: seeded(2)}
-	putFleet(c.World, vms, dcs)
+	putFleet(c.State, vms, dcs)
 	now := time.Unix(0, 0)
 	for range 2 * tasks / 500 {
 		if len(c.running) >= tasks {
@@ -158,7 +158,7 @@
 		for range 500 {
 			c.submit(s.job(1))
 		}
-		c.apply(c.by.Cycle(c.World, now, 500), now)
+		c.apply(c.by.Cycle(c.State, now, 500), now)
 	}
 	panic(fmt.Sprintf("only %d tasks fit", len(c.running)))
 }
@@ -186,7 +186,7 @@
 					}
 					for had := -1; load.queued > 0 && len(c.running) > had; {
 						had = len(c.running)
-						c.apply(c.by.Cycle(c.World, now, math.MaxInt), now)
+						c.apply(c.by.Cycle(c.State, now, math.MaxInt), now)
 					}
 				}
 				decisions := hdrhistogram.New(1, int64(time.Minute), 3)
@@ -196,7 +196,7 @@
 					c.endOne(s.rnd)
 					c.submit(s.job(1))
 					before := time.Now()
-					p := c.by.Cycle(c.World, now, 1)
+					p := c.by.Cycle(c.State, now, 1)
 					if took := time.Since(before); len(p.Starts) > 0 {
 						_ = decisions.RecordValue(int64(took))
 					}
@@ -222,12 +222,12 @@
 		return float64(m.HeapAlloc)
 	}
 	for b.Loop() {
-		w := scheduler.NewWorld()
+		w := scheduler.NewState()
 		start := heap()
 		putFleet(w, vms, 4)
 		fleet := heap()
 		for i := range tasks {
-			w.Occupy(scheduler.Running{Task: api.TaskID{Job: "running", Index: uint32(i)}, VM: api.VMID(fmt.Sprintf("vm-%05d", i%vms)), Team: "team",
+			w.Occupy(scheduler.RunningTask{Task: api.TaskID{Job: "running", Index: uint32(i)}, VM: api.VMID(fmt.Sprintf("vm-%05d", i%vms)), Team: "team",
 				Class: api.ClassBatch, Resources: api.Resources{MilliCPU: 1000, MemoryMB: 2000}})
 		}
 		running := heap()
@@ -252,7 +252,7 @@
 
 // stranded is the share of the accelerators, in percent, that are idle and
 // have not the room beside them that the stream's work needs.
-func stranded(w *scheduler.World) float64 {
+func stranded(w *scheduler.State) float64 {
 	lost, all := int64(0), w.Totals().Capacity.Accelerators
 	for _, id := range w.VMs() {
 		free, _ := w.Free(id)
@@ -270,15 +270,15 @@
 				const seeds = 5
 				for seed := range uint64(seeds) {
 					c, s := newCell(contender(name)), &stream{rnd: seeded(seed + 10)}
-					putFleet(c.World, 120, 1)
+					putFleet(c.State, 120, 1)
 					for c.Totals().QueuedJobs == 0 {
 						c.submit(s.job(1))
-						c.apply(c.by.Cycle(c.World, time.Unix(0, 0), 10), time.Unix(0, 0))
+						c.apply(c.by.Cycle(c.State, time.Unix(0, 0), 10), time.Unix(0, 0))
 					}
 					got := use(c.Totals().Used, c.Totals().Capacity)
 					sum += got
 					least = min(least, got)
-					lost += stranded(c.World)
+					lost += stranded(c.State)
 				}
 				b.ReportMetric(sum/seeds, "%use")
 				b.ReportMetric(least, "%use-least")
@@ -306,7 +306,7 @@
 
 func wrongSizes(b *testing.B, by cycler, learn bool) {
 	c, s := newCell(by), &stream{rnd: seeded(20)}
-	putFleet(c.World, 120, 1)
+	putFleet(c.State, 120, 1)
 	e := estimate.New(estimate.Config{})
 	var factor [92]float64
 	for i := range factor {
@@ -323,12 +323,12 @@
 			Accelerators: truth.Accelerators}
 		if learn {
 			for range 64 {
-				e.Observe(j.Spec, estimate.Report{Use: truth})
+				e.Observe(j.Spec, estimate.Report{Usage: truth})
 			}
 			j.Estimate = e.Estimate(j.Spec).Resources
 		}
 		c.submit(j)
-		p := c.by.Cycle(c.World, time.Unix(0, 0), 10)
+		p := c.by.Cycle(c.State, time.Unix(0, 0), 10)
 		c.apply(p, time.Unix(0, 0))
 		for _, start := range p.Starts {
 			real[start.VM] = real[start.VM].Add(truth)
--- a/internal/scheduler/config.go
+++ b/internal/scheduler/config.go
@@ -21,7 +21,7 @@
 	DefaultHoldShare         = 0.2
 	DefaultMaxSearches       = 4096
 	DefaultProbeInterval     = 30 * time.Second
-	DefaultCapacityMemory    = time.Hour
+	DefaultCapacityRetention = time.Hour
 )
 
 // Config tunes a Scheduler. Zero fields take their defaults.
@@ -50,9 +50,9 @@
 	MaxSearches int
 	// ProbeInterval is the least time between two probes of one VM.
 	ProbeInterval time.Duration
-	// CapacityMemory is how long VMs that left still count in judging that a
+	// CapacityRetention is how long VMs that left still count in judging that a
 	// job can never run, so that a shrunken VM list condemns no job.
-	CapacityMemory time.Duration
+	CapacityRetention time.Duration
 }
 
 // Validate returns a *finding.List of every field out of its range, or nil.
@@ -69,7 +69,7 @@
 	l.Check(c.HoldShare >= 0 && c.HoldShare <= 1, "hold_share", c.HoldShare, "0 (default) to 1")
 	l.Check(c.MaxSearches >= 0, "max_searches", c.MaxSearches, "0 (default) or more")
 	l.Check(c.ProbeInterval >= 0, "probe_interval", c.ProbeInterval, "0 (default) or more")
-	l.Check(c.CapacityMemory >= 0, "capacity_memory", c.CapacityMemory, "0 (default) or more")
+	l.Check(c.CapacityRetention >= 0, "capacity_memory", c.CapacityRetention, "0 (default) or more")
 	return l.Err()
 }
 
@@ -86,6 +86,6 @@
 	defaults.Set(&c.HoldShare, DefaultHoldShare)
 	defaults.Set(&c.MaxSearches, DefaultMaxSearches)
 	defaults.Set(&c.ProbeInterval, DefaultProbeInterval)
-	defaults.Set(&c.CapacityMemory, DefaultCapacityMemory)
+	defaults.Set(&c.CapacityRetention, DefaultCapacityRetention)
 	return c
 }
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -149,7 +149,7 @@
 
 // keepsHeadroom returns what an idle accelerator keeps against j: nothing
 // when j needs accelerators itself, is urgent, or fits no other VM.
-func (w *World) keepsHeadroom(j *jobState) *usualNeed {
+func (w *State) keepsHeadroom(j *jobState) *usualNeed {
 	if j.need().Accelerators > 0 || j.isUrgent() || !w.fleet.fitsPlain(j) {
 		return nil
 	}
@@ -178,7 +178,7 @@
 }
 
 // verdict says why the search found no VM.
-func (f *search) verdict(w *World, j *jobState) verdict {
+func (f *search) verdict(w *State, j *jobState) verdict {
 	switch {
 	case f.covered != nil:
 		return verdict{api.ReasonNoCapacity, fmt.Sprintf(
@@ -214,7 +214,7 @@
 }
 
 // shortage names the resource that is short.
-func shortage(w *World, j *jobState) verdict {
+func shortage(w *State, j *jobState) verdict {
 	need := j.need()
 	var most api.Resources // spare of any one VM, by bucket, each on its own
 	for _, d := range w.dcList {
--- a/internal/scheduler/gangpreempt.go
+++ b/internal/scheduler/gangpreempt.go
@@ -8,7 +8,7 @@
 	if !j.isUrgent() || limited || len(j.nominations) > 0 {
 		return preemptNone
 	}
-	had := len(c.plan.Preempts)
+	had := len(c.plan.Preemptions)
 	for range tasks {
 		v, victims := c.gangBid(j)
 		if v == nil {
@@ -26,7 +26,7 @@
 	if v := c.score(j, c.filter(j).vms); v != nil {
 		return v, nil
 	}
-	left := c.cfg.Policy.MaxPreemptions - len(c.plan.Preempts)
+	left := c.cfg.Policy.MaxPreemptions - len(c.plan.Preemptions)
 	if left <= 0 || !c.world.evictable.anyBelow(c.victimsBelow(j)) {
 		return nil, nil
 	}
@@ -39,7 +39,7 @@
 	for len(j.nominations) > 0 {
 		c.world.undoNomination(j.nominations[0])
 	}
-	c.plan.Preempts = c.plan.Preempts[:had]
+	c.plan.Preemptions = c.plan.Preemptions[:had]
 }
 
 // retryAfter says whether the next cycle may do better: only if this one had
--- a/internal/scheduler/hold.go
+++ b/internal/scheduler/hold.go
@@ -43,7 +43,7 @@
 
 // renewHolds lets jobs be tried again whose holds can no longer come true,
 // and as many as may now have the hold that they found no place for.
-func (w *World) renewHolds(now time.Time, most int) {
+func (w *State) renewHolds(now time.Time, most int) {
 	for len(w.wantHold) > 0 && most > len(w.holds) {
 		j := w.wantHold[0]
 		w.wantHold = w.wantHold[1:]
@@ -107,7 +107,7 @@
 }
 
 // displaceHold drops the newest hold of the lowest band under that of j.
-func (w *World) displaceHold(j *jobState) bool {
+func (w *State) displaceHold(j *jobState) bool {
 	var lowest *hold
 	for _, h := range w.holds {
 		if h.job.band < j.band && (lowest == nil || h.job.band <= lowest.job.band) {
@@ -122,7 +122,7 @@
 }
 
 // dropHold gives the VMs held for j back to everybody.
-func (w *World) dropHold(j *jobState) {
+func (w *State) dropHold(j *jobState) {
 	h := j.hold
 	if h == nil {
 		return
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -87,7 +87,7 @@
 // PutJob adds a job or replaces it, keeping the time of its first
 // submission. Tasks that already hold a VM or a reservation are left out of
 // its pending ones.
-func (w *World) PutJob(job Job) {
+func (w *State) PutJob(job Job) {
 	j := w.jobs[job.Spec.ID]
 	if j == nil {
 		w.sequence++
@@ -116,7 +116,7 @@
 	w.replaceJob(j, job)
 }
 
-func (w *World) replaceJob(j *jobState, job Job) {
+func (w *State) replaceJob(j *jobState, job Job) {
 	j.Job = job
 	j.Job.Pending = nil
 	j.team = w.teamOf(job.Spec.Team)
@@ -130,7 +130,7 @@
 }
 
 // sameShape reports whether job may keep the queue place of j.
-func (w *World) sameShape(j *jobState, job Job) bool {
+func (w *State) sameShape(j *jobState, job Job) bool {
 	next := jobState{Job: job}
 	return keyOf(&next) == j.queue.shape.key &&
 		job.Spec.Team == j.Spec.Team &&
@@ -138,7 +138,7 @@
 }
 
 // RemoveJob forgets a job. Its running tasks stay until Vacate.
-func (w *World) RemoveJob(id api.JobID) {
+func (w *State) RemoveJob(id api.JobID) {
 	j := w.jobs[id]
 	if j == nil {
 		return
@@ -150,14 +150,14 @@
 }
 
 // dequeue takes j out of the queue with all that is kept for it.
-func (w *World) dequeue(j *jobState) {
+func (w *State) dequeue(j *jobState) {
 	w.queue.remove(j)
 	w.dropHold(j)
 	w.dropNominations(j)
 }
 
 // placeable returns the pending tasks of job that hold nothing.
-func (w *World) placeable(job Job) []uint32 {
+func (w *State) placeable(job Job) []uint32 {
 	pending := make([]uint32, 0, len(job.Pending))
 	for _, index := range job.Pending {
 		if w.holdings[api.TaskID{Job: job.Spec.ID, Index: index}] == nil {
@@ -168,7 +168,7 @@
 }
 
 // dropPending takes a task out of its job's pending ones.
-func (w *World) dropPending(task api.TaskID) {
+func (w *State) dropPending(task api.TaskID) {
 	j := w.jobs[task.Job]
 	if j == nil {
 		return
@@ -184,7 +184,7 @@
 }
 
 // restorePending puts a task back in front of its job's pending ones.
-func (w *World) restorePending(task api.TaskID) {
+func (w *State) restorePending(task api.TaskID) {
 	j := w.jobs[task.Job]
 	if j == nil {
 		return
@@ -198,7 +198,7 @@
 
 // countSpread adds by to the counts of the job of h, if it keeps any. Tasks
 // beyond the job's number, left from before it was scaled down, don't count.
-func (w *World) countSpread(h *holding, by int) {
+func (w *State) countSpread(h *holding, by int) {
 	j := w.jobs[h.task.Job]
 	if j == nil || j.spread == nil || h.task.Index >= j.Spec.Tasks {
 		return
@@ -208,7 +208,7 @@
 }
 
 // recountSpread counts the tasks of j that hold a VM, if j needs it.
-func (w *World) recountSpread(j *jobState) {
+func (w *State) recountSpread(j *jobState) {
 	if !j.countsSpread() {
 		j.spread = nil
 		return
@@ -232,16 +232,16 @@
 
 // Explain returns why a job waits, as far as the last attempts tell, and
 // whether it does.
-func (w *World) Explain(id api.JobID) (Wait, bool) {
+func (w *State) Explain(id api.JobID) (WaitingJob, bool) {
 	j := w.jobs[id]
 	if j == nil || len(j.pending) == 0 {
-		return Wait{}, false
+		return WaitingJob{}, false
 	}
 	v := j.verdict
 	if v.reason == "" && j.queue != nil {
 		v = j.queue.verdict
 	}
-	return Wait{Job: id, Reason: v.reason, Detail: v.detail}, true
+	return WaitingJob{Job: id, Reason: v.reason, Detail: v.detail}, true
 }
 
 // dataCentreKey joins the data centres a job is limited to.
--- a/internal/scheduler/judge.go
+++ b/internal/scheduler/judge.go
@@ -14,7 +14,7 @@
 	j.condemned = true
 	j.verdict = missing
 	w.condemned = append(w.condemned, j)
-	c.plan.Impossible = append(c.plan.Impossible, Wait{
+	c.plan.Infeasible = append(c.plan.Infeasible, WaitingJob{
 		Job:    j.Spec.ID,
 		Reason: missing.reason,
 		Detail: missing.detail,
@@ -22,13 +22,13 @@
 }
 
 // judgeAgain notes that the fleet's kinds of VMs or a quota changed.
-func (w *World) judgeAgain() {
+func (w *State) judgeAgain() {
 	w.rejudge = true
 	w.judgement++
 }
 
 // requeueCondemned queues the condemned jobs again after such a change.
-func (w *World) requeueCondemned() {
+func (w *State) requeueCondemned() {
 	if !w.rejudge {
 		return
 	}
@@ -47,7 +47,7 @@
 // retryUnfitting lets the blocked shapes be judged again that no VM could
 // hold even when idle: nothing that is freed would ever wake them. They were
 // blocked while the fleet was not known.
-func (w *World) retryUnfitting() {
+func (w *State) retryUnfitting() {
 	var unfitting []*shape
 	for _, cell := range w.queue.blocked.cells {
 		for _, s := range cell {
@@ -74,7 +74,7 @@
 
 // missing says what j would need that no VM, no quota or not the whole
 // fleet can give; its reason is empty when nothing is missing.
-func (w *World) missing(j *jobState) verdict {
+func (w *State) missing(j *jobState) verdict {
 	if t := j.team; t.limited && !j.atOnce().Fits(t.max) {
 		return verdict{api.ReasonQuota, fmt.Sprintf(
 			"needs %v at once, the quota of team %s is %v", j.atOnce(), t.name, t.max)}
--- a/internal/scheduler/judge_test.go
+++ b/internal/scheduler/judge_test.go
@@ -11,7 +11,7 @@
 // A job that was looked at before the fleet was known is judged again once it
 // is: nothing that becomes free would ever wake it.
 func TestJobTooBigIsToldOnceTheFleetIsKnown(t *testing.T) {
-	w := NewWorld()
+	w := NewState()
 	s := New(Config{}, rand.New(rand.NewPCG(1, 2)))
 	now := time.Unix(0, 0)
 	small := VM{ID: "v", Rack: "r", Capacity: api.Resources{MilliCPU: 1000, MemoryMB: 1000}}
@@ -25,7 +25,7 @@
 	for _, step := range steps {
 		step()
 		now = now.Add(time.Second)
-		told += len(s.Cycle(w, now, 10).Impossible)
+		told += len(s.Cycle(w, now, 10).Infeasible)
 	}
 	if told != 1 {
 		t.Fatalf("told %d times that the job can never run, want once", told)
--- a/internal/scheduler/model_test.go
+++ b/internal/scheduler/model_test.go
@@ -27,15 +27,15 @@
 	vms    map[api.VMID]VM
 	quotas map[string]api.Resources
 	jobs   map[api.JobID]Job
-	held   map[api.TaskID]Running
+	held   map[api.TaskID]RunningTask
 	told   map[api.TaskID]bool // pending, as far as the World was told
 }
 
 func newModel() *model {
-	return &model{vms: map[api.VMID]VM{}, quotas: map[string]api.Resources{}, jobs: map[api.JobID]Job{}, held: map[api.TaskID]Running{}, told: map[api.TaskID]bool{}}
+	return &model{vms: map[api.VMID]VM{}, quotas: map[string]api.Resources{}, jobs: map[api.JobID]Job{}, held: map[api.TaskID]RunningTask{}, told: map[api.TaskID]bool{}}
 }
 
-func (m *model) use(of func(Running) bool) (use api.Resources) {
+func (m *model) use(of func(RunningTask) bool) (use api.Resources) {
 	for _, r := range m.held {
 		if of(r) {
 			use = use.Add(r.Resources)
@@ -45,11 +45,11 @@
 }
 
 func (m *model) vmUse(id api.VMID) api.Resources {
-	return m.use(func(r Running) bool { return r.VM == id })
+	return m.use(func(r RunningTask) bool { return r.VM == id })
 }
 
 func (m *model) teamUse(team string) api.Resources {
-	return m.use(func(r Running) bool { return r.Team == team })
+	return m.use(func(r RunningTask) bool { return r.Team == team })
 }
 
 func (m *model) pending(j Job) (indexes []uint32) {
@@ -95,7 +95,7 @@
 			gangs[j.Spec.ID]--
 		}
 		delete(m.told, s.Task)
-		m.held[s.Task] = Running{Task: s.Task, VM: s.VM, Team: j.Spec.Team, Class: j.Spec.Class, Priority: j.Spec.Priority,
+		m.held[s.Task] = RunningTask{Task: s.Task, VM: s.VM, Team: j.Spec.Team, Class: j.Spec.Class, Priority: j.Spec.Priority,
 			Resources: s.Resources, Checkpointable: j.Spec.Checkpointable, Started: now, ExpectedEnd: now.Add(j.Spec.RunTime)}
 		if use := m.vmUse(s.VM); !use.Fits(vm.Capacity) {
 			return fmt.Errorf("VM %v holds %v of %v", s.VM, use, vm.Capacity)
@@ -112,8 +112,8 @@
 			return fmt.Errorf("gang %v lacks %d starts", id, missing)
 		}
 	}
-	for _, p := range p.Preempts {
-		v, urgent := m.held[p.Task], m.jobs[p.For].Spec.Priority
+	for _, p := range p.Preemptions {
+		v, urgent := m.held[p.Task], m.jobs[p.Preemptor].Spec.Priority
 		if !v.Checkpointable || v.Class != api.ClassBatch || v.Priority >= urgent {
 			return fmt.Errorf("%+v preempted for priority %d", v, urgent)
 		}
@@ -155,16 +155,16 @@
 func TestPlansKeepTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel()
-		worlds := [2]*World{NewWorld(), NewWorld()}
+		worlds := [2]*State{NewState(), NewState()}
 		policy := Config{Policy: api.PolicySpec{MaxPreemptions: 3}}
 		schedulers := [2]*Scheduler{New(policy, rand.New(rand.NewPCG(1, 2))), New(policy, rand.New(rand.NewPCG(1, 2)))}
-		each := func(do func(*World)) {
+		each := func(do func(*State)) {
 			do(worlds[0])
 			do(worlds[1])
 		}
 		now := time.Unix(1_000_000, 0)
 		nextJob := 0
-		heldTask := func(t *rapid.T) Running {
+		heldTask := func(t *rapid.T) RunningTask {
 			held := sortedHeld(m)
 			if len(held) == 0 {
 				t.Skip("nothing runs")
@@ -179,12 +179,12 @@
 					Schedulable: rapid.IntRange(0, 4).Draw(t, "open") > 0,
 					Quarantined: rapid.IntRange(0, 6).Draw(t, "quarantine") == 0}
 				m.vms[vm.ID] = vm
-				each(func(w *World) { w.PutVM(vm) })
+				each(func(w *State) { w.PutVM(vm) })
 			},
 			"remove VM": func(t *rapid.T) {
 				id := api.VMID(fmt.Sprintf("vm-%d", rapid.IntRange(0, 7).Draw(t, "vm")))
 				delete(m.vms, id)
-				each(func(w *World) { w.RemoveVM(id) })
+				each(func(w *State) { w.RemoveVM(id) })
 			},
 			"put job": func(t *rapid.T) {
 				nextJob++
@@ -195,17 +195,17 @@
 				}
 				m.jobs[j.Spec.ID] = j
 				j.Pending = m.pending(j)
-				each(func(w *World) { w.PutJob(j) })
+				each(func(w *State) { w.PutJob(j) })
 			},
 			"remove job": func(t *rapid.T) {
 				id := api.JobID(fmt.Sprintf("job-%d", rapid.IntRange(0, 11).Draw(t, "job")))
 				delete(m.jobs, id)
-				each(func(w *World) { w.RemoveJob(id) })
+				each(func(w *State) { w.RemoveJob(id) })
 			},
 			"quota": func(t *rapid.T) {
 				q := api.QuotaSpec{Team: "red", Weight: 2, Max: api.Resources{MilliCPU: rapid.Int64Range(1, 20).Draw(t, "cpu") * 1000, MemoryMB: 30000, Accelerators: 1}}
 				m.quotas[q.Team] = q.Max
-				each(func(w *World) { w.PutQuota(q) })
+				each(func(w *State) { w.PutQuota(q) })
 			},
 			"end task": func(t *rapid.T) {
 				r := heldTask(t)
@@ -215,7 +215,7 @@
 				if has && again {
 					j.Pending = m.pending(j)
 				}
-				each(func(w *World) {
+				each(func(w *State) {
 					w.Vacate(r.Task)
 					if has && again {
 						w.PutJob(j)
@@ -243,9 +243,9 @@
 						m.told[s.Task] = true
 					}
 					if reject {
-						each(func(w *World) { w.Release(s.Task) })
+						each(func(w *State) { w.Release(s.Task) })
 					} else {
-						each(func(w *World) { w.Occupy(r) })
+						each(func(w *State) { w.Occupy(r) })
 					}
 				}
 			},
@@ -257,7 +257,7 @@
 					}
 				}
 				for _, team := range []string{"red", "blue", "green"} {
-					if use := worlds[0].TeamUse(team); use != m.teamUse(team) {
+					if use := worlds[0].TeamUsage(team); use != m.teamUse(team) {
 						t.Fatalf("team %v: use %v, want %v", team, use, m.teamUse(team))
 					}
 				}
@@ -268,7 +268,7 @@
 }
 
 // checkIndexes compares the World's indexes with what they index.
-func checkIndexes(t *rapid.T, w *World) {
+func checkIndexes(t *rapid.T, w *State) {
 	for id, v := range w.vms {
 		indexed := v.open() && v.hold == nil && !v.spare().Negative()
 		if (v.part != nil) != indexed {
@@ -302,7 +302,7 @@
 // checkNothingOverlooked expects that no batch task was left waiting while a
 // VM without accelerators had room for it, whatever was cached or skipped.
 // What the cycle itself freed (a hold given up) is for the next one.
-func checkNothingOverlooked(t *rapid.T, w *World) {
+func checkNothingOverlooked(t *rapid.T, w *State) {
 	for id, j := range w.jobs {
 		if len(w.freed) > 0 || !j.isBatch() || j.queue == nil || !j.team.allows(j.need()) {
 			continue
@@ -315,8 +315,8 @@
 	}
 }
 
-func sortedHeld(m *model) []Running {
-	var held []Running
+func sortedHeld(m *model) []RunningTask {
+	var held []RunningTask
 	for n := range 12 {
 		for i := range uint32(6) {
 			if r, has := m.held[api.TaskID{Job: api.JobID(fmt.Sprintf("job-%d", n)), Index: i}]; has {
@@ -331,16 +331,18 @@
 // object to each.
 func TestPlantedFaultsAreCaught(t *testing.T) {
 	faults := map[string]func(*Plan){
-		"half a gang":     func(p *Plan) { p.Starts = p.Starts[1:] },
-		"gang unmarked":   func(p *Plan) { p.Starts[0].Gang = false },
-		"over capacity":   func(p *Plan) { p.Starts[0].VM = p.Starts[1].VM },
-		"twice":           func(p *Plan) { p.Starts[1].Task = p.Starts[0].Task },
-		"over quota":      func(p *Plan) { p.Starts[0].Resources.MemoryMB += 5000 },
-		"unknown VM":      func(p *Plan) { p.Starts[0].VM = "vm-9" },
-		"service stopped": func(p *Plan) { p.Preempts = append(p.Preempts, Preempt{Task: p.Starts[0].Task, For: "job-0"}) },
+		"half a gang":   func(p *Plan) { p.Starts = p.Starts[1:] },
+		"gang unmarked": func(p *Plan) { p.Starts[0].Gang = false },
+		"over capacity": func(p *Plan) { p.Starts[0].VM = p.Starts[1].VM },
+		"twice":         func(p *Plan) { p.Starts[1].Task = p.Starts[0].Task },
+		"over quota":    func(p *Plan) { p.Starts[0].Resources.MemoryMB += 5000 },
+		"unknown VM":    func(p *Plan) { p.Starts[0].VM = "vm-9" },
+		"service stopped": func(p *Plan) {
+			p.Preemptions = append(p.Preemptions, Preemption{Task: p.Starts[0].Task, Preemptor: "job-0"})
+		},
 	}
 	for name, spoil := range faults {
-		m, w := newModel(), NewWorld()
+		m, w := newModel(), NewState()
 		for i := range 3 {
 			vm := VM{ID: api.VMID(fmt.Sprintf("vm-%d", i)), Capacity: api.Resources{MilliCPU: 8000, MemoryMB: 16000}, Schedulable: true}
 			m.vms[vm.ID] = vm
--- a/internal/scheduler/park.go
+++ b/internal/scheduler/park.go
@@ -4,26 +4,26 @@
 // short, on its team when the quota is. What frees either makes it ready.
 
 // parkOnCapacity parks q until a VM is freed that could hold its tasks.
-func (w *World) parkOnCapacity(q *shapeQueue) {
+func (w *State) parkOnCapacity(q *shapeQueue) {
 	q.owner.park(q)
 	q.shape.parked = append(q.shape.parked, q)
 	w.queue.blocked.block(q.shape)
 }
 
 // parkOnQuota parks q until its team holds less or may hold more.
-func (w *World) parkOnQuota(q *shapeQueue) {
+func (w *State) parkOnQuota(q *shapeQueue) {
 	q.owner.park(q)
 	q.owner.team.parked = append(q.owner.team.parked, q)
 }
 
 // retryNext parks q until the next cycle.
-func (w *World) retryNext(q *shapeQueue) {
+func (w *State) retryNext(q *shapeQueue) {
 	q.owner.park(q)
 	w.retry = append(w.retry, q)
 }
 
 // wakeTeam notes that queues parked on the quota of t may go on.
-func (w *World) wakeTeam(t *teamState) {
+func (w *State) wakeTeam(t *teamState) {
 	if len(t.parked) == 0 || t.waking {
 		return
 	}
@@ -32,7 +32,7 @@
 }
 
 // wake makes ready what the changes since the last cycle let go on.
-func (w *World) wake() {
+func (w *State) wake() {
 	for _, q := range w.retry {
 		q.owner.makeReady(q)
 	}
@@ -64,7 +64,7 @@
 }
 
 // wakeBlocked unblocks the shapes that fit a VM freed since the last cycle.
-func (w *World) wakeBlocked() {
+func (w *State) wakeBlocked() {
 	for _, v := range w.freed {
 		v.freed = false
 		if !v.known || !v.Schedulable {
@@ -80,7 +80,7 @@
 }
 
 // retryShape lets the jobs of s be tried again.
-func (w *World) retryShape(s *shape) {
+func (w *State) retryShape(s *shape) {
 	w.queue.blocked.unblock(s)
 	for _, q := range s.parked {
 		if q.live > 0 {
--- a/internal/scheduler/policy.go
+++ b/internal/scheduler/policy.go
@@ -11,7 +11,7 @@
 }
 
 // RemoveQuota lets a team hold what it can get, with a weight of 1.
-func (w *World) RemoveQuota(team string) {
+func (w *State) RemoveQuota(team string) {
 	t := w.teams[team]
 	if t == nil || !t.limited {
 		return
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -35,7 +35,7 @@
 	if len(j.nominations) >= len(j.pending) || !c.world.evictable.anyBelow(c.victimsBelow(j)) {
 		return preemptNone
 	}
-	left := c.cfg.Policy.MaxPreemptions - len(c.plan.Preempts)
+	left := c.cfg.Policy.MaxPreemptions - len(c.plan.Preemptions)
 	if left <= 0 {
 		return preemptLater
 	}
@@ -65,7 +65,7 @@
 	}
 	for _, h := range victims {
 		h.stopping = true
-		c.plan.Preempts = append(c.plan.Preempts, Preempt{Task: h.task, VM: v.ID, For: j.Spec.ID})
+		c.plan.Preemptions = append(c.plan.Preemptions, Preemption{Task: h.task, VM: v.ID, Preemptor: j.Spec.ID})
 	}
 	j.nominations = append(j.nominations, n)
 	c.world.nominations = append(c.world.nominations, n)
@@ -209,7 +209,7 @@
 
 // countEvictable adds n to the counts, and n times what h holds to the
 // amounts, of what may be preempted.
-func (w *World) countEvictable(h *holding, n int32) {
+func (w *State) countEvictable(h *holding, n int32) {
 	if !h.evictable() {
 		return
 	}
@@ -225,7 +225,7 @@
 }
 
 // expireNominations gives up those whose victims did not stop in time.
-func (w *World) expireNominations(now time.Time) {
+func (w *State) expireNominations(now time.Time) {
 	for i := 0; i < len(w.nominations); {
 		n := w.nominations[i]
 		if now.Before(n.expires) {
@@ -239,21 +239,21 @@
 	}
 }
 
-func (w *World) dropNominations(j *jobState) {
+func (w *State) dropNominations(j *jobState) {
 	for len(j.nominations) > 0 {
 		w.dropNomination(j.nominations[0])
 	}
 }
 
 // dropNomination gives the room nominated by n back to everybody.
-func (w *World) dropNomination(n *nomination) {
+func (w *State) dropNomination(n *nomination) {
 	w.undoNomination(n)
 	w.markFreed(n.vm)
 	w.dropIfEmpty(n.vm)
 }
 
 // undoNomination takes n back as if it had not been made.
-func (w *World) undoNomination(n *nomination) {
+func (w *State) undoNomination(n *nomination) {
 	same := func(o *nomination) bool { return o == n }
 	w.nominations = slices.DeleteFunc(w.nominations, same)
 	n.job.nominations = slices.DeleteFunc(n.job.nominations, same)
@@ -266,7 +266,7 @@
 
 // settleNomination drops the nomination that a start of j on v makes
 // needless: the one on v, or one more than j has tasks left.
-func (w *World) settleNomination(j *jobState, v *vmState) {
+func (w *State) settleNomination(j *jobState, v *vmState) {
 	for _, n := range j.nominations {
 		if n.vm == v {
 			w.dropNomination(n)
--- a/internal/scheduler/probe.go
+++ b/internal/scheduler/probe.go
@@ -65,7 +65,7 @@
 }
 
 // quarantineFits reports whether a quarantined VM would have room for j.
-func (w *World) quarantineFits(j *jobState) bool {
+func (w *State) quarantineFits(j *jobState) bool {
 	for _, v := range w.quarantine.list {
 		if j.mayUse(v.DataCentre) && j.need().Fits(v.spare()) {
 			return true
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -11,41 +11,41 @@
 
 // Errors of World.Reserve.
 var (
-	ErrUnknownJob  = errors.New("scheduler: job not known")
-	ErrNotPending  = errors.New("scheduler: task not pending")
-	ErrNotOpen     = errors.New("scheduler: VM not listed or takes no work")
-	ErrNoRoom      = errors.New("scheduler: task does not fit the VM")
-	ErrOverQuota   = errors.New("scheduler: quota of the team exceeded")
-	ErrNotAdmitted = errors.New("scheduler: VM refused by the job's constraints")
+	ErrUnknownJob           = errors.New("scheduler: job not known")
+	ErrTaskNotPending       = errors.New("scheduler: task not pending")
+	ErrVMNotSchedulable     = errors.New("scheduler: VM not listed or takes no work")
+	ErrInsufficientCapacity = errors.New("scheduler: task does not fit the VM")
+	ErrQuotaExceeded        = errors.New("scheduler: quota of the team exceeded")
+	ErrConstraintViolated   = errors.New("scheduler: VM refused by the job's constraints")
 )
 
 // Reserve reserves room on a VM for a pending task and returns its start. It
 // checks capacity, quota and the job's constraints; on an error nothing
 // changed. It serves schedulers other than this package's, which are
 // measured against it.
-func (w *World) Reserve(task api.TaskID, vm api.VMID, now time.Time) (Start, error) {
+func (w *State) Reserve(task api.TaskID, vm api.VMID, now time.Time) (Start, error) {
 	j := w.jobs[task.Job]
 	v := w.vms[vm]
 	switch {
 	case j == nil:
 		return Start{}, ErrUnknownJob
 	case len(j.pending) == 0 || j.pending[0] != task.Index:
-		return Start{}, ErrNotPending
+		return Start{}, ErrTaskNotPending
 	case v == nil || !v.open():
-		return Start{}, ErrNotOpen
+		return Start{}, ErrVMNotSchedulable
 	case !j.need().Fits(v.spare()):
-		return Start{}, ErrNoRoom
+		return Start{}, ErrInsufficientCapacity
 	case !j.team.allows(j.need()):
-		return Start{}, ErrOverQuota
+		return Start{}, ErrQuotaExceeded
 	case j.Avoid[vm] || !j.spreadAllows(v) || !j.mayUse(v.DataCentre):
-		return Start{}, ErrNotAdmitted
+		return Start{}, ErrConstraintViolated
 	}
 	h := w.reserve(j, v, now)
 	return Start{Task: h.task, VM: v.ID, Resources: h.resources}, nil
 }
 
 // VMs returns the listed VMs in order of their names.
-func (w *World) VMs() []api.VMID {
+func (w *State) VMs() []api.VMID {
 	ids := make([]api.VMID, 0, len(w.vms))
 	for id, v := range w.vms {
 		if v.known {
@@ -56,8 +56,8 @@
 	return ids
 }
 
-// Queue returns the jobs with pending tasks in the order they came.
-func (w *World) Queue() []Job {
+// QueuedJobs returns the jobs with pending tasks in the order they came.
+func (w *State) QueuedJobs() []Job {
 	queued := make([]*jobState, 0, w.queue.jobs)
 	for _, j := range w.jobs {
 		if len(j.pending) > 0 {
@@ -74,7 +74,7 @@
 }
 
 // reserve takes room on v for the next pending task of j.
-func (w *World) reserve(j *jobState, v *vmState, now time.Time) *holding {
+func (w *State) reserve(j *jobState, v *vmState, now time.Time) *holding {
 	h := &holding{
 		task:           api.TaskID{Job: j.Spec.ID, Index: j.pending[0]},
 		vm:             v,
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -29,7 +29,7 @@
 //
 // Waits names a job when an attempt to place it failed in this cycle; jobs
 // whose cached verdict still holds are left out, and World.Explain tells it.
-func (s *Scheduler) Cycle(w *World, now time.Time, maxStarts int) Plan {
+func (s *Scheduler) Cycle(w *State, now time.Time, maxStarts int) Plan {
 	c := &cycle{Scheduler: s, world: w, now: now}
 	c.begin()
 	for len(c.plan.Starts) < maxStarts && c.searches < s.cfg.MaxSearches {
@@ -45,7 +45,7 @@
 // cycle is the state of one call of Cycle.
 type cycle struct {
 	*Scheduler
-	world    *World
+	world    *State
 	now      time.Time
 	plan     Plan
 	searches int
@@ -55,7 +55,7 @@
 func (c *cycle) begin() {
 	w := c.world
 	w.clock = c.now
-	if w.fleet.forget(c.now, c.cfg.CapacityMemory) {
+	if w.fleet.forget(c.now, c.cfg.CapacityRetention) {
 		w.judgeAgain()
 	}
 	w.requeueCondemned()
@@ -147,13 +147,13 @@
 	j.verdict = v
 	j.queue.verdict = v
 	j.queue.shape.verdict = v
-	c.plan.Waits = append(c.plan.Waits, Wait{Job: j.Spec.ID, Reason: v.reason, Detail: v.detail})
+	c.plan.Waiting = append(c.plan.Waiting, WaitingJob{Job: j.Spec.ID, Reason: v.reason, Detail: v.detail})
 }
 
 func (c *cycle) waitForQuota(j *jobState, need api.Resources) {
 	v := quotaVerdict(j.team, need)
 	j.verdict = v
 	j.queue.verdict = v
-	c.plan.Waits = append(c.plan.Waits, Wait{Job: j.Spec.ID, Reason: v.reason, Detail: v.detail})
+	c.plan.Waiting = append(c.plan.Waiting, WaitingJob{Job: j.Spec.ID, Reason: v.reason, Detail: v.detail})
 	c.world.parkOnQuota(j.queue)
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -16,14 +16,14 @@
 // bench is a World of equal VMs with a scheduler and a virtual clock, in
 // which every start applies at once.
 type bench struct {
-	*World
+	*State
 	s    *Scheduler
 	now  time.Time
-	runs map[api.TaskID]Running
+	runs map[api.TaskID]RunningTask
 }
 
 func newBench(vms int, capacity api.Resources, cfg Config) *bench {
-	b := &bench{World: NewWorld(), s: New(cfg, rand.New(rand.NewPCG(7, 7))), now: time.Unix(0, 0), runs: map[api.TaskID]Running{}}
+	b := &bench{State: NewState(), s: New(cfg, rand.New(rand.NewPCG(7, 7))), now: time.Unix(0, 0), runs: map[api.TaskID]RunningTask{}}
 	for i := range vms {
 		b.PutVM(VM{ID: api.VMID(fmt.Sprintf("vm-%d", i)), DataCentre: "dc", Rack: fmt.Sprintf("rack-%d", i/2), Capacity: capacity, Schedulable: true})
 	}
@@ -45,10 +45,10 @@
 
 // cycle plans and applies, and returns the plan.
 func (b *bench) cycle() Plan {
-	p := b.s.Cycle(b.World, b.now, 1000)
+	p := b.s.Cycle(b.State, b.now, 1000)
 	for _, s := range p.Starts {
 		spec := b.jobs[s.Task.Job].Spec
-		r := Running{Task: s.Task, VM: s.VM, Team: spec.Team, Class: spec.Class, Priority: spec.Priority, Resources: s.Resources,
+		r := RunningTask{Task: s.Task, VM: s.VM, Team: spec.Team, Class: spec.Class, Priority: spec.Priority, Resources: s.Resources,
 			Checkpointable: spec.Checkpointable, Started: b.now, ExpectedEnd: b.now.Add(spec.RunTime)}
 		b.runs[s.Task] = r
 		b.Occupy(r)
@@ -108,7 +108,7 @@
 		b.submit(job("b1", api.ClassBatch, 1, 1000))
 		p := b.cycle()
 		So(len(p.Starts), ShouldEqual, 3)
-		So(p.Waits, ShouldResemble, []Wait{{Job: "a1", Reason: api.ReasonQuota, Detail: "team team-a holds cpu=2000m memory=2000MB accelerators=0 of " +
+		So(p.Waiting, ShouldResemble, []WaitingJob{{Job: "a1", Reason: api.ReasonQuota, Detail: "team team-a holds cpu=2000m memory=2000MB accelerators=0 of " +
 			"cpu=2500m memory=9000MB accelerators=0 and needs cpu=1000m memory=1000MB accelerators=0 more"}})
 		So(b.cycle(), ShouldResemble, Plan{})
 		b.end(api.TaskID{Job: "a1"})
@@ -123,7 +123,7 @@
 		b.submit(job("a3", api.ClassBatch, 1, 1000))
 		p := b.cycle()
 		So(started(p), ShouldResemble, []string{"a3/0"})
-		So(p.Impossible, ShouldResemble, []Wait{
+		So(p.Infeasible, ShouldResemble, []WaitingJob{
 			{Job: "a1", Reason: api.ReasonNeverFits, Detail: "a task needs cpu=5000m memory=5000MB accelerators=0, the VMs it may use have at most cpu=4000m memory=4000MB accelerators=0"},
 			{Job: "a2", Reason: api.ReasonNeverFits, Detail: "4 tasks of cpu=3000m memory=3000MB accelerators=0 at once, the VMs it may use have room for 3 when idle"},
 			{Job: "q1", Reason: api.ReasonQuota, Detail: "needs cpu=6000m memory=6000MB accelerators=0 at once, the quota of team team-q is cpu=4000m memory=4000MB accelerators=0"}})
@@ -135,9 +135,9 @@
 		b.PutVM(VM{ID: "large", DataCentre: "dc", Capacity: small.Times(2), Schedulable: true})
 		b.RemoveVM("large")
 		b.submit(job("a1", api.ClassBatch, 1, 5000))
-		So(b.cycle().Impossible, ShouldBeEmpty)
-		b.now = b.now.Add(2 * DefaultCapacityMemory)
-		So(b.cycle().Impossible, ShouldHaveLength, 1)
+		So(b.cycle().Infeasible, ShouldBeEmpty)
+		b.now = b.now.Add(2 * DefaultCapacityRetention)
+		So(b.cycle().Infeasible, ShouldHaveLength, 1)
 	})
 }
 
@@ -149,7 +149,7 @@
 		b.submit(spec)
 		p := b.cycle()
 		So(len(p.Starts), ShouldEqual, 4)
-		So(p.Waits[0].Reason, ShouldEqual, api.ReasonSpread)
+		So(p.Waiting[0].Reason, ShouldEqual, api.ReasonSpread)
 		b.submit(job("a1", api.ClassBatch, 12, 1000))
 		used := map[api.VMID]bool{}
 		for _, s := range b.cycle().Starts {
@@ -182,7 +182,7 @@
 		once.MaxAttempts = 1
 		b.submit(once)
 		p := b.cycle()
-		So(p.Waits[0].Reason, ShouldEqual, api.ReasonQuarantine)
+		So(p.Waiting[0].Reason, ShouldEqual, api.ReasonQuarantine)
 		b.submit(job("a1", api.ClassBatch, 3, 1000))
 		So(started(b.cycle()), ShouldResemble, []string{"a1/0"})
 		b.now = b.now.Add(DefaultProbeInterval)
@@ -199,15 +199,15 @@
 		b.cycle()
 		b.submit(job("g1", api.ClassGang, 2, 4000))
 		p := b.cycle()
-		So(p.Waits[0].Reason, ShouldEqual, api.ReasonGangWaiting)
-		So(p.Waits[0].Detail, ShouldEqual, "1 of 2 tasks of cpu=4000m memory=4000MB accelerators=0 have room; 2 VMs are held, expected free in 10s")
+		So(p.Waiting[0].Reason, ShouldEqual, api.ReasonGangWaiting)
+		So(p.Waiting[0].Detail, ShouldEqual, "1 of 2 tasks of cpu=4000m memory=4000MB accelerators=0 have room; 2 VMs are held, expected free in 10s")
 		long, short := job("l1", api.ClassBatch, 1, 1000), job("s1", api.ClassBatch, 1, 1000)
 		long.RunTime = 11 * time.Second
 		b.submit(long)
 		b.submit(short)
 		p = b.cycle()
 		So(started(p), ShouldResemble, []string{"s1/0"})
-		So(p.Waits[0].Reason, ShouldEqual, api.ReasonBehindGang)
+		So(p.Waiting[0].Reason, ShouldEqual, api.ReasonBehindGang)
 		for range 10 {
 			b.advance()
 		}
@@ -288,13 +288,13 @@
 		}
 		b.submit(urgent)
 		p := b.cycle()
-		So(p.Preempts, ShouldHaveLength, 2)
-		So(p.Preempts[0].Task.Job, ShouldEqual, api.JobID("c1"))
+		So(p.Preemptions, ShouldHaveLength, 2)
+		So(p.Preemptions[0].Task.Job, ShouldEqual, api.JobID("c1"))
 		So(p.Starts, ShouldBeEmpty)
-		b.end(p.Preempts[0].Task)
+		b.end(p.Preemptions[0].Task)
 		b.submit(job("x1", api.ClassBatch, 1, 1000))
 		So(b.cycle().Starts, ShouldBeEmpty) // the room is nominated
-		b.end(p.Preempts[1].Task)
+		b.end(p.Preemptions[1].Task)
 		So(started(b.cycle()), ShouldResemble, []string{"u1/0"})
 		So(b.nominations, ShouldBeEmpty)
 	})
@@ -305,9 +305,9 @@
 		wave := urgent
 		wave.Tasks = 3
 		b.submit(wave)
-		So(b.cycle().Preempts, ShouldHaveLength, 2)
-		So(b.cycle().Preempts, ShouldHaveLength, 1)
-		So(b.cycle().Preempts, ShouldBeEmpty)
+		So(b.cycle().Preemptions, ShouldHaveLength, 2)
+		So(b.cycle().Preemptions, ShouldHaveLength, 1)
+		So(b.cycle().Preemptions, ShouldBeEmpty)
 	})
 	Convey("An urgent gang has room made for all its tasks, or for none", t, func() {
 		gang := urgent
@@ -318,8 +318,8 @@
 			b.cycle()
 			b.submit(gang)
 			p := b.cycle()
-			So(p.Preempts, ShouldHaveLength, stopped)
-			for i, v := range p.Preempts {
+			So(p.Preemptions, ShouldHaveLength, stopped)
+			for i, v := range p.Preemptions {
 				b.submit(job("x1", api.ClassBatch, 1, 1000))
 				So(b.cycle().Starts, ShouldBeEmpty)
 				b.end(v.Task)
@@ -332,9 +332,9 @@
 		b.submit(job("a1", api.ClassBatch, 1, 4000))
 		b.cycle()
 		b.submit(urgent)
-		So(b.cycle().Preempts, ShouldHaveLength, 1)
+		So(b.cycle().Preemptions, ShouldHaveLength, 1)
 		b.now = b.now.Add(DefaultNominationTimeout)
-		So(b.cycle().Preempts, ShouldHaveLength, 1)
+		So(b.cycle().Preemptions, ShouldHaveLength, 1)
 		b.RemoveJob("u1")
 		So(b.nominations, ShouldBeEmpty)
 	})
--- a/internal/scheduler/team.go
+++ b/internal/scheduler/team.go
@@ -15,7 +15,7 @@
 
 // PutQuota sets or replaces a team's quota and weight. A team without one is
 // unbounded, with a weight of 1.
-func (w *World) PutQuota(q api.QuotaSpec) {
+func (w *State) PutQuota(q api.QuotaSpec) {
 	t := w.teamOf(q.Team)
 	t.limited = true
 	t.max = q.Max
@@ -24,8 +24,8 @@
 	w.wakeTeam(t)
 }
 
-// TeamUse returns what a team's running and reserved tasks hold.
-func (w *World) TeamUse(team string) api.Resources {
+// TeamUsage returns what a team's running and reserved tasks hold.
+func (w *State) TeamUsage(team string) api.Resources {
 	t := w.teams[team]
 	if t == nil {
 		return api.Resources{}
@@ -33,7 +33,7 @@
 	return t.use
 }
 
-func (w *World) teamOf(name string) *teamState {
+func (w *State) teamOf(name string) *teamState {
 	t := w.teams[name]
 	if t == nil {
 		t = &teamState{name: name, weight: 1}
--- a/internal/scheduler/types.go
+++ b/internal/scheduler/types.go
@@ -42,8 +42,8 @@
 	Avoid map[api.VMID]bool
 }
 
-// Running is a task that occupies a VM.
-type Running struct {
+// RunningTask is a task that occupies a VM.
+type RunningTask struct {
 	Task           api.TaskID
 	VM             api.VMID
 	Team           string
@@ -63,15 +63,15 @@
 	Gang      bool // all starts of the job must be applied together or not at all
 }
 
-// Preempt proposes to checkpoint and stop a running task in favour of a job.
-type Preempt struct {
-	Task api.TaskID
-	VM   api.VMID
-	For  api.JobID
+// Preemption proposes to checkpoint and stop a running task in favour of a job.
+type Preemption struct {
+	Task      api.TaskID
+	VM        api.VMID
+	Preemptor api.JobID
 }
 
-// Wait says why a job's tasks were not placed in a cycle.
-type Wait struct {
+// WaitingJob says why a job's tasks were not placed in a cycle.
+type WaitingJob struct {
 	Job    api.JobID
 	Reason api.Reason
 	Detail string // what is missing, for operators
@@ -79,8 +79,8 @@
 
 // Plan is the outcome of one cycle.
 type Plan struct {
-	Starts     []Start
-	Preempts   []Preempt
-	Waits      []Wait // jobs that wait, with the first reason found
-	Impossible []Wait // jobs that no VM of the cell could ever hold
+	Starts      []Start
+	Preemptions []Preemption
+	Waiting     []WaitingJob // jobs that wait, with the first reason found
+	Infeasible  []WaitingJob // jobs that no VM of the cell could ever hold
 }
--- a/internal/scheduler/vm.go
+++ b/internal/scheduler/vm.go
@@ -56,7 +56,7 @@
 }
 
 // PutVM adds a VM or replaces what is known of it; its tasks stay.
-func (w *World) PutVM(vm VM) {
+func (w *State) PutVM(vm VM) {
 	v := w.vmOf(vm.ID)
 	if v.known && v.VM == vm {
 		return
@@ -77,7 +77,7 @@
 }
 
 // countRack adds by to the counts by rack of the jobs with tasks on v.
-func (w *World) countRack(v *vmState, by int) {
+func (w *State) countRack(v *vmState, by int) {
 	for _, h := range v.holdings {
 		w.countSpread(h, by)
 	}
@@ -85,7 +85,7 @@
 
 // RemoveVM takes a VM out of the list. Tasks on it keep counting against
 // their teams until Vacate.
-func (w *World) RemoveVM(id api.VMID) {
+func (w *State) RemoveVM(id api.VMID) {
 	v := w.vms[id]
 	if v == nil || !v.known {
 		return
@@ -102,7 +102,7 @@
 // Free returns the capacity of a VM that is neither used nor reserved, and
 // whether the VM is listed. A field is negative after the VM shrank or was
 // reported to hold more than it can.
-func (w *World) Free(id api.VMID) (api.Resources, bool) {
+func (w *State) Free(id api.VMID) (api.Resources, bool) {
 	v := w.vms[id]
 	if v == nil || !v.known {
 		return api.Resources{}, false
@@ -112,7 +112,7 @@
 
 // vmOf returns the state of a VM; one that isn't listed yet gets an entry
 // without capacity.
-func (w *World) vmOf(id api.VMID) *vmState {
+func (w *State) vmOf(id api.VMID) *vmState {
 	v := w.vms[id]
 	if v == nil {
 		v = &vmState{VM: VM{ID: id}}
@@ -121,13 +121,13 @@
 	return v
 }
 
-func (w *World) dropIfEmpty(v *vmState) {
+func (w *State) dropIfEmpty(v *vmState) {
 	if !v.known && len(v.holdings) == 0 && v.hold == nil && v.nominated.IsZero() {
 		delete(w.vms, v.ID)
 	}
 }
 
-func (w *World) index(v *vmState) {
+func (w *State) index(v *vmState) {
 	w.quarantine.set(v, v.known && v.Schedulable && v.Quarantined)
 	if !v.open() {
 		return
@@ -138,14 +138,14 @@
 	w.dataCentreOf(v.DataCentre).partitionOf(v).insert(v)
 }
 
-func (w *World) unindex(v *vmState) {
+func (w *State) unindex(v *vmState) {
 	if v.part != nil {
 		v.part.remove(v)
 	}
 }
 
 // reindex follows a change of what v has to spare.
-func (w *World) reindex(v *vmState) {
+func (w *State) reindex(v *vmState) {
 	if v.part != nil && !v.spare().Negative() {
 		v.part.update(v)
 		return
@@ -155,7 +155,7 @@
 }
 
 // markFreed notes that v may now hold work which waits.
-func (w *World) markFreed(v *vmState) {
+func (w *State) markFreed(v *vmState) {
 	if v.freed {
 		return
 	}
@@ -163,7 +163,7 @@
 	w.freed = append(w.freed, v)
 }
 
-func (w *World) dataCentreOf(name api.DataCentre) *dataCentre {
+func (w *State) dataCentreOf(name api.DataCentre) *dataCentre {
 	d := w.dataCentres[name]
 	if d == nil {
 		d = &dataCentre{name: name}
--- a/internal/scheduler/wave_test.go
+++ b/internal/scheduler/wave_test.go
@@ -42,7 +42,7 @@
 	for _, kind := range waveKinds {
 		w.waits[kind] = hdrhistogram.New(1, time.Hour.Milliseconds(), 3)
 	}
-	putFleet(w.World, 48, 2)
+	putFleet(w.State, 48, 2)
 	return w
 }
 
@@ -106,7 +106,7 @@
 func (w *wave) tick() {
 	w.arrivals()
 	w.ends()
-	p := w.by.Cycle(w.World, w.now, 1000)
+	p := w.by.Cycle(w.State, w.now, 1000)
 	w.apply(p, w.now)
 	for _, s := range p.Starts {
 		if at, first := w.arrived[s.Task.Job]; first {
@@ -114,7 +114,7 @@
 			delete(w.arrived, s.Task.Job)
 		}
 	}
-	for _, p := range p.Preempts {
+	for _, p := range p.Preemptions {
 		w.stopping[p.Task] = w.now.Add(checkpointTime)
 	}
 	w.now = w.now.Add(waveTick)
--- a/internal/scheduler/world.go
+++ b/internal/scheduler/world.go
@@ -6,12 +6,12 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// World is the state that plans are made from: VMs, jobs with pending tasks,
+// State is the state that plans are made from: VMs, jobs with pending tasks,
 // what runs or is reserved, and quotas. It is not safe for concurrent use.
 //
 // Changes keep its indexes up to date, so that a cycle reads only what a
 // change can have affected.
-type World struct {
+type State struct {
 	vms         map[api.VMID]*vmState
 	dataCentres map[api.DataCentre]*dataCentre
 	dcList      []*dataCentre // in order of first appearance
@@ -46,9 +46,9 @@
 	nominations    []*nomination
 }
 
-// NewWorld returns an empty world.
-func NewWorld() *World {
-	return &World{
+// NewState returns an empty world.
+func NewState() *State {
+	return &State{
 		vms:         make(map[api.VMID]*vmState),
 		dataCentres: make(map[api.DataCentre]*dataCentre),
 		fleet:       fleet{kinds: make(map[vmKind]*kindCount)},
@@ -100,18 +100,18 @@
 	VMs          int
 	Capacity     api.Resources // of the listed VMs
 	Used         api.Resources // running and reserved
-	Holdings     int           // tasks running or reserved
+	Allocations  int           // tasks running or reserved
 	QueuedJobs   int           // jobs with pending tasks
 	PendingTasks int
 }
 
 // Totals returns the sums over the whole World.
-func (w *World) Totals() Totals {
+func (w *State) Totals() Totals {
 	return Totals{
 		VMs:          w.fleet.vms,
 		Capacity:     w.fleet.total,
 		Used:         w.used,
-		Holdings:     len(w.holdings),
+		Allocations:  len(w.holdings),
 		QueuedJobs:   w.queue.jobs,
 		PendingTasks: w.queue.tasks,
 	}
@@ -137,7 +137,7 @@
 
 // Occupy records that a task occupies a VM. A reservation of the task turns
 // into use; repeated, it replaces what was recorded before.
-func (w *World) Occupy(r Running) {
+func (w *State) Occupy(r RunningTask) {
 	probe := false
 	if old := w.holdings[r.Task]; old != nil {
 		if old.holdsAs(r) {
@@ -164,12 +164,12 @@
 }
 
 // holdsAs reports whether h holds the same on the same VM as r says.
-func (h *holding) holdsAs(r Running) bool {
+func (h *holding) holdsAs(r RunningTask) bool {
 	return h.vm.ID == r.VM && h.team.name == r.Team && h.resources == r.Resources
 }
 
 // confirm takes over from r what doesn't change what h holds.
-func (w *World) confirm(h *holding, r Running) {
+func (w *State) confirm(h *holding, r RunningTask) {
 	w.countEvictable(h, -1)
 	h.started = unixNano(r.Started)
 	h.end = unixNano(r.ExpectedEnd)
@@ -182,7 +182,7 @@
 
 // Vacate records that a task no longer occupies its VM. The task is not
 // pending again until a PutJob says so.
-func (w *World) Vacate(task api.TaskID) {
+func (w *State) Vacate(task api.TaskID) {
 	h := w.holdings[task]
 	if h == nil {
 		return
@@ -194,7 +194,7 @@
 
 // wakeAfter lets be tried what may go on without h: work for its VM, its
 // team's, and its own job's if that is spread.
-func (w *World) wakeAfter(h *holding) {
+func (w *State) wakeAfter(h *holding) {
 	w.markFreed(h.vm)
 	w.wakeTeam(h.team)
 	if j := w.jobs[h.task.Job]; j != nil && j.spread != nil && j.queue != nil {
@@ -204,7 +204,7 @@
 
 // Release drops the reservation of a start that was rejected; the task is
 // pending again. It does nothing to a task that runs.
-func (w *World) Release(task api.TaskID) {
+func (w *State) Release(task api.TaskID) {
 	h := w.holdings[task]
 	if h == nil || !h.reserved {
 		return
@@ -214,7 +214,7 @@
 }
 
 // hold adds h to its VM, its team and the sums.
-func (w *World) hold(h *holding) {
+func (w *State) hold(h *holding) {
 	v := h.vm
 	w.holdings[h.task] = h
 	h.slot = int32(len(v.holdings))
@@ -227,7 +227,7 @@
 	w.reindex(v)
 }
 
-func (w *World) vacate(h *holding) {
+func (w *State) vacate(h *holding) {
 	v := h.vm
 	delete(w.holdings, h.task)
 	last := len(v.holdings) - 1
