--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,120 +1,122 @@
-// Package admission decides whether a leader accepts a job that is handed in. It holds
-// neither clock nor sockets: what waits and the time come in, a verdict goes out.
+// Package admission decides whether a leader accepts a submitted job. It does no I/O and
+// reads no clock: the caller passes in the backlog and the time.
 //
-// A job is refused if what comes before it takes longer than it can usefully wait. What
-// has been accepted is protected as well: while more than LongestWait of it waits for a
-// resource, new jobs get half of that resource. They aren't all refused, since what waits
-// may be work that finds no room (gangs wider than the executors that are left) or that
-// earns nothing any more, while there is room for jobs that would begin at once.
+// A job is refused if the work ahead of it takes longer than the job can usefully wait.
+// Accepted work is protected as well: while its backlog for a resource exceeds
+// BacklogThreshold, new jobs get half of that resource. They are not all refused, because
+// the backlog may consist of work that fits nowhere (gangs wider than the remaining
+// executors) or that is no longer of use, while there is free capacity for jobs that
+// would start immediately.
 package admission
 
 import "time"
 
-// BacklogThreshold is how long all executors, or all machines that make calls for advice,
-// may need for what waits before new jobs are admitted at half the rate. What has been
-// accepted has to be started within some 10 s when nothing new comes.
+// BacklogThreshold is the time that all executors, or all machines that make advice calls,
+// may need for the backlog before new jobs are admitted at half the rate. Accepted work
+// must be started within about 10 s when no new jobs arrive.
 const BacklogThreshold = 8 * time.Second
 
 const (
-	// newShare is the part of a crowded resource that new jobs get. What was accepted
-	// keeps the other half, so it waits at most twice as long as if nothing new came.
-	newShare = 0.5
-	// burst is how much unused allowance is kept: what new jobs get of a resource in a
-	// second.
-	burst = time.Duration(newShare * float64(time.Second))
+	// newJobShare is the share of an overloaded resource that new jobs get. Accepted work
+	// keeps the other half, so it waits at most twice as long as without new jobs.
+	newJobShare = 0.5
+	// burst bounds the unused budget that is kept: what new jobs get of a resource in
+	// one second.
+	burst = time.Duration(newJobShare * float64(time.Second))
 )
 
-// Demand is what a job needs of one resource.
+// Demand is the load on one resource: the backlog and what a job adds to it.
 type Demand struct {
 	Resource string
-	Backlog  time.Duration // for which what waits keeps all of the resource busy
-	Added    time.Duration // for which the job by itself does
+	Backlog  time.Duration // time for which the waiting work occupies the whole resource
+	Added    time.Duration // time for which the job alone occupies it
 }
 
-// crowded reports whether what waits for the resource is to be protected.
-func (n Demand) crowded() bool { return n.Backlog > BacklogThreshold }
+// overloaded reports whether the backlog of the resource must be protected.
+func (d Demand) overloaded() bool { return d.Backlog > BacklogThreshold }
 
-// Request is a job that is handed in.
+// Request describes a submitted job.
 type Request struct {
-	ExpectedWait  time.Duration // for its first start, behind what comes before it
-	MaxUsefulWait time.Duration // the longest wait with which it is still of use
+	ExpectedWait  time.Duration // time until its first start, behind the work ahead of it
+	MaxUsefulWait time.Duration // longest wait after which the job is still of use
 	Demands       []Demand
 }
 
 // Reason says why a job is refused.
 type Reason string
 
-// Reasons of refusals.
+// Reasons for refusing a job.
 const (
 	TooLate    Reason = "it would end too late to be of use"
 	Overloaded Reason = "too much waits"
 )
 
-// Decision is the decision on a request; no reason: it is accepted.
+// Decision is the outcome of a request. The job is accepted if Reason is empty.
 type Decision struct {
 	Reason     Reason
-	Resource   string        // that is crowded
-	RetryAfter time.Duration // after which this will have changed
+	Resource   string        // the overloaded resource
+	RetryAfter time.Duration // time after which a retry may be accepted
 }
 
-// Controller decides on the jobs that are handed in to one leader. Its user guards it.
+// Controller decides on the jobs submitted to one leader. It is not safe for concurrent use.
 type Controller struct {
-	allowances map[string]*allowance
+	budgets map[string]*budget
 }
 
-// Decide returns whether a job is accepted, and counts what it takes of crowded
-// resources.
-func (g *Controller) Decide(r Request, now time.Time) Decision {
+// Decide returns whether a job is accepted and charges an accepted job to the budgets of
+// the overloaded resources.
+func (c *Controller) Decide(r Request, now time.Time) Decision {
 	if excess := r.ExpectedWait - r.MaxUsefulWait; excess > 0 {
 		return Decision{Reason: TooLate, RetryAfter: excess}
 	}
-	for _, n := range r.Demands {
-		if !n.crowded() {
+	for _, d := range r.Demands {
+		if !d.overloaded() {
 			continue
 		}
-		if wait := g.allowance(n.Resource, now).wait(n.Added); wait > 0 {
-			return Decision{Reason: Overloaded, Resource: n.Resource, RetryAfter: min(wait, n.drained())}
+		if wait := c.budget(d.Resource, now).waitFor(d.Added); wait > 0 {
+			return Decision{Reason: Overloaded, Resource: d.Resource, RetryAfter: min(wait, d.drainTime())}
 		}
 	}
-	for _, n := range r.Demands { // of none before all are there
-		if n.crowded() {
-			g.allowance(n.Resource, now).left -= n.Added
+	for _, d := range r.Demands { // charged only after every resource has accepted the job
+		if d.overloaded() {
+			c.budget(d.Resource, now).available -= d.Added
 		}
 	}
 	return Decision{}
 }
 
-// drained returns after what time the resource will not be crowded any more, when new
-// jobs take all that they may.
-func (n Demand) drained() time.Duration {
-	return time.Duration(float64(n.Backlog-BacklogThreshold) / (1 - newShare))
+// drainTime returns the time until the resource is no longer overloaded if new jobs use
+// their whole share.
+func (d Demand) drainTime() time.Duration {
+	return time.Duration(float64(d.Backlog-BacklogThreshold) / (1 - newJobShare))
 }
 
-// allowance is what new jobs may take of a crowded resource.
-type allowance struct {
-	left time.Duration // negative after a job larger than burst
-	at   time.Time     // up to which it was given
+// budget is the amount of an overloaded resource that new jobs may use, as a token bucket.
+type budget struct {
+	available time.Duration // negative after a job larger than the budget
+	updatedAt time.Time     // time up to which the budget was refilled
 }
 
-// allowance returns what new jobs may take of a resource now.
-func (g *Controller) allowance(resource string, now time.Time) *allowance {
-	a := g.allowances[resource]
-	if a == nil {
-		a = &allowance{left: burst, at: now}
-		if g.allowances == nil {
-			g.allowances = make(map[string]*allowance)
+// budget returns the budget of a resource, refilled up to now.
+func (c *Controller) budget(resource string, now time.Time) *budget {
+	b := c.budgets[resource]
+	if b == nil {
+		b = &budget{available: burst, updatedAt: now}
+		if c.budgets == nil {
+			c.budgets = make(map[string]*budget)
 		}
-		g.allowances[resource] = a
+		c.budgets[resource] = b
 	}
-	given := time.Duration(newShare * float64(now.Sub(a.at)))
-	a.left = min(burst, a.left+given)
-	a.at = now
-	return a
+	refill := time.Duration(newJobShare * float64(now.Sub(b.updatedAt)))
+	b.available = min(burst, b.available+refill)
+	b.updatedAt = now
+	return b
 }
 
-// wait returns how long a job has to wait for its part; zero: not at all. One that
-// needs more than burst waits for all of that, or it would never be accepted.
-func (a *allowance) wait(added time.Duration) time.Duration {
-	missing := min(added, burst) - a.left
-	return time.Duration(float64(missing) / newShare)
+// waitFor returns how long a job must wait until the budget covers it; zero or less means
+// no wait. A job that needs more than burst waits only for burst, or it would never be
+// accepted.
+func (b *budget) waitFor(added time.Duration) time.Duration {
+	missing := min(added, burst) - b.available
+	return time.Duration(float64(missing) / newJobShare)
 }
