--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,14 +1,15 @@
-// Package quarantine tells workers that fail everything from tasks that fail
-// everywhere.
+// Package quarantine distinguishes VMs on which all tasks fail from tasks that
+// fail on all VMs.
 //
-// A VM is quarantined when its failure rate stands out against that of the
-// rest of the fleet and more than one job failed on it; at most a share of
-// the fleet is quarantined at once, the worst first. It is released when
-// probes end well. A task is blamed when it failed on several VMs that are
-// healthy; those failures are then no longer held against the VMs.
+// A VM is quarantined when its failure rate is much higher than that of the
+// rest of the fleet and more than one job failed on it. At most a share of the
+// fleet is quarantined at once, the VMs with the highest failure rate first. A
+// VM is released after consecutive successful probes. A task that failed on
+// several healthy VMs is reported as a FailingTask, and its failures are removed
+// from the counts of those VMs.
 //
-// It is pure code: time is passed in. A Tracker is not safe for concurrent
-// use.
+// The package does no I/O and reads no clock: time is passed in. A Tracker is
+// not safe for concurrent use.
 package quarantine
 
 import (
@@ -20,94 +21,94 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// jobsKept bounds the failed jobs remembered of one VM.
-const jobsKept = 4
+// maxFailedJobs bounds the failed jobs recorded for one VM.
+const maxFailedJobs = 4
 
-// Change is a VM that enters or leaves quarantine.
+// Change reports that a VM enters or leaves quarantine.
 type Change struct {
 	VM          api.VMID
 	Quarantined bool
 	Detail      string // for operators
 }
 
-// FailingTask is a task that is to be stopped because it fails everywhere.
+// FailingTask is a task that must be stopped because it fails on every VM.
 type FailingTask struct {
 	Task   api.TaskID
 	Reason api.Reason // ReasonFailsAnywhere
 	Detail string
 }
 
-// vmRecord is what is held against one VM.
+// vmRecord holds the task outcomes of one VM.
 type vmRecord struct {
-	rate        rate
-	jobs        []api.JobID // that failed there lately, each once
-	quarantined bool
-	probesWell  int // in a row
+	outcomes     outcomes
+	failedJobs   []api.JobID // jobs that failed there most recently, without duplicates
+	quarantined  bool
+	probesPassed int // consecutive successful probes
 }
 
-// Tracker follows the outcomes of tasks.
+// Tracker records task outcomes and decides which VMs to quarantine.
 type Tracker struct {
-	cfg         Config
-	vms         map[api.VMID]*vmRecord
-	fleet       rate
-	quarantined int
-	suspects    map[api.VMID]bool // failed since the last Decide
-	released    []Change
-	failures    map[api.TaskID][]api.VMID // on which VMs, each once
-	order       []api.TaskID              // of failures, oldest first; may hold forgotten ones
+	cfg           Config
+	vms           map[api.VMID]*vmRecord
+	fleetOutcomes outcomes
+	quarantined   int
+	suspects      map[api.VMID]bool // VMs with a failure since the last Decide, or waiting for a place in quarantine
+	released      []Change
+	taskFailures  map[api.TaskID][]api.VMID // VMs on which each task failed, without duplicates
+	failureOrder  []api.TaskID              // keys of taskFailures, oldest first; may include deleted keys
 }
 
 // New returns a Tracker. Zero fields of cfg take their defaults.
 func New(cfg Config) *Tracker {
 	return &Tracker{
-		cfg:      cfg.WithDefaults(),
-		vms:      make(map[api.VMID]*vmRecord),
-		suspects: make(map[api.VMID]bool),
-		failures: make(map[api.TaskID][]api.VMID),
+		cfg:          cfg.WithDefaults(),
+		vms:          make(map[api.VMID]*vmRecord),
+		suspects:     make(map[api.VMID]bool),
+		taskFailures: make(map[api.TaskID][]api.VMID),
 	}
 }
 
-// Configure replaces the configuration; what was recorded stays. VMs beyond a
-// smaller share stay in quarantine until their probes end well.
+// Configure replaces the configuration and keeps the recorded outcomes. If the
+// new share is smaller, VMs already quarantined stay so until their probes succeed.
 func (t *Tracker) Configure(cfg Config) {
 	t.cfg = cfg.WithDefaults()
 }
 
-// RecordSuccess records a task that ended well on a VM. On a quarantined VM it
-// counts as a probe.
+// RecordSuccess records a task that succeeded on a VM. On a quarantined VM it
+// counts as a successful probe.
 func (t *Tracker) RecordSuccess(vm api.VMID, task api.TaskID, now time.Time) {
-	delete(t.failures, task)
-	v := t.record(vm, false, now)
+	delete(t.taskFailures, task)
+	v := t.addOutcome(vm, false, now)
 	if !v.quarantined {
 		return
 	}
-	v.probesWell++
-	if v.probesWell < t.cfg.RequiredProbes {
+	v.probesPassed++
+	if v.probesPassed < t.cfg.RequiredProbes {
 		return
 	}
 	t.quarantined--
-	t.vms[vm] = &vmRecord{rate: rate{at: now}}
-	t.released = append(t.released, Change{VM: vm, Detail: fmt.Sprintf("%d probes ended well", v.probesWell)})
+	t.vms[vm] = &vmRecord{outcomes: outcomes{updatedAt: now}}
+	t.released = append(t.released, Change{VM: vm, Detail: fmt.Sprintf("%d probes ended well", v.probesPassed)})
 }
 
-// RecordFailure records a task that failed on a VM by itself, not by a stop or the
-// loss of the VM. It returns the blame when the task has now failed on
-// enough healthy VMs.
+// RecordFailure records a task that failed on a VM by itself, not because it was
+// stopped or the VM was lost. It returns a FailingTask and true if the task has
+// now failed on enough healthy VMs.
 func (t *Tracker) RecordFailure(vm api.VMID, task api.TaskID, now time.Time) (FailingTask, bool) {
-	v := t.record(vm, true, now)
-	v.probesWell = 0
-	v.remember(task.Job)
+	v := t.addOutcome(vm, true, now)
+	v.probesPassed = 0
+	v.addFailedJob(task.Job)
 	t.suspects[vm] = true
-	t.rememberFailure(task, vm)
-	return t.blame(task)
+	t.addTaskFailure(task, vm)
+	return t.detectFailingTask(task)
 }
 
-// ForgetTask drops what is remembered of a task that ended for good.
+// ForgetTask removes the recorded failures of a task that will not run again.
 func (t *Tracker) ForgetTask(task api.TaskID) {
-	delete(t.failures, task)
+	delete(t.taskFailures, task)
 }
 
-// RemoveVM forgets a VM that left the fleet.
+// RemoveVM removes all records of a VM that left the fleet.
 func (t *Tracker) RemoveVM(vm api.VMID) {
 	if v := t.vms[vm]; v != nil && v.quarantined {
 		t.quarantined--
@@ -116,24 +117,24 @@
 	delete(t.suspects, vm)
 }
 
-// Decide returns the VMs that enter or leave quarantine, of a fleet of
-// fleetSize VMs. It reads only those on which something failed since the
-// last call, and keeps in view those that the share left no place for.
+// Decide returns the VMs that enter or leave quarantine in a fleet of fleetSize
+// VMs. It examines only the VMs with a failure since the last call and those that
+// were outliers then but exceeded the allowed share.
 func (t *Tracker) Decide(fleetSize int, now time.Time) []Change {
 	changes := t.released
 	t.released = nil
-	t.fleet.fade(now, t.cfg.HalfLife)
-	limit := t.limit(fleetSize)
-	for _, s := range t.standouts(now) {
+	t.fleetOutcomes.decay(now, t.cfg.HalfLife)
+	limit := t.maxQuarantined(fleetSize)
+	for _, o := range t.outliers(now) {
 		if t.quarantined >= limit {
 			break
 		}
-		v := t.vms[s.vm]
+		v := t.vms[o.vm]
 		v.quarantined = true
-		v.probesWell = 0
+		v.probesPassed = 0
 		t.quarantined++
-		delete(t.suspects, s.vm)
-		changes = append(changes, Change{VM: s.vm, Quarantined: true, Detail: s.detail})
+		delete(t.suspects, o.vm)
+		changes = append(changes, Change{VM: o.vm, Quarantined: true, Detail: o.detail})
 	}
 	return changes
 }
@@ -144,78 +145,78 @@
 	return v != nil && v.quarantined
 }
 
-// limit is the most VMs in quarantine: a share of the fleet, but one at
-// least, so that small fleets are protected too.
-func (t *Tracker) limit(fleetSize int) int {
+// maxQuarantined returns the maximum number of quarantined VMs: a share of the
+// fleet, but at least one, so that small fleets are protected too.
+func (t *Tracker) maxQuarantined(fleetSize int) int {
 	return max(1, int(t.cfg.Policy.QuarantineShare*float64(fleetSize)))
 }
 
-// standout is a VM whose failures stand out.
-type standout struct {
-	vm     api.VMID
-	rate   float64
-	detail string
+// outlier is a VM whose failure rate is much higher than that of the fleet.
+type outlier struct {
+	vm          api.VMID
+	failureRate float64
+	detail      string
 }
 
-// standouts returns the VMs to quarantine, the worst first, and drops the
-// other suspects.
-func (t *Tracker) standouts(now time.Time) []standout {
-	var found []standout
+// outliers returns the VMs to quarantine, those with the highest failure rate
+// first, and removes all other VMs from the suspects.
+func (t *Tracker) outliers(now time.Time) []outlier {
+	var found []outlier
 	for vm := range t.suspects {
 		v := t.vms[vm]
-		if v == nil || v.quarantined || !t.standsOut(v, now) {
+		if v == nil || v.quarantined || !t.isOutlier(v, now) {
 			delete(t.suspects, vm)
 			continue
 		}
-		found = append(found, standout{vm: vm, rate: v.rate.of(), detail: fmt.Sprintf(
+		found = append(found, outlier{vm: vm, failureRate: v.outcomes.failureRate(), detail: fmt.Sprintf(
 			"%.0f%% of the last tasks failed there, %.0f%% elsewhere",
-			percent*v.rate.of(), percent*t.elsewhere(v))})
+			percent*v.outcomes.failureRate(), percent*t.failureRateElsewhere(v))})
 	}
-	slices.SortFunc(found, func(a, b standout) int {
-		return cmp.Or(cmp.Compare(b.rate, a.rate), cmp.Compare(a.vm, b.vm))
+	slices.SortFunc(found, func(a, b outlier) int {
+		return cmp.Or(cmp.Compare(b.failureRate, a.failureRate), cmp.Compare(a.vm, b.vm))
 	})
 	return found
 }
 
 const percent = 100
 
-func (t *Tracker) standsOut(v *vmRecord, now time.Time) bool {
-	v.rate.fade(now, t.cfg.HalfLife)
-	return v.rate.failed > float64(t.cfg.Policy.QuarantineFailures)-1 &&
-		len(v.jobs) >= t.cfg.MinFailedJobs &&
-		v.rate.of() >= t.cfg.MinFailureRate &&
-		v.rate.of() >= t.cfg.RateFactor*t.elsewhere(v)
+func (t *Tracker) isOutlier(v *vmRecord, now time.Time) bool {
+	v.outcomes.decay(now, t.cfg.HalfLife)
+	return v.outcomes.failed > float64(t.cfg.Policy.QuarantineFailures)-1 &&
+		len(v.failedJobs) >= t.cfg.MinFailedJobs &&
+		v.outcomes.failureRate() >= t.cfg.MinFailureRate &&
+		v.outcomes.failureRate() >= t.cfg.RateFactor*t.failureRateElsewhere(v)
 }
 
-// elsewhere is the failure rate of the fleet without v.
-func (t *Tracker) elsewhere(v *vmRecord) float64 {
-	rest := rate{failed: max(t.fleet.failed-v.rate.failed, 0), ended: t.fleet.ended - v.rate.ended}
-	return rest.of()
+// failureRateElsewhere returns the failure rate of the fleet without v.
+func (t *Tracker) failureRateElsewhere(v *vmRecord) float64 {
+	rest := outcomes{failed: max(t.fleetOutcomes.failed-v.outcomes.failed, 0), ended: t.fleetOutcomes.ended - v.outcomes.ended}
+	return rest.failureRate()
 }
 
-// record adds an outcome to the VM and, unless it is in quarantine, to the
-// fleet.
-func (t *Tracker) record(vm api.VMID, failed bool, now time.Time) *vmRecord {
+// addOutcome adds an outcome to the counts of the VM and, unless the VM is
+// quarantined, to those of the fleet.
+func (t *Tracker) addOutcome(vm api.VMID, failed bool, now time.Time) *vmRecord {
 	v := t.vms[vm]
 	if v == nil {
-		v = &vmRecord{rate: rate{at: now}}
+		v = &vmRecord{outcomes: outcomes{updatedAt: now}}
 		t.vms[vm] = v
 	}
-	v.rate.fade(now, t.cfg.HalfLife)
-	v.rate.add(failed)
+	v.outcomes.decay(now, t.cfg.HalfLife)
+	v.outcomes.add(failed)
 	if !v.quarantined {
-		t.fleet.fade(now, t.cfg.HalfLife)
-		t.fleet.add(failed)
+		t.fleetOutcomes.decay(now, t.cfg.HalfLife)
+		t.fleetOutcomes.add(failed)
 	}
 	return v
 }
 
-func (v *vmRecord) remember(job api.JobID) {
-	if slices.Contains(v.jobs, job) {
+func (v *vmRecord) addFailedJob(job api.JobID) {
+	if slices.Contains(v.failedJobs, job) {
 		return
 	}
-	if len(v.jobs) == jobsKept {
-		v.jobs = slices.Delete(v.jobs, 0, 1)
+	if len(v.failedJobs) == maxFailedJobs {
+		v.failedJobs = slices.Delete(v.failedJobs, 0, 1)
 	}
-	v.jobs = append(v.jobs, job)
+	v.failedJobs = append(v.failedJobs, job)
 }
