--- a/internal/estimate/config.go
+++ b/internal/estimate/config.go
@@ -22,24 +22,27 @@
 
 // Config tunes an Estimator. Zero fields take their defaults.
 type Config struct {
-	// Policy gives OveruseFactor and OverrunFactor.
+	// Policy provides OveruseFactor and OverrunFactor.
 	Policy api.PolicySpec
-	// MinShare is the least share of the declared amounts to plan with, 0 to 1.
+	// MinShare is the minimum share of the declared amounts that an estimate may
+	// fall to, 0 to 1.
 	MinShare float64
-	// Quantile of the processor use and run times to plan with, 0 to 1.
+	// Quantile of the observed processor usage and run times that an estimate uses,
+	// 0 to 1.
 	Quantile float64
-	// MinReports and FewestRuns are needed before an estimate falls below
-	// what was declared.
+	// MinReports and FewestRuns are the numbers of samples required before an
+	// estimate may fall below the declared amounts.
 	MinReports int
 	MinRuns    int
-	// GracePeriod is the time an action is given to show in the reports before the
-	// next, sterner one.
+	// GracePeriod is the time for which an action may take effect in the reports
+	// before the next, more severe one.
 	GracePeriod time.Duration
-	// MaxSignatures bounds the memory; those unused longest are forgotten.
+	// MaxSignatures bounds the number of signatures; the least recently used are
+	// evicted.
 	MaxSignatures int
 }
 
-// Validate returns a *finding.List of every field out of its range, or nil.
+// Validate returns a *finding.List of all fields that are out of range, or nil.
 func (c Config) Validate() error {
 	var l finding.List
 	factor := func(f float64) bool { return f == 0 || f >= 1 }
@@ -55,7 +58,7 @@
 	return l.Err()
 }
 
-// WithDefaults returns c with its zero fields replaced.
+// WithDefaults returns c with zero fields replaced by their defaults.
 func (c Config) WithDefaults() Config {
 	defaults.Set(&c.Policy.OveruseFactor, DefaultOveruseFactor)
 	defaults.Set(&c.Policy.OverrunFactor, DefaultOverrunFactor)
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -1,9 +1,9 @@
-// Package estimate learns what tasks really use and how long they run from
-// the workers' lagging reports, and says what to do about a task that uses
-// or runs far beyond what was declared.
+// Package estimate learns the actual resource usage and run times of tasks from
+// the workers' delayed reports, and decides what to do about a task that uses
+// more or runs longer than declared.
 //
-// It is pure code: it reads no clock and does no I/O. Times are the local
-// ones of the process that asks. An Estimator is not safe for concurrent use.
+// The package does no I/O and reads no clock. Times are local times of the
+// calling process. An Estimator is not safe for concurrent use.
 package estimate
 
 import (
@@ -14,8 +14,8 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// Signature is what jobs have in common that are expected to behave alike:
-// a team tends to send the same work under the same declaration.
+// Signature identifies jobs that are expected to behave alike: a team tends to
+// submit the same work with the same declaration.
 type Signature struct {
 	Team     string
 	Class    api.Class
@@ -28,100 +28,101 @@
 	return Signature{Team: spec.Team, Class: spec.Class, Declared: spec.Resources, RunTime: spec.RunTime}
 }
 
-// Report is a worker's word on one running task.
+// Report is a worker's measurement of one running task.
 type Report struct {
 	Task       api.TaskID
 	Usage      api.Resources
-	MeasuredAt time.Time // local time of the measurement, at the earliest
+	MeasuredAt time.Time // earliest possible local time of the measurement
 	StartedAt  time.Time
 }
 
-// Estimate is what to plan a task with.
+// Estimate is the resources and run time to plan a task with.
 type Estimate struct {
 	Resources api.Resources
-	RunTime   time.Duration // zero: unending, or not known
-	Reports   uint32        // samples it rests on, with older ones faded
+	RunTime   time.Duration // zero if unbounded or unknown
+	Reports   uint32        // number of samples, older ones counted with less weight
 	Runs      uint32
 }
 
-// learned is what is known of one signature.
-type learned struct {
+// signatureStats holds the samples of one signature, as ratios to the declared amounts.
+type signatureStats struct {
 	milliCPU histogram
 	memory   histogram
 	runTime  histogram
-	used     uint64 // Estimator.clock at the last use
+	lastUsed uint64 // Estimator.useCount at the last use
 }
 
-// Estimator learns and judges.
+// Estimator learns estimates and decides on actions against running tasks.
 type Estimator struct {
-	cfg      Config
-	known    map[Signature]*learned
-	clock    uint64 // counts uses
-	offences map[api.TaskID]offence
+	cfg        Config
+	stats      map[Signature]*signatureStats
+	useCount   uint64 // counts uses
+	violations map[api.TaskID]violation
 }
 
 // New returns an Estimator. Zero fields of cfg take their defaults.
 func New(cfg Config) *Estimator {
 	return &Estimator{
-		cfg:      cfg.WithDefaults(),
-		known:    make(map[Signature]*learned),
-		offences: make(map[api.TaskID]offence),
+		cfg:        cfg.WithDefaults(),
+		stats:      make(map[Signature]*signatureStats),
+		violations: make(map[api.TaskID]violation),
 	}
 }
 
-// Configure replaces the configuration; what was learned stays.
+// Configure replaces the configuration and keeps the learned samples.
 func (e *Estimator) Configure(cfg Config) {
 	e.cfg = cfg.WithDefaults()
 }
 
-// Observe learns from a report and returns what to do about the task.
+// Observe adds the samples of a report and returns what to do about the task.
 func (e *Estimator) Observe(spec api.JobSpec, r Report) Decision {
-	l := e.learnedOf(SignatureOf(spec))
+	l := e.statsFor(SignatureOf(spec))
 	if spec.Resources.MilliCPU > 0 {
 		l.milliCPU.add(ratio(r.Usage.MilliCPU, spec.Resources.MilliCPU))
 	}
 	if spec.Resources.MemoryMB > 0 {
 		l.memory.add(ratio(r.Usage.MemoryMB, spec.Resources.MemoryMB))
 	}
-	return e.judge(spec, r)
+	return e.nextAction(spec, r)
 }
 
-// RecordRun learns the run time of a task that ended well, and forgets what
-// was held against it.
-func (e *Estimator) RecordRun(spec api.JobSpec, task api.TaskID, ran time.Duration) {
-	delete(e.offences, task)
+// RecordRun adds the run time of a task that succeeded and removes the task's
+// recorded violation.
+func (e *Estimator) RecordRun(spec api.JobSpec, task api.TaskID, elapsed time.Duration) {
+	delete(e.violations, task)
 	if spec.RunTime <= 0 {
 		return
 	}
-	e.learnedOf(SignatureOf(spec)).runTime.add(ratio(int64(ran), int64(spec.RunTime)))
+	e.statsFor(SignatureOf(spec)).runTime.add(ratio(int64(elapsed), int64(spec.RunTime)))
 }
 
-// ForgetTask drops what was held against a task that no longer runs.
+// ForgetTask removes the recorded violation of a task that no longer runs.
 func (e *Estimator) ForgetTask(task api.TaskID) {
-	delete(e.offences, task)
+	delete(e.violations, task)
 }
 
-// Estimate returns what to plan a pending task of a job with. Accelerators
-// are whole devices and stay as declared. Memory can't be taken back, so it
-// is planned by the largest use seen; processors by a quantile.
+// Estimate returns the resources and run time to plan a pending task of a job
+// with. Accelerators are whole devices and stay as declared. Memory cannot be
+// reclaimed from a running task, so its estimate is the largest usage seen; the
+// estimate for processors is a quantile.
 func (e *Estimator) Estimate(spec api.JobSpec) Estimate {
 	out := Estimate{Resources: spec.Resources, RunTime: spec.RunTime}
-	l := e.known[SignatureOf(spec)]
+	l := e.stats[SignatureOf(spec)]
 	if l == nil {
 		return out
 	}
 	enough := l.memory.total >= uint32(e.cfg.MinReports)
 	out.Reports = l.memory.total
 	out.Runs = l.runTime.total
-	out.Resources.MilliCPU = e.plan(spec.Resources.MilliCPU, l.milliCPU.quantile(e.cfg.Quantile), enough)
-	out.Resources.MemoryMB = e.plan(spec.Resources.MemoryMB, l.memory.quantile(1), enough)
+	out.Resources.MilliCPU = e.adjust(spec.Resources.MilliCPU, l.milliCPU.quantile(e.cfg.Quantile), enough)
+	out.Resources.MemoryMB = e.adjust(spec.Resources.MemoryMB, l.memory.quantile(1), enough)
 	enough = l.runTime.total >= uint32(e.cfg.MinRuns)
-	out.RunTime = time.Duration(e.plan(int64(spec.RunTime), l.runTime.quantile(e.cfg.Quantile), enough))
+	out.RunTime = time.Duration(e.adjust(int64(spec.RunTime), l.runTime.quantile(e.cfg.Quantile), enough))
 	return out
 }
 
-// TaskEstimate returns what to count a running task with: the estimate of
-// its job, but never less than what was last reported of it.
+// TaskEstimate returns the resources to account for a running task: the estimate
+// of its job, but never less than the last reported usage of the task.
 func (e *Estimator) TaskEstimate(spec api.JobSpec, reported api.Resources) api.Resources {
 	r := e.Estimate(spec).Resources
 	r.MilliCPU = max(r.MilliCPU, reported.MilliCPU)
@@ -130,9 +131,9 @@
 	return r
 }
 
-// plan applies a learned ratio to a declared amount: upwards at once,
-// downwards only on enough samples and never below the floor.
-func (e *Estimator) plan(declared int64, learnedRatio float64, enough bool) int64 {
+// adjust applies a learned ratio to a declared amount: increases immediately,
+// decreases only with enough samples and never below MinShare.
+func (e *Estimator) adjust(declared int64, learnedRatio float64, enough bool) int64 {
 	switch {
 	case learnedRatio == 0:
 		return declared
@@ -142,33 +143,33 @@
 	return int64(float64(declared) * max(learnedRatio, e.cfg.MinShare))
 }
 
-func (e *Estimator) learnedOf(s Signature) *learned {
-	l := e.known[s]
+func (e *Estimator) statsFor(s Signature) *signatureStats {
+	l := e.stats[s]
 	if l == nil {
 		e.evict()
-		l = &learned{}
-		e.known[s] = l
+		l = &signatureStats{}
+		e.stats[s] = l
 	}
-	e.clock++
-	l.used = e.clock
+	e.useCount++
+	l.lastUsed = e.useCount
 	return l
 }
 
-// evict forgets the half of the signatures that were unused longest, once
-// there are as many as allowed.
+// evict removes the least recently used half of the signatures when there are
+// MaxSignatures of them.
 func (e *Estimator) evict() {
-	if len(e.known) < e.cfg.MaxSignatures {
+	if len(e.stats) < e.cfg.MaxSignatures {
 		return
 	}
-	uses := make([]uint64, 0, len(e.known))
-	for _, l := range e.known {
-		uses = append(uses, l.used)
+	uses := make([]uint64, 0, len(e.stats))
+	for _, l := range e.stats {
+		uses = append(uses, l.lastUsed)
 	}
 	slices.SortFunc(uses, cmp.Compare[uint64])
 	median := uses[len(uses)/2]
-	for s, l := range e.known {
-		if l.used <= median {
-			delete(e.known, s)
+	for s, l := range e.stats {
+		if l.lastUsed <= median {
+			delete(e.stats, s)
 		}
 	}
 }
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -19,18 +19,18 @@
 }
 
 func TestEstimate(t *testing.T) {
-	Convey("An estimator that heard nothing plans as declared", t, func() {
+	Convey("An estimator without reports returns the declared resources", t, func() {
 		e := New(Config{})
 		So(e.Estimate(spec).Resources, ShouldResemble, spec.Resources)
 
-		Convey("goes up at the first report above, and never below one", func() {
+		Convey("raises the estimate at the first higher report, and never below the reported usage", func() {
 			e.Observe(spec, report(5000, 9000, 0))
 			got := e.Estimate(spec).Resources
 			So(got.MilliCPU, ShouldBeGreaterThanOrEqualTo, 5000)
 			So(got.MemoryMB, ShouldBeBetweenOrEqual, 9000, 9000*1.1)
 			So(e.TaskEstimate(spec, api.Resources{MemoryMB: 20000}).MemoryMB, ShouldEqual, 20000)
 		})
-		Convey("goes down only on enough reports, not under the floor, and keeps the largest memory", func() {
+		Convey("lowers the estimate only after enough reports, not below the minimum share, and keeps the largest memory usage", func() {
 			for range DefaultMinReports - 1 {
 				e.Observe(spec, report(100, 5000, 0))
 			}
@@ -43,60 +43,60 @@
 			So(e.Estimate(spec).Resources.MemoryMB, ShouldBeGreaterThanOrEqualTo, 6000)
 			So(e.Estimate(spec).Resources.Accelerators, ShouldEqual, 1)
 		})
-		Convey("learns run times from those that ended", func() {
+		Convey("learns run times from tasks that ended", func() {
 			for range 20 {
 				e.RecordRun(spec, api.TaskID{}, 3*time.Minute)
 			}
 			So(e.Estimate(spec).RunTime, ShouldBeBetweenOrEqual, 3*time.Minute, 200*time.Second)
 		})
-		Convey("bounds what it remembers", func() {
+		Convey("bounds the number of signatures", func() {
 			e := New(Config{MaxSignatures: 10})
 			for i := range 100 {
 				s := spec
 				s.Resources.MilliCPU = int64(i + 1)
 				e.Observe(s, report(1, 1, 0))
 			}
-			So(len(e.known), ShouldBeLessThanOrEqualTo, 10)
+			So(len(e.stats), ShouldBeLessThanOrEqualTo, 10)
 		})
 	})
-	Convey("Findings name every bad field", t, func() {
+	Convey("Validate names every invalid field", t, func() {
 		err := Config{MinShare: 2, Quantile: -1}.Validate()
 		So(err.Error(), ShouldContainSubstring, "floor")
 		So(err.Error(), ShouldContainSubstring, "quantile")
 	})
 }
 
-func TestJudge(t *testing.T) {
+func TestNextAction(t *testing.T) {
 	step := DefaultGracePeriod + time.Second
-	Convey("Too much processor use is throttled, then checkpointed, then stopped", t, func() {
+	Convey("A task that overuses processors is throttled, then checkpointed, then stopped", t, func() {
 		e := New(Config{})
 		So(e.Observe(spec, report(4500, 100, 0)).Action, ShouldEqual, ActionNone)
 		So(e.Observe(spec, report(8000, 100, step)).Action, ShouldEqual, ActionThrottle)
 
-		Convey("but not on reports that lag behind the action", func() {
+		Convey("but not because of reports measured before the action took effect", func() {
 			So(e.Observe(spec, report(8000, 100, step+DefaultGracePeriod)).Action, ShouldEqual, ActionNone)
 			So(e.Observe(spec, report(8000, 100, 0)).Action, ShouldEqual, ActionNone)
 		})
-		Convey("with a report that still shows it", func() {
+		Convey("with each later report that still shows the overuse", func() {
 			So(e.Observe(spec, report(8000, 100, 2*step)).Action, ShouldEqual, ActionCheckpoint)
 			So(e.Observe(spec, report(8000, 100, 3*step)), ShouldResemble, Decision{Action: ActionStop,
 				Reason: api.ReasonOveruse, Detail: "uses 8000 thousandths of a processor, declared 4000"})
 		})
-		Convey("and forgiven when it ends", func() {
+		Convey("and starts again with throttling once the overuse has ended", func() {
 			e.Observe(spec, report(100, 100, 2*step))
 			So(e.Observe(spec, report(8000, 100, 3*step)).Action, ShouldEqual, ActionThrottle)
 		})
 	})
-	Convey("Memory and time can't be throttled back", t, func() {
+	Convey("Memory overuse and overrun are not throttled", t, func() {
 		e := New(Config{})
 		So(e.Observe(spec, report(100, 20000, 0)).Action, ShouldEqual, ActionCheckpoint)
-		rigid := spec
-		rigid.Checkpointable = false
-		v := New(Config{}).Observe(rigid, report(100, 100, time.Hour))
+		noCheckpoint := spec
+		noCheckpoint.Checkpointable = false
+		v := New(Config{}).Observe(noCheckpoint, report(100, 100, time.Hour))
 		So(v.Action, ShouldEqual, ActionStop)
 		So(v.Reason, ShouldEqual, api.ReasonOverrun)
 	})
-	Convey("Services run on", t, func() {
+	Convey("Services have no run time limit", t, func() {
 		service := spec
 		service.RunTime = 0
 		So(New(Config{}).Observe(service, report(100, 100, time.Hour)).Action, ShouldEqual, ActionNone)
--- a/internal/estimate/histogram.go
+++ b/internal/estimate/histogram.go
@@ -3,17 +3,17 @@
 import "math"
 
 // A histogram counts ratios of observed to declared amounts. Its buckets are
-// an eighth of an octave wide and reach from 1/16 to 16; what lies beyond
-// counts in the outermost ones.
+// an eighth of an octave wide and cover 1/16 to 16. Ratios outside that range
+// count in the first or last bucket.
 const (
 	bucketsPerOctave = 8
-	octaves          = 4 // each way from 1
+	octaves          = 4 // on each side of 1
 	bucketCount      = 2 * octaves * bucketsPerOctave
 )
 
-// forgetAt is the count at which all counts are halved, so that a histogram
-// follows a change of behaviour after about that many samples.
-const forgetAt = 1024
+// maxSamples is the total at which all counts are halved, so that a histogram
+// adapts to a change of behaviour after about that many samples.
+const maxSamples = 1024
 
 type histogram struct {
 	counts [bucketCount]uint16
@@ -28,7 +28,7 @@
 	return min(max(b, 0), bucketCount-1)
 }
 
-// upperBound is the largest ratio of a bucket.
+// upperBound returns the largest ratio that falls into a bucket.
 func upperBound(bucket int) float64 {
 	return math.Exp2(float64(bucket+1-octaves*bucketsPerOctave) / bucketsPerOctave)
 }
@@ -36,12 +36,13 @@
 func (h *histogram) add(ratio float64) {
 	h.counts[bucketOf(ratio)]++
 	h.total++
-	if h.total >= forgetAt {
+	if h.total >= maxSamples {
 		h.halve()
 	}
 }
 
-// halve rounds up, so that the largest ratio seen is never forgotten by it.
+// halve halves all counts. It rounds up, so that the bucket of the largest ratio
+// never becomes empty.
 func (h *histogram) halve() {
 	h.total = 0
 	for i := range h.counts {
@@ -50,8 +51,8 @@
 	}
 }
 
-// quantile returns a ratio that the share q of the samples does not exceed,
-// 0 without samples.
+// quantile returns a ratio that a share q of the samples does not exceed, or 0 if
+// there are no samples.
 func (h *histogram) quantile(q float64) float64 {
 	if h.total == 0 {
 		return 0
