--- a/internal/scheduler/baseline/baseline.go
+++ b/internal/scheduler/baseline/baseline.go
@@ -1,10 +1,9 @@
-// Package baseline holds two plain schedulers that the real one is measured
-// against in the same run: the first VM that fits, and a random one.
+// Package baseline implements two simple schedulers with which package scheduler is
+// compared in the same run: first fit and random fit.
 //
-// They use the same World and return the same Plan, check the same bounds
-// and take jobs in the order they came, but know neither classes of work nor
-// priorities, holds or preemption. A gang is placed task by task, whole or
-// not at all.
+// They use the same State, return the same Plan, check the same bounds and process
+// jobs in order of arrival, but ignore classes of work and priorities and have neither
+// holds nor preemption. A gang is placed task by task, as a whole or not at all.
 package baseline
 
 import (
@@ -15,16 +14,16 @@
 	"github.com/skylarklock/skylarklock/internal/scheduler"
 )
 
-// Policy is how a VM is chosen.
+// Policy determines which VM is chosen.
 type Policy int
 
 // Policies.
 const (
-	FirstFit Policy = iota // the first VM, in order of its name, that fits
-	Random                 // from a random VM on, the first that fits
+	FirstFit Policy = iota // the first VM that fits, in order of IDs
+	Random                 // the first VM that fits, starting at a random one
 )
 
-// String returns the policy's name in reports.
+// String returns the name of the policy in reports.
 func (p Policy) String() string {
 	if p == Random {
 		return "random"
@@ -32,22 +31,22 @@
 	return "first_fit"
 }
 
-// Scheduler plans by one of the policies. It is not safe for concurrent use.
+// Scheduler plans with one of the policies. It is not safe for concurrent use.
 type Scheduler struct {
 	policy Policy
 	rand   *rand.Rand
 }
 
-// New returns a scheduler of a policy.
+// New returns a scheduler with the given policy.
 func New(policy Policy, rnd *rand.Rand) *Scheduler {
 	return &Scheduler{policy: policy, rand: rnd}
 }
 
-// Cycle plans up to maxStarts starts at time now and reserves them in w. It
+// Cycle plans up to maxStarts starts at time now and reserves them in st. It
 // reads the whole fleet and the whole queue.
-func (s *Scheduler) Cycle(w *scheduler.State, now time.Time, maxStarts int) scheduler.Plan {
-	c := &cycle{Scheduler: s, world: w, now: now, vms: w.VMs()}
-	for _, j := range w.QueuedJobs() {
+func (s *Scheduler) Cycle(st *scheduler.State, now time.Time, maxStarts int) scheduler.Plan {
+	c := &cycle{Scheduler: s, state: st, now: now, vms: st.VMs()}
+	for _, j := range st.QueuedJobs() {
 		if len(c.plan.Starts) >= maxStarts {
 			break
 		}
@@ -58,13 +57,13 @@
 
 type cycle struct {
 	*Scheduler
-	world *scheduler.State
+	state *scheduler.State
 	now   time.Time
 	vms   []api.VMID
 	plan  scheduler.Plan
 }
 
-// place starts tasks of j until one finds no VM.
+// place starts tasks of j until one fits no VM.
 func (c *cycle) place(j scheduler.Job, maxStarts int) {
 	gang := j.Spec.Class == api.ClassGang
 	first := len(c.plan.Starts)
@@ -90,7 +89,7 @@
 	}
 	for i := range c.vms {
 		vm := c.vms[(i+offset)%len(c.vms)]
-		start, err := c.world.Reserve(task, vm, c.now)
+		start, err := c.state.Reserve(task, vm, c.now)
 		if err != nil {
 			continue
 		}
@@ -101,11 +100,11 @@
 	return false
 }
 
-// undo releases the starts from first on.
+// undo releases the starts from index first on.
 func (c *cycle) undo(first int) {
 	starts := c.plan.Starts[first:]
 	for i := len(starts) - 1; i >= 0; i-- {
-		c.world.Release(starts[i].Task)
+		c.state.Release(starts[i].Task)
 	}
 	c.plan.Starts = c.plan.Starts[:first]
 }
--- a/internal/scheduler/blocked.go
+++ b/internal/scheduler/blocked.go
@@ -2,63 +2,63 @@
 
 import "math/bits"
 
-// blockedIndex keeps the blocked shapes in cells by what they need, so that
-// a VM that is freed finds those which may fit it without reading the rest.
+// blockedIndex keeps the blocked shapes in buckets by their needs, so that the
+// shapes that may fit a freed VM are found without reading the others.
 type blockedIndex struct {
-	cells  map[cellAt][]*shape
-	rows   [topAccelerators + 1][levelCount]uint64 // bit m: the cell has shapes
-	filled [topAccelerators + 1]uint64             // bit c: the row has shapes
+	buckets      map[bucketKey][]*shape
+	filledMemory [topAccelerators + 1][levelCount]uint64 // bit m: the bucket at memory level m has shapes
+	filledCPU    [topAccelerators + 1]uint64             // bit c: filledMemory[a][c] is not zero
 }
 
-// block enters s, unless it is there.
+// block adds s unless it is already blocked.
 func (b *blockedIndex) block(s *shape) {
 	if s.blocked {
 		return
 	}
-	if b.cells == nil {
-		b.cells = make(map[cellAt][]*shape)
+	if b.buckets == nil {
+		b.buckets = make(map[bucketKey][]*shape)
 	}
-	at := cellOf(s.key.need)
+	at := bucketOf(s.key.need)
 	s.blocked = true
-	s.blockedPos = len(b.cells[at])
-	b.cells[at] = append(b.cells[at], s)
-	b.rows[at.accelerators][at.milliCPU] |= 1 << at.memory
-	b.filled[at.accelerators] |= 1 << at.milliCPU
+	s.blockedPos = len(b.buckets[at])
+	b.buckets[at] = append(b.buckets[at], s)
+	b.filledMemory[at.accelerators][at.milliCPU] |= 1 << at.memory
+	b.filledCPU[at.accelerators] |= 1 << at.milliCPU
 }
 
-// unblock takes s out, if it is there.
+// unblock removes s if it is blocked.
 func (b *blockedIndex) unblock(s *shape) {
 	if !s.blocked {
 		return
 	}
-	at := cellOf(s.key.need)
-	cell := b.cells[at]
+	at := bucketOf(s.key.need)
+	cell := b.buckets[at]
 	last := len(cell) - 1
 	cell[s.blockedPos] = cell[last]
 	cell[s.blockedPos].blockedPos = s.blockedPos
 	cell[last] = nil
 	s.blocked = false
 	if last > 0 {
-		b.cells[at] = cell[:last]
+		b.buckets[at] = cell[:last]
 		return
 	}
-	delete(b.cells, at)
-	b.rows[at.accelerators][at.milliCPU] &^= 1 << at.memory
-	if b.rows[at.accelerators][at.milliCPU] == 0 {
-		b.filled[at.accelerators] &^= 1 << at.milliCPU
+	delete(b.buckets, at)
+	b.filledMemory[at.accelerators][at.milliCPU] &^= 1 << at.memory
+	if b.filledMemory[at.accelerators][at.milliCPU] == 0 {
+		b.filledCPU[at.accelerators] &^= 1 << at.milliCPU
 	}
 }
 
-// fitting appends the shapes whose need fits free.
+// fitting appends the blocked shapes whose need fits the free capacity of v.
 func (b *blockedIndex) fitting(found []*shape, v *vmState) []*shape {
 	free := v.free()
-	top := cellOf(free)
+	top := bucketOf(free)
 	for a := range top.accelerators + 1 {
-		for rows := b.filled[a] & upTo(top.milliCPU); rows != 0; rows &= rows - 1 {
-			c := uint8(bits.TrailingZeros64(rows))
-			for cells := b.rows[a][c] & upTo(top.memory); cells != 0; cells &= cells - 1 {
-				m := uint8(bits.TrailingZeros64(cells))
-				for _, s := range b.cells[cellAt{accelerators: a, milliCPU: c, memory: m}] {
+		for cpuLevels := b.filledCPU[a] & levelsUpTo(top.milliCPU); cpuLevels != 0; cpuLevels &= cpuLevels - 1 {
+			c := uint8(bits.TrailingZeros64(cpuLevels))
+			for memoryLevels := b.filledMemory[a][c] & levelsUpTo(top.memory); memoryLevels != 0; memoryLevels &= memoryLevels - 1 {
+				m := uint8(bits.TrailingZeros64(memoryLevels))
+				for _, s := range b.buckets[bucketKey{accelerators: a, milliCPU: c, memory: m}] {
 					if s.key.need.Fits(free) {
 						found = append(found, s)
 					}
@@ -69,7 +69,7 @@
 	return found
 }
 
-// upTo returns a set of the levels up to top.
-func upTo(top uint8) uint64 {
+// levelsUpTo returns the set of levels from 0 to top.
+func levelsUpTo(top uint8) uint64 {
 	return ^uint64(0) >> (levelCount - 1 - top)
 }
--- a/internal/scheduler/config.go
+++ b/internal/scheduler/config.go
@@ -26,36 +26,40 @@
 
 // Config tunes a Scheduler. Zero fields take their defaults.
 type Config struct {
-	// Policy is the operators' published policy.
+	// Policy is the policy published by the operators.
 	Policy api.PolicySpec
-	// AgeStep is the wait after which a job rises by one priority band.
+	// AgeStep is the waiting time after which a job is promoted by one priority
+	// band.
 	AgeStep time.Duration
-	// StarveAfter is the wait after which VMs are held for a task that
-	// found no room. Gangs get their hold at once.
+	// StarveAfter is the waiting time after which VMs are held for a large
+	// task that fits no VM. Gangs get a hold immediately.
 	StarveAfter time.Duration
-	// PreemptMargin is by how much a job's priority has to exceed that of a
-	// running task which it may displace, unless the job is urgent.
+	// PreemptMargin is the minimum amount by which the priority of a job must
+	// exceed that of a running task to preempt it, unless the job is urgent.
 	PreemptMargin int
-	// NominationTimeout is how long a VM waits for its victims to stop.
+	// NominationTimeout is the time within which the victims of a nomination must
+	// stop.
 	NominationTimeout time.Duration
-	// UnknownRunTime is assumed for running batch work without an expected
-	// end, when no VMs with known ends suffice for a hold.
+	// UnknownRunTime is the run time assumed for running batch and gang tasks
+	// without an expected end when a hold is planned.
 	UnknownRunTime time.Duration
-	// MaxHolds is how many jobs may have VMs held for them at once.
+	// MaxHolds is the maximum number of jobs that have VMs held for them.
 	MaxHolds int
-	// HoldShare is the most of the fleet that one hold may cover, 0 to 1.
+	// HoldShare is the maximum share of the fleet that holds may cover, 0 to 1; the
+	// first hold is exempt.
 	HoldShare float64
-	// MaxSearches bounds the searches for a VM in one cycle; jobs that were
-	// not reached keep their turn for the next one.
+	// MaxSearches bounds the searches for a VM in one cycle. Jobs that were not
+	// reached keep their position for the next cycle.
 	MaxSearches int
-	// ProbeInterval is the least time between two probes of one VM.
+	// ProbeInterval is the minimum time between two probes of one VM.
 	ProbeInterval time.Duration
-	// CapacityRetention is how long VMs that left still count in judging that a
-	// job can never run, so that a shrunken VM list condemns no job.
+	// CapacityRetention is the time for which VMs that left the list still count
+	// as capacity when a job is checked for feasibility, so that a temporarily
+	// shortened list makes no job infeasible.
 	CapacityRetention time.Duration
 }
 
-// Validate returns a *finding.List of every field out of its range, or nil.
+// Validate returns a *finding.List of all fields that are out of range, or nil.
 func (c Config) Validate() error {
 	var l finding.List
 	l.Check(c.Policy.SampleSize >= 0, "policy.sample_size", c.Policy.SampleSize, "0 (default) or more")
@@ -73,7 +77,7 @@
 	return l.Err()
 }
 
-// WithDefaults returns c with its zero fields replaced.
+// WithDefaults returns c with zero fields replaced by their defaults.
 func (c Config) WithDefaults() Config {
 	defaults.Set(&c.Policy.SampleSize, DefaultSampleSize)
 	defaults.Set(&c.Policy.MaxPreemptions, DefaultMaxPreemptions)
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -8,39 +8,40 @@
 )
 
 const (
-	// perBucketPacked and perBucketSpread bound the VMs looked at in one
-	// bucket of the index in the first, sampling pass of a search.
-	perBucketPacked = 4
-	perBucketSpread = 2
+	// maxPerBucketPacked and maxPerBucketSpread bound the VMs examined per bucket
+	// of the index in the first pass of a search, which samples.
+	maxPerBucketPacked = 4
+	maxPerBucketSpread = 2
 )
 
-// search is the outcome of the filter stage: VMs that may take the task, or
-// how many were refused on which ground.
+// search is the result of the filter stage: the VMs that may run the task, and
+// the numbers of VMs excluded by reason.
 type search struct {
 	vms []*vmState
-	// perAccelerator is what idle accelerators keep; nil: nothing.
-	perAccelerator *usualNeed
+	// averagePerAccelerator is the headroom kept for each idle accelerator, or
+	// nil for none.
+	averagePerAccelerator *averageNeed
 
-	avoided   int    // a task of the job failed there
-	spread    int    // MaxPerRack or MaxPerVM
-	held      int    // kept for a waiting gang
-	headroom  int    // kept for work that needs the accelerators
-	nominated int    // kept for an urgent job
-	covered   *shape // a search for less found no room
+	avoided   int    // excluded because a task of the job failed there
+	spread    int    // excluded by MaxPerRack or MaxPerVM
+	held      int    // excluded by a hold
+	headroom  int    // excluded to keep headroom for accelerators
+	nominated int    // excluded by nominations of other jobs
+	coveredBy *shape // blocked shape that made the search unnecessary
 }
 
-// filter finds VMs that may take a task of j: a sample of those which fit,
-// and only when the sample gave none, the first of all. There is no search
-// when one for less found no room.
+// filter finds VMs that may run a task of j. It first samples the VMs that may
+// fit, and searches all of them only if the sample contained none. It does not
+// search if the frontier covers the need of j.
 func (c *cycle) filter(j *jobState) search {
-	headroom := c.world.keepsHeadroom(j)
-	if s := c.world.frontier.covering(j.need(), headroom != nil); s != nil {
-		return search{covered: s}
+	headroom := c.state.acceleratorHeadroom(j)
+	if s := c.state.frontier.findCovering(j.need(), headroom != nil); s != nil {
+		return search{coveredBy: s}
 	}
-	f := search{vms: c.vms[:0], perAccelerator: headroom}
-	c.sample(j, &f, c.samplingDepth(j))
+	f := search{vms: c.vms[:0], averagePerAccelerator: headroom}
+	c.sample(j, &f, c.maxPerBucket(j))
 	if len(f.vms) == 0 {
-		f = search{vms: c.vms[:0], perAccelerator: headroom}
+		f = search{vms: c.vms[:0], averagePerAccelerator: headroom}
 		c.sample(j, &f, 0)
 	}
 	if len(f.vms) == 0 {
@@ -50,20 +51,21 @@
 	return f
 }
 
-func (c *cycle) samplingDepth(j *jobState) int {
+func (c *cycle) maxPerBucket(j *jobState) int {
 	if j.spreads() {
-		return perBucketSpread
+		return maxPerBucketSpread
 	}
-	return perBucketPacked
+	return maxPerBucketPacked
 }
 
-// sample adds VMs out of the index, looking at perBucket VMs of a bucket.
-// VMs with accelerators are tried last for work that needs none.
+// sample adds VMs from the index and examines at most perBucket VMs per bucket, or
+// all if perBucket is 0. For work without accelerators, VMs with accelerators are
+// tried last.
 func (c *cycle) sample(j *jobState, f *search, perBucket int) {
 	dcs := c.dataCentres(j)
 	if j.need().Accelerators == 0 {
 		for _, d := range dcs {
-			if c.samplePartition(j, f, &d.plain, perBucket) {
+			if c.samplePartition(j, f, &d.cpuOnly, perBucket) {
 				return
 			}
 		}
@@ -78,8 +80,8 @@
 	}
 }
 
-// samplePartition reports whether f has enough VMs. Packed work is content
-// with one partition; work that spreads looks at several.
+// samplePartition adds VMs from p and reports whether f has enough VMs. Packed work
+// needs VMs from one partition only; work that spreads samples several.
 func (c *cycle) samplePartition(j *jobState, f *search, p *partition, perBucket int) bool {
 	if p.size == 0 {
 		return false
@@ -90,7 +92,7 @@
 	}
 	need := j.need()
 	p.walk(need, perBucket, c.rand.Uint32(), func(v *vmState) bool {
-		if f.admit(j, v, need) {
+		if f.admits(j, v, need) {
 			f.vms = append(f.vms, v)
 		}
 		return len(f.vms) < limit
@@ -101,11 +103,11 @@
 	return len(f.vms) > 0
 }
 
-// admit reports whether v may take a task of j, and counts the refusal.
-func (f *search) admit(j *jobState, v *vmState, need api.Resources) bool {
-	spare := v.spare()
+// admits reports whether v may run a task of j. If not, it counts the reason.
+func (f *search) admits(j *jobState, v *vmState, need api.Resources) bool {
+	available := v.available()
 	switch {
-	case !need.Fits(spare):
+	case !need.Fits(available):
 		if need.Fits(v.free()) {
 			f.nominated++
 		}
@@ -116,14 +118,15 @@
 	case !j.spreadAllows(v):
 		f.spread++
 		return false
-	case v.Capacity.Accelerators > 0 && !f.leavesHeadroom(spare.Sub(need)):
+	case v.Capacity.Accelerators > 0 && !f.leavesHeadroom(available.Sub(need)):
 		f.headroom++
 		return false
 	}
 	return true
 }
 
-// spreadAllows reports whether one more task of j may go to v.
+// spreadAllows reports whether MaxPerVM and MaxPerRack allow one more task of j
+// on v.
 func (j *jobState) spreadAllows(v *vmState) bool {
 	if j.spread == nil {
 		return true
@@ -135,117 +138,119 @@
 	return limit == 0 || j.spread.racks[v.Rack] < limit
 }
 
-// leavesHeadroom reports whether left still serves the idle accelerators of
-// v: each keeps the processors and memory that work with accelerators has
-// lately asked for, by accelerator.
+// leavesHeadroom reports whether the remaining capacity left has headroom for its
+// idle accelerators: for each, the processors and memory that recent jobs with
+// accelerators need per accelerator on average.
 func (f *search) leavesHeadroom(left api.Resources) bool {
-	if f.perAccelerator == nil || left.Accelerators <= 0 {
+	if f.averagePerAccelerator == nil || left.Accelerators <= 0 {
 		return true
 	}
 	idle := float64(left.Accelerators)
-	return float64(left.MilliCPU) >= idle*f.perAccelerator.milliCPU &&
-		float64(left.MemoryMB) >= idle*f.perAccelerator.memoryMB
+	return float64(left.MilliCPU) >= idle*f.averagePerAccelerator.milliCPU &&
+		float64(left.MemoryMB) >= idle*f.averagePerAccelerator.memoryMB
 }
 
-// keepsHeadroom returns what an idle accelerator keeps against j: nothing
-// when j needs accelerators itself, is urgent, or fits no other VM.
-func (w *State) keepsHeadroom(j *jobState) *usualNeed {
-	if j.need().Accelerators > 0 || j.isUrgent() || !w.fleet.fitsPlain(j) {
+// acceleratorHeadroom returns the headroom that each idle accelerator keeps from
+// j. It returns nil if j needs accelerators, is urgent, or fits no VM without
+// accelerators.
+func (st *State) acceleratorHeadroom(j *jobState) *averageNeed {
+	if j.need().Accelerators > 0 || j.isUrgent() || !st.fleet.fitsWithoutAccelerators(j) {
 		return nil
 	}
-	return &w.perAccelerator
+	return &st.averagePerAccelerator
 }
 
-// dataCentres returns those j may use, from a random one on.
+// dataCentres returns the data centres that j may use, in the order of the spec or
+// starting at a random one if the spec lists none.
 func (c *cycle) dataCentres(j *jobState) []*dataCentre {
-	w := c.world
+	st := c.state
 	c.dcs = c.dcs[:0]
 	if len(j.Spec.DataCentres) > 0 {
 		for _, name := range j.Spec.DataCentres {
-			if d := w.dataCentres[name]; d != nil {
+			if d := st.dataCentres[name]; d != nil {
 				c.dcs = append(c.dcs, d)
 			}
 		}
 		return c.dcs
 	}
-	if len(w.dcList) == 0 {
+	if len(st.dataCentreList) == 0 {
 		return c.dcs
 	}
-	first := c.rand.IntN(len(w.dcList))
-	c.dcs = append(c.dcs, w.dcList[first:]...)
-	c.dcs = append(c.dcs, w.dcList[:first]...)
+	first := c.rand.IntN(len(st.dataCentreList))
+	c.dcs = append(c.dcs, st.dataCentreList[first:]...)
+	c.dcs = append(c.dcs, st.dataCentreList[:first]...)
 	return c.dcs
 }
 
-// verdict says why the search found no VM.
-func (f *search) verdict(w *State, j *jobState) verdict {
+// status returns why the search found no VM.
+func (f *search) status(st *State, j *jobState) status {
 	switch {
-	case f.covered != nil:
-		return verdict{api.ReasonNoCapacity, fmt.Sprintf(
-			"a task needs %v: no VM has even %v free", j.need(), f.covered.key.need)}
+	case f.coveredBy != nil:
+		return status{api.ReasonNoCapacity, fmt.Sprintf(
+			"a task needs %v: no VM has even %v free", j.need(), f.coveredBy.key.need)}
 	case f.spread > 0:
-		return verdict{api.ReasonSpread, fmt.Sprintf(
+		return status{api.ReasonSpread, fmt.Sprintf(
 			"%d VMs have room, but %d tasks to a VM and %d to a rack are allowed (0: any)",
 			f.spread, j.Spec.MaxPerVM, j.Spec.MaxPerRack)}
 	case f.avoided > 0:
-		return verdict{api.ReasonNoCapacity, fmt.Sprintf(
+		return status{api.ReasonNoCapacity, fmt.Sprintf(
 			"the %d VMs with room are ones on which its tasks failed", f.avoided)}
 	case f.held > 0:
-		return verdict{api.ReasonBehindGang, fmt.Sprintf(
+		return status{api.ReasonBehindGang, fmt.Sprintf(
 			"%d VMs with room are held for a waiting gang and the task may not end in time", f.held)}
 	case f.nominated > 0:
-		return verdict{api.ReasonNoCapacity, fmt.Sprintf(
+		return status{api.ReasonNoCapacity, fmt.Sprintf(
 			"%d VMs with room are kept for urgent tasks", f.nominated)}
 	case f.headroom > 0:
-		return verdict{api.ReasonNoCapacity, fmt.Sprintf(
+		return status{api.ReasonNoCapacity, fmt.Sprintf(
 			"the %d VMs with room keep it for work that needs their accelerators", f.headroom)}
 	}
-	if w.quarantineFits(j) {
-		return verdict{api.ReasonQuarantine, "only quarantined VMs have room"}
+	if st.fitsQuarantinedVM(j) {
+		return status{api.ReasonQuarantine, "only quarantined VMs have room"}
 	}
-	return shortage(w, j)
+	return shortage(st, j)
 }
 
-// noRoom reports whether the search showed that no VM has room for a task,
-// whatever its job, but for the headroom of accelerators.
-func (f *search) noRoom(j *jobState) bool {
-	refused := f.spread + f.avoided + f.held + f.nominated
-	return f.covered == nil && refused == 0 && len(j.Spec.DataCentres) == 0
+// foundNoCapacity reports whether the search showed that no VM fits the task
+// regardless of its job, except for the headroom of accelerators.
+func (f *search) foundNoCapacity(j *jobState) bool {
+	excluded := f.spread + f.avoided + f.held + f.nominated
+	return f.coveredBy == nil && excluded == 0 && len(j.Spec.DataCentres) == 0
 }
 
-// shortage names the resource that is short.
-func shortage(w *State, j *jobState) verdict {
+// shortage returns a status that names the scarce resource.
+func shortage(st *State, j *jobState) status {
 	need := j.need()
-	var most api.Resources // spare of any one VM, by bucket, each on its own
-	for _, d := range w.dcList {
+	var maxLevels api.Resources // maximum index level of each resource over all VMs
+	for _, d := range st.dataCentreList {
 		if j.mayUse(d.name) {
-			d.plain.mostSpare(&most)
-			d.accelerated.mostSpare(&most)
+			d.cpuOnly.raiseMaxLevels(&maxLevels)
+			d.accelerated.raiseMaxLevels(&maxLevels)
 		}
 	}
 	detail := "no VM has them together"
 	switch {
-	case need.Accelerators > most.Accelerators:
+	case need.Accelerators > maxLevels.Accelerators:
 		detail = "no VM has the accelerators free"
-	case int64(level(need.MilliCPU/milliCPUUnit)) > most.MilliCPU:
+	case int64(level(need.MilliCPU/milliCPUUnit)) > maxLevels.MilliCPU:
 		detail = "no VM has the processors free"
-	case int64(level(need.MemoryMB/memoryUnit)) > most.MemoryMB:
+	case int64(level(need.MemoryMB/memoryUnit)) > maxLevels.MemoryMB:
 		detail = "no VM has the memory free"
 	}
-	return verdict{api.ReasonNoCapacity, fmt.Sprintf("a task needs %v: %s", need, detail)}
+	return status{api.ReasonNoCapacity, fmt.Sprintf("a task needs %v: %s", need, detail)}
 }
 
-// mostSpare raises most to the highest levels found in p.
-func (p *partition) mostSpare(most *api.Resources) {
-	for a, rows := range p.filled {
-		if rows == 0 {
+// raiseMaxLevels raises maxLevels to the highest levels found in p.
+func (p *partition) raiseMaxLevels(maxLevels *api.Resources) {
+	for a, cpuLevels := range p.filledCPU {
+		if cpuLevels == 0 {
 			continue
 		}
-		most.Accelerators = max(most.Accelerators, int64(a))
-		most.MilliCPU = max(most.MilliCPU, int64(highestBit(rows)))
-		for ; rows != 0; rows &= rows - 1 {
-			r := p.rows[a][bits.TrailingZeros64(rows)]
-			most.MemoryMB = max(most.MemoryMB, int64(highestBit(r.filled)))
+		maxLevels.Accelerators = max(maxLevels.Accelerators, int64(a))
+		maxLevels.MilliCPU = max(maxLevels.MilliCPU, int64(highestBit(cpuLevels)))
+		for ; cpuLevels != 0; cpuLevels &= cpuLevels - 1 {
+			r := p.rows[a][bits.TrailingZeros64(cpuLevels)]
+			maxLevels.MemoryMB = max(maxLevels.MemoryMB, int64(highestBit(r.filledMemory)))
 		}
 	}
 }
--- a/internal/scheduler/fleet.go
+++ b/internal/scheduler/fleet.go
@@ -6,39 +6,39 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// vmKind is what VMs have in common for judging whether a job can ever run.
+// vmKind is the properties of a VM that decide whether a job can ever run on it.
 type vmKind struct {
 	dc       api.DataCentre
 	capacity api.Resources
 }
 
-// kindCount counts the VMs of a kind. The peak is kept for a while after
-// VMs left, so that a VM list which shrinks for a moment condemns no job.
+// kindCount counts the VMs of a kind. The peak is kept for some time after VMs
+// left, so that a temporarily shortened VM list makes no job infeasible.
 type kindCount struct {
-	kind  vmKind
-	count int64
-	peak  int64
-	since time.Time // when the count first stayed under its peak; zero: not seen yet
+	kind           vmKind
+	count          int64
+	peak           int64
+	belowPeakSince time.Time // when the count was first seen below its peak; zero if it was not
 }
 
-// fleet sums up the listed VMs.
+// fleet holds totals of the listed VMs.
 type fleet struct {
-	total api.Resources // capacity of the listed VMs
-	vms   int
-	kinds map[vmKind]*kindCount
-	list  []*kindCount // in order of first appearance
+	total    api.Resources // capacity of the listed VMs
+	vmCount  int
+	kinds    map[vmKind]*kindCount
+	kindList []*kindCount // in order of first appearance
 }
 
-// add counts v and reports whether there are more of its kind than lately.
+// add counts v and reports whether the count of its kind exceeds the peak.
 func (f *fleet) add(v *vmState) bool {
 	f.total = f.total.Add(v.Capacity)
-	f.vms++
+	f.vmCount++
 	key := vmKind{dc: v.DataCentre, capacity: v.Capacity}
 	k := f.kinds[key]
 	if k == nil {
 		k = &kindCount{kind: key}
 		f.kinds[key] = k
-		f.list = append(f.list, k)
+		f.kindList = append(f.kindList, k)
 	}
 	k.count++
 	if k.count <= k.peak {
@@ -50,13 +50,13 @@
 
 func (f *fleet) remove(v *vmState) {
 	f.total = f.total.Sub(v.Capacity)
-	f.vms--
+	f.vmCount--
 	f.kinds[vmKind{dc: v.DataCentre, capacity: v.Capacity}].count--
 }
 
-// fitsPlain reports whether a task of j fits an idle VM without accelerators.
-func (f *fleet) fitsPlain(j *jobState) bool {
-	for _, k := range f.list {
+// fitsWithoutAccelerators reports whether a task of j fits an idle VM without accelerators.
+func (f *fleet) fitsWithoutAccelerators(j *jobState) bool {
+	for _, k := range f.kindList {
 		if k.peak > 0 && k.kind.capacity.Accelerators == 0 && j.mayUse(k.kind.dc) && j.need().Fits(k.kind.capacity) {
 			return true
 		}
@@ -64,17 +64,17 @@
 	return false
 }
 
-// forget lowers peaks that have not been reached for the time of memory. It
+// expirePeaks lowers peaks that have not been reached for the retention time. It
 // reports whether one was lowered.
-func (f *fleet) forget(now time.Time, memory time.Duration) bool {
+func (f *fleet) expirePeaks(now time.Time, retention time.Duration) bool {
 	lowered := false
-	for _, k := range f.list {
+	for _, k := range f.kindList {
 		switch {
 		case k.count == k.peak:
-			k.since = time.Time{}
-		case k.since.IsZero():
-			k.since = now
-		case now.Sub(k.since) >= memory:
+			k.belowPeakSince = time.Time{}
+		case k.belowPeakSince.IsZero():
+			k.belowPeakSince = now
+		case now.Sub(k.belowPeakSince) >= retention:
 			k.peak = k.count
 			lowered = true
 		}
--- a/internal/scheduler/frontier.go
+++ b/internal/scheduler/frontier.go
@@ -2,35 +2,35 @@
 
 import "github.com/skylarklock/skylarklock/api"
 
-// frontierSize bounds the frontier: it is read for every task placed.
+// frontierSize bounds the frontier, which is read for every task placed.
 const frontierSize = 16
 
-// frontier is some of the smallest needs that were found to fit no VM and
-// are still blocked. Nothing has been freed since that could hold them, so
-// what needs at least as much in every resource fits no VM either, and no
+// frontier contains some of the smallest shapes that were found to fit no VM and
+// are still blocked. No capacity has been freed since that could fit them, so a
+// task that needs at least as much of every resource fits no VM either, and no
 // search is made for it.
 type frontier struct {
 	shapes []*shape
 }
 
-// covering returns a blocked shape that answers for need as well, or nil.
-// The headroom of idle accelerators must be kept against need if it was kept
-// against the shape.
-func (f *frontier) covering(need api.Resources, headroom bool) *shape {
+// findCovering returns a blocked shape that implies that need fits no VM, or nil.
+// If headroom for idle accelerators was kept when the shape was searched for, it
+// must be kept for need too.
+func (f *frontier) findCovering(need api.Resources, headroomKept bool) *shape {
 	for _, s := range f.shapes {
-		if s.stillBlocked() && s.covers(need, headroom) {
+		if s.stillBlocked() && s.covers(need, headroomKept) {
 			return s
 		}
 	}
 	return nil
 }
 
-// add enters s in place of the shapes that it covers or that are no longer
-// blocked; when full, in place of the oldest.
+// add adds s and removes the shapes that s covers or that are no longer blocked.
+// If the frontier is full, it removes the oldest shape.
 func (f *frontier) add(s *shape) {
 	kept := f.shapes[:0]
 	for _, o := range f.shapes {
-		if o != s && o.stillBlocked() && !s.covers(o.key.need, o.headroom) {
+		if o != s && o.stillBlocked() && !s.covers(o.key.need, o.headroomKept) {
 			kept = append(kept, o)
 		}
 	}
@@ -41,12 +41,12 @@
 	f.shapes = append(kept, s)
 }
 
-// stillBlocked reports whether s is in use and still fits no VM.
+// stillBlocked reports whether s has queues and still fits no VM.
 func (s *shape) stillBlocked() bool {
-	return s.blocked && s.outright && s.queues > 0
+	return s.blocked && s.fitsNoVM && s.queueCount > 0
 }
 
-// covers reports whether no VM can hold need while none can hold s.
-func (s *shape) covers(need api.Resources, headroom bool) bool {
-	return s.key.need.Fits(need) && (headroom || !s.headroom)
+// covers reports whether need fits no VM as long as s fits none.
+func (s *shape) covers(need api.Resources, headroomKept bool) bool {
+	return s.key.need.Fits(need) && (headroomKept || !s.headroomKept)
 }
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -6,14 +6,14 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// part is some tasks of a gang on one VM.
-type part struct {
+// placement is a number of tasks of one job on one VM.
+type placement struct {
 	vm    *vmState
 	tasks int64
 }
 
-// placeGang places all pending tasks of j or none: in one data centre where
-// one has room, otherwise over several.
+// placeGang places all pending tasks of j or none: in one data centre if one fits
+// them all, otherwise across several.
 func (c *cycle) placeGang(j *jobState) {
 	tasks := int64(len(j.pending))
 	if !j.team.allows(j.need().Times(tasks)) {
@@ -21,93 +21,93 @@
 		return
 	}
 	c.searches++
-	if parts := j.nominatedParts(tasks); parts != nil {
-		c.startGang(j, parts)
+	if placements := j.nominatedPlacements(tasks); placements != nil {
+		c.startGang(j, placements)
 		return
 	}
-	parts, room := c.gatherGang(j, tasks)
-	if room == tasks {
-		c.startGang(j, parts)
+	placements, placed := c.findGangPlacements(j, tasks)
+	if placed == tasks {
+		c.startGang(j, placements)
 		return
 	}
-	c.gangNotPlaced(j, tasks, room)
+	c.handleUnplacedGang(j, tasks, placed)
 }
 
-// gangNotPlaced goes on with a gang for which there is no room: by
-// preemption, by holding VMs for it, or by waiting.
-func (c *cycle) gangNotPlaced(j *jobState, tasks, room int64) {
-	preempted := c.preemptForGang(j, tasks)
+// handleUnplacedGang handles a gang that does not fit: by preemption, by holding
+// VMs for it, or by parking its queue.
+func (c *cycle) handleUnplacedGang(j *jobState, tasks, placed int64) {
+	result := c.preemptForGang(j, tasks)
 	if len(j.nominations) == 0 {
-		c.holdFor(j, tasks)
+		c.createHold(j, tasks)
 	}
-	c.wait(j, c.gangVerdict(j, room))
-	if preempted == preemptLater {
-		c.world.retryNext(j.queue)
+	c.reportWaiting(j, c.gangStatus(j, placed))
+	if result == preemptRetry {
+		c.state.retryNextCycle(j.queue)
 		return
 	}
-	c.world.parkOnCapacity(j.queue)
+	c.state.parkOnCapacity(j.queue)
 }
 
-func (c *cycle) startGang(j *jobState, parts []part) {
-	for _, p := range parts {
+func (c *cycle) startGang(j *jobState, placements []placement) {
+	for _, p := range placements {
 		for range p.tasks {
 			c.start(j, p.vm)
 		}
 	}
 }
 
-// gatherGang returns VMs with room for the tasks and how many fit. Tasks on
-// the VMs held for j come first.
-func (c *cycle) gatherGang(j *jobState, tasks int64) ([]part, int64) {
+// findGangPlacements returns placements for the tasks and the number of tasks that
+// fit. It uses the VMs held for j first.
+func (c *cycle) findGangPlacements(j *jobState, tasks int64) ([]placement, int64) {
 	dcs := c.dataCentres(j)
-	headroom := c.world.keepsHeadroom(j)
-	most := int64(0)
+	headroom := c.state.acceleratorHeadroom(j)
+	maxPlaced := int64(0)
 	for i := range dcs {
-		g := newGathering(j, tasks, headroom)
-		g.gather(dcs[i : i+1])
-		if g.room == tasks {
-			return g.parts, g.room
+		g := newGangSearch(j, tasks, headroom)
+		g.collect(dcs[i : i+1])
+		if g.placed == tasks {
+			return g.placements, g.placed
 		}
-		most = max(most, g.room)
+		maxPlaced = max(maxPlaced, g.placed)
 	}
 	if len(dcs) < 2 {
-		return nil, most
+		return nil, maxPlaced
 	}
-	g := newGathering(j, tasks, headroom)
-	g.gather(dcs)
-	return g.parts, g.room
+	g := newGangSearch(j, tasks, headroom)
+	g.collect(dcs)
+	return g.placements, g.placed
 }
 
-// gathering collects room for a gang without taking it yet.
-type gathering struct {
-	job   *jobState
-	need  api.Resources
-	tasks int64
-	parts []part
-	room  int64
-	racks map[string]int64 // tasks gathered, when racks are limited
-	pass  search
+// gangSearch collects placements for a gang without reserving them.
+type gangSearch struct {
+	job        *jobState
+	need       api.Resources
+	tasks      int64
+	placements []placement
+	placed     int64
+	racks      map[string]int64 // tasks placed per rack; nil without MaxPerRack
+	filter     search
 }
 
-func newGathering(j *jobState, tasks int64, headroom *usualNeed) *gathering {
-	g := &gathering{job: j, need: j.need(), tasks: tasks, pass: search{perAccelerator: headroom}}
+func newGangSearch(j *jobState, tasks int64, headroom *averageNeed) *gangSearch {
+	g := &gangSearch{job: j, need: j.need(), tasks: tasks, filter: search{averagePerAccelerator: headroom}}
 	if j.Spec.MaxPerRack > 0 {
 		g.racks = make(map[string]int64)
 	}
 	return g
 }
 
-func (g *gathering) gather(dcs []*dataCentre) {
+func (g *gangSearch) collect(dcs []*dataCentre) {
 	if h := g.job.hold; h != nil {
-		for _, p := range h.parts {
-			if inDataCentres(dcs, p.vm) && p.vm.open() && !g.add(p.vm) {
+		for _, p := range h.placements {
+			if inDataCentres(dcs, p.vm) && p.vm.acceptsWork() && !g.add(p.vm) {
 				return
 			}
 		}
 	}
 	if g.need.Accelerators == 0 {
 		for _, d := range dcs {
-			if !d.plain.walk(g.need, 0, 0, g.add) {
+			if !d.cpuOnly.walk(g.need, 0, 0, g.add) {
 				return
 			}
 		}
@@ -128,38 +128,38 @@
 	return false
 }
 
-// add takes what v has room for and reports whether more is wanted.
-func (g *gathering) add(v *vmState) bool {
-	if !g.pass.admit(g.job, v, g.need) {
+// add places as many tasks on v as fit and reports whether tasks remain.
+func (g *gangSearch) add(v *vmState) bool {
+	if !g.filter.admits(g.job, v, g.need) {
 		return true
 	}
-	n := min(fitCount(g.need, v.spare()), g.tasks-g.room)
-	n = min(n, g.spreadRoom(v))
+	n := min(fitCount(g.need, v.available()), g.tasks-g.placed)
+	n = min(n, g.spreadLimit(v))
 	if n <= 0 {
 		return true
 	}
-	g.parts = append(g.parts, part{vm: v, tasks: n})
-	g.room += n
+	g.placements = append(g.placements, placement{vm: v, tasks: n})
+	g.placed += n
 	if g.racks != nil {
 		g.racks[v.Rack] += n
 	}
-	return g.room < g.tasks
+	return g.placed < g.tasks
 }
 
-// spreadRoom is how many tasks MaxPerVM and MaxPerRack leave for v.
-func (g *gathering) spreadRoom(v *vmState) int64 {
-	room := g.tasks
+// spreadLimit returns how many tasks MaxPerVM and MaxPerRack allow on v.
+func (g *gangSearch) spreadLimit(v *vmState) int64 {
+	limit := g.tasks
 	spec := g.job.Spec
 	if spec.MaxPerVM > 0 {
-		room = min(room, int64(spec.MaxPerVM)-int64(g.job.spread.vms[v.ID]))
+		limit = min(limit, int64(spec.MaxPerVM)-int64(g.job.spread.vms[v.ID]))
 	}
 	if spec.MaxPerRack > 0 {
-		room = min(room, int64(spec.MaxPerRack)-int64(g.job.spread.racks[v.Rack])-g.racks[v.Rack])
+		limit = min(limit, int64(spec.MaxPerRack)-int64(g.job.spread.racks[v.Rack])-g.racks[v.Rack])
 	}
-	return room
+	return limit
 }
 
-// fitCount is how many times need goes into free.
+// fitCount returns how many times need fits into free.
 func fitCount(need, free api.Resources) int64 {
 	const unbounded = 1 << 20
 	n := int64(unbounded)
@@ -175,14 +175,14 @@
 	return max(n, 0)
 }
 
-func (c *cycle) gangVerdict(j *jobState, room int64) verdict {
-	detail := fmt.Sprintf("%d of %d tasks of %v have room", room, len(j.pending), j.need())
+func (c *cycle) gangStatus(j *jobState, placed int64) status {
+	detail := fmt.Sprintf("%d of %d tasks of %v have room", placed, len(j.pending), j.need())
 	if len(j.nominations) > 0 {
 		detail += "; the rest is being freed by preemption"
 	}
 	if j.hold != nil {
 		detail += fmt.Sprintf("; %d VMs are held, expected free in %v",
-			len(j.hold.parts), j.hold.at.Sub(c.now).Round(holdRounding))
+			len(j.hold.placements), j.hold.expectedStart.Sub(c.now).Round(holdRounding))
 	}
-	return verdict{api.ReasonGangWaiting, detail}
+	return status{api.ReasonGangWaiting, detail}
 }
--- a/internal/scheduler/gangpreempt.go
+++ b/internal/scheduler/gangpreempt.go
@@ -1,68 +1,68 @@
 package scheduler
 
-// preemptForGang nominates room for each task of an urgent gang: free room
-// first, then that of victims. It nominates for all of them or, when that
-// takes more victims than one cycle may stop, for none.
-func (c *cycle) preemptForGang(j *jobState, tasks int64) preemption {
+// preemptForGang nominates capacity for each task of an urgent gang: free capacity
+// first, then that of victims. It nominates for all tasks, or for none if that
+// needs more victims than one cycle may preempt.
+func (c *cycle) preemptForGang(j *jobState, tasks int64) preemptResult {
 	limited := j.Spec.MaxPerVM > 0 || j.Spec.MaxPerRack > 0
 	if !j.isUrgent() || limited || len(j.nominations) > 0 {
 		return preemptNone
 	}
-	had := len(c.plan.Preemptions)
+	planned := len(c.plan.Preemptions)
 	for range tasks {
-		v, victims := c.gangBid(j)
+		v, victims := c.gangCandidate(j)
 		if v == nil {
-			c.undoPreemptions(j, had)
-			return c.retryAfter(had)
+			c.undoPreemptions(j, planned)
+			return c.failedGangPreemption(planned)
 		}
 		c.nominate(j, v, victims)
 	}
-	return preempting
+	return preemptNominated
 }
 
-// gangBid returns a VM with room for one more task of j, or with victims
-// that make it; nil if there is none.
-func (c *cycle) gangBid(j *jobState) (*vmState, []*holding) {
+// gangCandidate returns a VM that fits one more task of j, with the victims that
+// must be preempted for it, if any. It returns nil if there is no such VM.
+func (c *cycle) gangCandidate(j *jobState) (*vmState, []*allocation) {
 	if v := c.score(j, c.filter(j).vms); v != nil {
 		return v, nil
 	}
-	left := c.cfg.Policy.MaxPreemptions - len(c.plan.Preemptions)
-	if left <= 0 || !c.world.evictable.anyBelow(c.victimsBelow(j)) {
+	remaining := c.cfg.Policy.MaxPreemptions - len(c.plan.Preemptions)
+	if remaining <= 0 || !c.state.evictable.anyBelow(c.victimPriorityLimit(j)) {
 		return nil, nil
 	}
-	return c.cheapestVictims(j, left)
+	return c.cheapestVictims(j, remaining)
 }
 
-// undoPreemptions takes back the nominations of j and the victims planned
-// since the plan had so many.
-func (c *cycle) undoPreemptions(j *jobState, had int) {
+// undoPreemptions removes the nominations of j and truncates the planned
+// preemptions to the first planned ones.
+func (c *cycle) undoPreemptions(j *jobState, planned int) {
 	for len(j.nominations) > 0 {
-		c.world.undoNomination(j.nominations[0])
+		c.state.undoNomination(j.nominations[0])
 	}
-	c.plan.Preemptions = c.plan.Preemptions[:had]
+	c.plan.Preemptions = c.plan.Preemptions[:planned]
 }
 
-// retryAfter says whether the next cycle may do better: only if this one had
-// already used some of its preemptions.
-func (c *cycle) retryAfter(had int) preemption {
-	if had > 0 {
-		return preemptLater
+// failedGangPreemption returns preemptRetry if this cycle had already used some of
+// its preemptions, because the next cycle may then succeed.
+func (c *cycle) failedGangPreemption(planned int) preemptResult {
+	if planned > 0 {
+		return preemptRetry
 	}
 	return preemptNone
 }
 
-// nominatedParts returns the room nominated for the tasks of a gang once all
-// victims have gone, or nil.
-func (j *jobState) nominatedParts(tasks int64) []part {
+// nominatedPlacements returns the placements nominated for the tasks of a gang if
+// all victims have stopped, or nil.
+func (j *jobState) nominatedPlacements(tasks int64) []placement {
 	if int64(len(j.nominations)) < tasks {
 		return nil
 	}
-	parts := make([]part, 0, tasks)
+	placements := make([]placement, 0, tasks)
 	for _, n := range j.nominations[:tasks] {
-		if !n.vm.open() || n.vm.spare().Negative() {
+		if !n.vm.acceptsWork() || n.vm.available().Negative() {
 			return nil
 		}
-		parts = append(parts, part{vm: n.vm, tasks: 1})
+		placements = append(placements, placement{vm: n.vm, tasks: 1})
 	}
-	return parts
+	return placements
 }
--- a/internal/scheduler/hold.go
+++ b/internal/scheduler/hold.go
@@ -9,107 +9,111 @@
 )
 
 const (
-	// holdRounding rounds times in explanations.
+	// holdRounding is the precision of expected start times in status details.
 	holdRounding = time.Second
-	// holdSampleLeast and holdSamplePerTask size the sample of VMs that a
-	// hold is chosen from.
-	holdSampleLeast   = 256
+	// minHoldSample and holdSamplePerTask determine the size of the sample of
+	// VMs from which those of a hold are chosen.
+	minHoldSample     = 256
 	holdSamplePerTask = 8
-	// overdueGrace is how much longer a task past its expected end is
-	// expected to run.
+	// overdueGrace is the remaining run time assumed for a task that has
+	// passed its expected end.
 	overdueGrace = time.Minute
 )
 
-// hold keeps VMs for a job that waits for more room than is free: a gang, or
-// a task that has starved. Other work may use them only if it ends before
-// the time at which the job is expected to start, or beside the job.
+// hold reserves VMs for a job that waits for more capacity than is free: a gang
+// or a starving task. Other work may use these VMs only if it ends before the
+// expected start of the job or fits beside the job.
 type hold struct {
-	job   *jobState
-	parts []part
-	at    time.Time // expected start
+	job           *jobState
+	placements    []placement
+	expectedStart time.Time
 }
 
-// starves reports whether j has waited long enough to have a VM held, and is
-// larger than what starts otherwise, so that what ends seldom makes room.
-func (c *cycle) starves(j *jobState) bool {
-	return c.now.Sub(j.since) >= c.cfg.StarveAfter && c.world.usual.exceededBy(j.need())
+// isStarving reports whether j has waited long enough to get a hold and is larger
+// than the average started task, so that ending tasks rarely free enough
+// capacity for it.
+func (c *cycle) isStarving(j *jobState) bool {
+	return c.now.Sub(j.waitingSince) >= c.cfg.StarveAfter && c.state.averageStarted.exceededBy(j.need())
 }
 
-// wantsHold reports whether j should be searched for although its shape is
-// blocked, because a hold may be had for it.
-func (c *cycle) wantsHold(j *jobState) bool {
-	return j.hold == nil && c.starves(j) && len(c.world.holds) < c.cfg.MaxHolds
+// mayGetHold reports whether a search should be made for j although its shape is
+// blocked, because j could get a hold.
+func (c *cycle) mayGetHold(j *jobState) bool {
+	return j.hold == nil && c.isStarving(j) && len(c.state.holds) < c.cfg.MaxHolds
 }
 
-// renewHolds lets jobs be tried again whose holds can no longer come true,
-// and as many as may now have the hold that they found no place for.
-func (w *State) renewHolds(now time.Time, most int) {
-	for len(w.wantHold) > 0 && most > len(w.holds) {
-		j := w.wantHold[0]
-		w.wantHold = w.wantHold[1:]
+// retryHolds retries the jobs whose holds are no longer valid, and as many jobs
+// waiting for a hold as limit allows.
+func (st *State) retryHolds(now time.Time, limit int) {
+	for len(st.holdWaiters) > 0 && limit > len(st.holds) {
+		j := st.holdWaiters[0]
+		st.holdWaiters = st.holdWaiters[1:]
 		if j.queue != nil && j.hold == nil {
-			w.retryShape(j.queue.shape)
-			most--
+			st.retryShape(j.queue.shape)
+			limit--
 		}
 	}
-	for _, h := range w.holds {
-		if h.valid(now) {
+	for _, h := range st.holds {
+		if h.isValid(now) {
 			continue
 		}
-		w.retryShape(h.job.queue.shape)
+		st.retryShape(h.job.queue.shape)
 	}
 }
 
-// holdFor makes or renews the hold of j for some tasks. Only the first few
-// jobs in order have one; a higher band displaces a lower one.
-func (c *cycle) holdFor(j *jobState, tasks int64) {
-	w := c.world
-	if j.hold != nil && j.hold.valid(c.now) {
+// createHold creates or renews the hold of j for a number of tasks. At most
+// MaxHolds jobs have a hold at once; a job of a higher band displaces one of a
+// lower band.
+func (c *cycle) createHold(j *jobState, tasks int64) {
+	st := c.state
+	if j.hold != nil && j.hold.isValid(c.now) {
 		return
 	}
-	w.dropHold(j)
-	if len(w.holds) >= c.cfg.MaxHolds && !w.displaceHold(j) {
-		w.wantHold = append(w.wantHold, j)
+	st.dropHold(j)
+	if len(st.holds) >= c.cfg.MaxHolds && !st.displaceHold(j) {
+		st.holdWaiters = append(st.holdWaiters, j)
 		return
 	}
-	parts, at := c.planHold(j, tasks)
-	if parts == nil || !c.holdAllowed(len(parts)) {
+	placements, expectedStart := c.planHold(j, tasks)
+	if placements == nil || !c.withinHoldShare(len(placements)) {
 		return
 	}
-	h := &hold{job: j, parts: parts, at: at}
+	h := &hold{job: j, placements: placements, expectedStart: expectedStart}
 	j.hold = h
-	w.holds = append(w.holds, h)
-	for _, p := range parts {
+	st.holds = append(st.holds, h)
+	for _, p := range placements {
 		p.vm.hold = h
 		p.vm.holdTasks = p.tasks
-		w.unindex(p.vm)
+		st.unindex(p.vm)
 	}
 }
 
-// valid reports whether h may still come true.
-func (h *hold) valid(now time.Time) bool {
-	for _, p := range h.parts {
-		if !p.vm.open() {
+// isValid reports whether all VMs of h accept work and its expected start is ahead.
+func (h *hold) isValid(now time.Time) bool {
+	for _, p := range h.placements {
+		if !p.vm.acceptsWork() {
 			return false
 		}
 	}
-	return now.Before(h.at)
+	return now.Before(h.expectedStart)
 }
 
-// holdAllowed bounds the VMs under holds together; the first hold may cover
-// whatever its job needs, so that no gang is too large ever to have one.
-func (c *cycle) holdAllowed(vms int) bool {
+// withinHoldShare reports whether vmCount more VMs may be held. The total is
+// bounded by HoldShare, except that the first hold may cover any number of VMs, so
+// that no gang is too large to ever get one.
+func (c *cycle) withinHoldShare(vmCount int) bool {
 	held := 0
-	for _, h := range c.world.holds {
-		held += len(h.parts)
+	for _, h := range c.state.holds {
+		held += len(h.placements)
 	}
-	return held == 0 || float64(held+vms) <= c.cfg.HoldShare*float64(c.world.fleet.vms)
+	return held == 0 || float64(held+vmCount) <= c.cfg.HoldShare*float64(c.state.fleet.vmCount)
 }
 
-// displaceHold drops the newest hold of the lowest band under that of j.
-func (w *State) displaceHold(j *jobState) bool {
+// displaceHold drops the newest hold of the lowest band below that of j. It
+// reports whether there was one.
+func (st *State) displaceHold(j *jobState) bool {
 	var lowest *hold
-	for _, h := range w.holds {
+	for _, h := range st.holds {
 		if h.job.band < j.band && (lowest == nil || h.job.band <= lowest.job.band) {
 			lowest = h
 		}
@@ -117,89 +121,89 @@
 	if lowest == nil {
 		return false
 	}
-	w.dropHold(lowest.job)
+	st.dropHold(lowest.job)
 	return true
 }
 
-// dropHold gives the VMs held for j back to everybody.
-func (w *State) dropHold(j *jobState) {
+// dropHold releases the VMs held for j.
+func (st *State) dropHold(j *jobState) {
 	h := j.hold
 	if h == nil {
 		return
 	}
 	j.hold = nil
-	w.holds = slices.DeleteFunc(w.holds, func(o *hold) bool { return o == h })
-	for _, p := range h.parts {
+	st.holds = slices.DeleteFunc(st.holds, func(o *hold) bool { return o == h })
+	for _, p := range h.placements {
 		p.vm.hold = nil
 		p.vm.holdTasks = 0
-		w.index(p.vm)
-		w.markFreed(p.vm)
-		w.dropIfEmpty(p.vm)
+		st.index(p.vm)
+		st.markFreed(p.vm)
+		st.dropIfEmpty(p.vm)
 	}
 }
 
-// opening is a time at which a VM has room for more tasks of a job.
-type opening struct {
+// availability is a time from which a VM fits more tasks of a job.
+type availability struct {
 	at    int64 // Unix nanoseconds
 	vm    int   // index in the sample
-	tasks int64 // it has room for then, altogether
+	tasks int64 // total number of tasks that fit then
 }
 
-// planHold picks, out of a sample of VMs, those that will have room for the
-// tasks soonest, and when.
-func (c *cycle) planHold(j *jobState, tasks int64) ([]part, time.Time) {
-	sample := c.holdSample(j, tasks)
-	var openings []opening
+// planHold selects from a sample the VMs that will fit the tasks soonest, and
+// returns them with the expected time.
+func (c *cycle) planHold(j *jobState, tasks int64) ([]placement, time.Time) {
+	sample := c.sampleForHold(j, tasks)
+	var availabilities []availability
 	for i, v := range sample {
-		openings = c.appendOpenings(openings, i, v, j)
+		availabilities = c.appendAvailabilities(availabilities, i, v, j)
 	}
-	slices.SortFunc(openings, func(a, b opening) int {
+	slices.SortFunc(availabilities, func(a, b availability) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.vm, b.vm), cmp.Compare(a.tasks, b.tasks))
 	})
-	room := make([]int64, len(sample))
+	fitting := make([]int64, len(sample))
 	racks := make(map[string]int64)
 	total := int64(0)
-	for _, o := range openings {
-		v := sample[o.vm]
-		more := o.tasks - room[o.vm]
+	for _, next := range availabilities {
+		v := sample[next.vm]
+		added := next.tasks - fitting[next.vm]
 		if limit := j.Spec.MaxPerRack; limit > 0 {
-			more = min(more, int64(limit)-int64(j.spread.racks[v.Rack])-racks[v.Rack])
+			added = min(added, int64(limit)-int64(j.spread.racks[v.Rack])-racks[v.Rack])
 		}
-		if more <= 0 {
+		if added <= 0 {
 			continue
 		}
-		room[o.vm] += more
-		racks[v.Rack] += more
-		total += more
+		fitting[next.vm] += added
+		racks[v.Rack] += added
+		total += added
 		if total >= tasks {
-			return fewest(sample, room, tasks), time.Unix(0, o.at)
+			return fewestVMs(sample, fitting, tasks), time.Unix(0, next.at)
 		}
 	}
 	return nil, time.Time{}
 }
 
-// fewest picks the VMs with the most room until the tasks have a place.
-func fewest(sample []*vmState, room []int64, tasks int64) []part {
-	var parts []part
+// fewestVMs selects the VMs that fit the most tasks until all tasks are placed.
+func fewestVMs(sample []*vmState, fitting []int64, tasks int64) []placement {
+	var placements []placement
 	for i, v := range sample {
-		if room[i] > 0 {
-			parts = append(parts, part{vm: v, tasks: room[i]})
+		if fitting[i] > 0 {
+			placements = append(placements, placement{vm: v, tasks: fitting[i]})
 		}
 	}
-	slices.SortStableFunc(parts, func(a, b part) int { return cmp.Compare(b.tasks, a.tasks) })
-	for i := range parts {
-		parts[i].tasks = min(parts[i].tasks, tasks)
-		tasks -= parts[i].tasks
+	slices.SortStableFunc(placements, func(a, b placement) int { return cmp.Compare(b.tasks, a.tasks) })
+	for i := range placements {
+		placements[i].tasks = min(placements[i].tasks, tasks)
+		tasks -= placements[i].tasks
 		if tasks == 0 {
-			return parts[:i+1]
+			return placements[:i+1]
 		}
 	}
-	return parts
+	return placements
 }
 
-// holdSample returns VMs that j may use and that nobody holds.
-func (c *cycle) holdSample(j *jobState, tasks int64) []*vmState {
-	limit := max(holdSampleLeast, int(tasks)*holdSamplePerTask)
+// sampleForHold returns VMs that j may use and that are not held.
+func (c *cycle) sampleForHold(j *jobState, tasks int64) []*vmState {
+	limit := max(minHoldSample, int(tasks)*holdSamplePerTask)
 	var sample []*vmState
 	visit := func(v *vmState) bool {
 		if !j.Avoid[v.ID] && j.need().Fits(v.Capacity) {
@@ -207,76 +211,77 @@
 		}
 		return len(sample) < limit
 	}
-	var anything api.Resources
+	var noNeed api.Resources
 	for _, d := range c.dataCentres(j) {
-		if j.need().Accelerators == 0 && !d.plain.walk(anything, 0, c.rand.Uint32(), visit) {
+		if j.need().Accelerators == 0 && !d.cpuOnly.walk(noNeed, 0, c.rand.Uint32(), visit) {
 			break
 		}
-		if !d.accelerated.walk(anything, 0, c.rand.Uint32(), visit) {
+		if !d.accelerated.walk(noNeed, 0, c.rand.Uint32(), visit) {
 			break
 		}
 	}
 	return sample
 }
 
-// appendOpenings adds the times at which v has room for more tasks of j, as
-// far as the expected ends of what runs there tell.
-func (c *cycle) appendOpenings(openings []opening, i int, v *vmState, j *jobState) []opening {
+// appendAvailabilities appends the times from which v fits more tasks of j,
+// according to the expected ends of the tasks on v.
+func (c *cycle) appendAvailabilities(availabilities []availability, i int, v *vmState, j *jobState) []availability {
 	need := j.need()
-	free := v.spare()
+	free := v.available()
 	limit := int64(j.Spec.Tasks)
 	if j.Spec.MaxPerVM > 0 {
 		limit = int64(j.Spec.MaxPerVM) - int64(j.spread.vms[v.ID])
 	}
-	had := min(fitCount(need, free), limit)
-	if had > 0 {
-		openings = append(openings, opening{at: c.now.UnixNano(), vm: i, tasks: had})
+	fitting := min(fitCount(need, free), limit)
+	if fitting > 0 {
+		availabilities = append(availabilities, availability{at: c.now.UnixNano(), vm: i, tasks: fitting})
 	}
-	for _, h := range c.byEnd(v) {
-		free = free.Add(h.resources)
+	for _, alloc := range c.byExpectedEnd(v) {
+		free = free.Add(alloc.resources)
 		n := min(fitCount(need, free), limit)
-		if n > had {
-			openings = append(openings, opening{at: c.endOf(h), vm: i, tasks: n})
-			had = n
+		if n > fitting {
+			availabilities = append(availabilities, availability{at: c.expectedEndOf(alloc), vm: i, tasks: n})
+			fitting = n
 		}
 	}
-	return openings
+	return availabilities
 }
 
-// byEnd returns the holdings of v that are expected to end, soonest first.
-func (c *cycle) byEnd(v *vmState) []*holding {
-	ending := make([]*holding, 0, len(v.holdings))
-	for _, h := range v.holdings {
-		if c.endOf(h) != 0 {
-			ending = append(ending, h)
+// byExpectedEnd returns the allocations on v that are expected to end, soonest first.
+func (c *cycle) byExpectedEnd(v *vmState) []*allocation {
+	ending := make([]*allocation, 0, len(v.allocations))
+	for _, alloc := range v.allocations {
+		if c.expectedEndOf(alloc) != 0 {
+			ending = append(ending, alloc)
 		}
 	}
-	slices.SortFunc(ending, func(a, b *holding) int {
-		return cmp.Or(cmp.Compare(c.endOf(a), c.endOf(b)), cmp.Compare(a.slot, b.slot))
+	slices.SortFunc(ending, func(a, b *allocation) int {
+		return cmp.Or(cmp.Compare(c.expectedEndOf(a), c.expectedEndOf(b)), cmp.Compare(a.vmIndex, b.vmIndex))
 	})
 	return ending
 }
 
-// endOf is when h is expected to end, in Unix nanoseconds; 0: never.
-func (c *cycle) endOf(h *holding) int64 {
+// expectedEndOf returns the expected end of alloc in Unix nanoseconds, or 0 if it is
+// not expected to end.
+func (c *cycle) expectedEndOf(alloc *allocation) int64 {
 	switch {
-	case h.end > c.now.UnixNano():
-		return h.end
-	case h.end != 0:
+	case alloc.expectedEnd > c.now.UnixNano():
+		return alloc.expectedEnd
+	case alloc.expectedEnd != 0:
 		return c.now.Add(overdueGrace).UnixNano()
-	case h.class == api.ClassBatch || h.class == api.ClassGang:
-		return max(h.started+int64(c.cfg.UnknownRunTime), c.now.Add(overdueGrace).UnixNano())
+	case alloc.class == api.ClassBatch || alloc.class == api.ClassGang:
+		return max(alloc.started+int64(c.cfg.UnknownRunTime), c.now.Add(overdueGrace).UnixNano())
 	}
 	return 0
 }
 
-// sampleHeld adds held VMs that a task of j may use all the same.
+// sampleHeld adds held VMs that a task of j may use despite the hold.
 func (c *cycle) sampleHeld(j *jobState, f *search) {
 	need := j.need()
-	for _, h := range c.world.holds {
-		for _, p := range h.parts {
+	for _, h := range c.state.holds {
+		for _, p := range h.placements {
 			v := p.vm
-			if !v.open() || !j.mayUse(v.DataCentre) || !f.admit(j, v, need) {
+			if !v.acceptsWork() || !j.mayUse(v.DataCentre) || !f.admits(j, v, need) {
 				continue
 			}
 			if !c.mayUseHeld(j, v, h) {
@@ -291,20 +296,20 @@
 	}
 }
 
-// mayUseHeld reports whether a task of j leaves what h keeps: it is urgent,
-// or its own, or ends in time, or fits beside the gang.
+// mayUseHeld reports whether a task of j may run on v without delaying the job of
+// h: j is that job or is urgent, or the task ends in time or fits beside the job.
 func (c *cycle) mayUseHeld(j *jobState, v *vmState, h *hold) bool {
 	if h.job == j || j.isUrgent() {
 		return true
 	}
-	if end := expectedEnd(c.now, j.runTime()); end != 0 && end <= h.at.UnixNano() {
+	if end := expectedEndNanos(c.now, j.runTime()); end != 0 && end <= h.expectedStart.UnixNano() {
 		return true
 	}
-	left := v.Capacity.Sub(v.nominated).Sub(h.job.need().Times(v.holdTasks))
-	for _, o := range v.holdings {
-		if end := c.endOf(o); end == 0 || end > h.at.UnixNano() {
-			left = left.Sub(o.resources)
+	remaining := v.Capacity.Sub(v.nominated).Sub(h.job.need().Times(v.holdTasks))
+	for _, alloc := range v.allocations {
+		if end := c.expectedEndOf(alloc); end == 0 || end > h.expectedStart.UnixNano() {
+			remaining = remaining.Sub(alloc.resources)
 		}
 	}
-	return j.need().Fits(left)
+	return j.need().Fits(remaining)
 }
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -8,38 +8,38 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// jobState is a job with its place in the queue.
+// jobState is a job with its scheduling state.
 type jobState struct {
 	Job
-	sequence    uint64 // order of arrival, for equal times
-	team        *teamState
-	pending     []uint32
-	band        int
-	risen       int       // bands gained by waiting
-	since       time.Time // waits since: it was submitted, or a task was placed
-	queue       *shapeQueue
-	removed     bool
-	condemned   bool // judged never to run
-	spread      *spreadCount
-	hold        *hold
-	nominations []*nomination
-	verdict     verdict
+	sequence     uint64 // order of arrival, breaks ties of submission times
+	team         *teamState
+	pending      []uint32
+	band         int
+	promotions   int       // priority bands gained by waiting
+	waitingSince time.Time // when the job was submitted or its last task was placed
+	queue        *shapeQueue
+	removed      bool
+	infeasible   bool // found to be unable to run
+	spread       *spreadCount
+	hold         *hold
+	nominations  []*nomination
+	status       status
 }
 
-// verdict is the outcome of the last attempt to place a job's task.
-type verdict struct {
-	reason api.Reason // empty: none yet, or placed
+// status is the result of the last attempt to place a task of a job.
+type status struct {
+	reason api.Reason // empty if placed or not yet tried
 	detail string
 }
 
-// spreadCount counts a job's tasks by VM and rack, for jobs whose placement
-// depends on it.
+// spreadCount counts the tasks of a job by VM and rack. Only jobs whose placement
+// depends on these counts have one.
 type spreadCount struct {
 	vms   map[api.VMID]uint32
 	racks map[string]uint32
 }
 
-// need is what each task is planned with.
+// need returns the resources that each task is planned with.
 func (j *jobState) need() api.Resources {
 	if j.Estimate.IsZero() {
 		return j.Spec.Resources
@@ -47,7 +47,7 @@
 	return j.Estimate
 }
 
-// runTime is the expected run time of a task; zero: not known or unending.
+// runTime returns the expected run time of a task, or zero if unknown or unbounded.
 func (j *jobState) runTime() time.Duration {
 	if j.RunTime > 0 {
 		return j.RunTime
@@ -63,7 +63,7 @@
 	return j.Spec.Class == api.ClassBatch
 }
 
-// spreads reports whether the job's tasks go apart rather than together.
+// spreads reports whether the tasks of the job are spread rather than packed.
 func (j *jobState) spreads() bool {
 	return j.Spec.Class == api.ClassService || j.Spec.Class == api.ClassInteractive
 }
@@ -76,153 +76,152 @@
 	return j.spreads() || j.Spec.MaxPerRack > 0 || j.Spec.MaxPerVM > 0
 }
 
-// before reports whether j came before o.
-func (j *jobState) before(o *jobState) bool {
+// submittedBefore reports whether j was submitted before o.
+func (j *jobState) submittedBefore(o *jobState) bool {
 	if !j.Submitted.Equal(o.Submitted) {
 		return j.Submitted.Before(o.Submitted)
 	}
 	return j.sequence < o.sequence
 }
 
-// PutJob adds a job or replaces it, keeping the time of its first
-// submission. Tasks that already hold a VM or a reservation are left out of
-// its pending ones.
-func (w *State) PutJob(job Job) {
-	j := w.jobs[job.Spec.ID]
+// PutJob adds a job or replaces it, keeping the time of its first submission.
+// Tasks that already have an allocation are removed from its pending tasks.
+func (st *State) PutJob(job Job) {
+	j := st.jobs[job.Spec.ID]
 	if j == nil {
-		w.sequence++
-		j = &jobState{sequence: w.sequence, since: job.Submitted}
-		w.jobs[job.Spec.ID] = j
-		w.replaceJob(j, job)
+		st.sequence++
+		j = &jobState{sequence: st.sequence, waitingSince: job.Submitted}
+		st.jobs[job.Spec.ID] = j
+		st.replaceJob(j, job)
 		return
 	}
 	job.Submitted = j.Submitted
 	if len(j.pending) == 0 {
-		j.since = w.clock
+		j.waitingSince = st.lastCycle
 	}
-	if j.queue != nil && job.Spec.Tasks == j.Spec.Tasks && w.sameShape(j, job) {
-		w.queue.setPending(j, w.placeable(job))
+	if j.queue != nil && job.Spec.Tasks == j.Spec.Tasks && st.sameShape(j, job) {
+		st.queue.setPending(j, st.unallocatedTasks(job))
 		j.Job = job
 		j.Job.Pending = nil
 		switch {
 		case len(j.pending) == 0:
-			w.dequeue(j)
-		case j.queue.shape.key.own != "":
-			w.retryShape(j.queue.shape) // its own limits may have changed
+			st.dequeue(j)
+		case j.queue.shape.key.ownJob != "":
+			st.retryShape(j.queue.shape) // the limits of the job may have changed
 		}
 		return
 	}
-	w.dequeue(j)
-	w.replaceJob(j, job)
+	st.dequeue(j)
+	st.replaceJob(j, job)
 }
 
-func (w *State) replaceJob(j *jobState, job Job) {
+func (st *State) replaceJob(j *jobState, job Job) {
 	j.Job = job
 	j.Job.Pending = nil
-	j.team = w.teamOf(job.Spec.Team)
-	j.condemned = false
-	w.recountSpread(j)
-	w.perAccelerator.addPerAccelerator(j.need())
-	w.queue.setPending(j, w.placeable(job))
+	j.team = st.teamOf(job.Spec.Team)
+	j.infeasible = false
+	st.recountSpread(j)
+	st.averagePerAccelerator.addPerAccelerator(j.need())
+	st.queue.setPending(j, st.unallocatedTasks(job))
 	if len(j.pending) > 0 {
-		w.queue.add(j)
+		st.queue.add(j)
 	}
 }
 
-// sameShape reports whether job may keep the queue place of j.
-func (w *State) sameShape(j *jobState, job Job) bool {
-	next := jobState{Job: job}
-	return keyOf(&next) == j.queue.shape.key &&
+// sameShape reports whether job may keep the queue position of j.
+func (st *State) sameShape(j *jobState, job Job) bool {
+	updated := jobState{Job: job}
+	return keyOf(&updated) == j.queue.shape.key &&
 		job.Spec.Team == j.Spec.Team &&
-		bandOf(job.Spec.Priority, j.risen) == j.band
+		bandOf(job.Spec.Priority, j.promotions) == j.band
 }
 
-// RemoveJob forgets a job. Its running tasks stay until Vacate.
-func (w *State) RemoveJob(id api.JobID) {
-	j := w.jobs[id]
+// RemoveJob removes a job. Its running tasks stay until Vacate.
+func (st *State) RemoveJob(id api.JobID) {
+	j := st.jobs[id]
 	if j == nil {
 		return
 	}
-	delete(w.jobs, id)
-	w.queue.setPending(j, nil)
-	w.dequeue(j)
+	delete(st.jobs, id)
+	st.queue.setPending(j, nil)
+	st.dequeue(j)
 	j.removed = true
 }
 
-// dequeue takes j out of the queue with all that is kept for it.
-func (w *State) dequeue(j *jobState) {
-	w.queue.remove(j)
-	w.dropHold(j)
-	w.dropNominations(j)
+// dequeue removes j from the queue and drops its hold and nominations.
+func (st *State) dequeue(j *jobState) {
+	st.queue.remove(j)
+	st.dropHold(j)
+	st.dropNominations(j)
 }
 
-// placeable returns the pending tasks of job that hold nothing.
-func (w *State) placeable(job Job) []uint32 {
+// unallocatedTasks returns the pending tasks of job that have no allocation.
+func (st *State) unallocatedTasks(job Job) []uint32 {
 	pending := make([]uint32, 0, len(job.Pending))
 	for _, index := range job.Pending {
-		if w.holdings[api.TaskID{Job: job.Spec.ID, Index: index}] == nil {
+		if st.allocations[api.TaskID{Job: job.Spec.ID, Index: index}] == nil {
 			pending = append(pending, index)
 		}
 	}
 	return pending
 }
 
-// dropPending takes a task out of its job's pending ones.
-func (w *State) dropPending(task api.TaskID) {
-	j := w.jobs[task.Job]
+// dropPending removes a task from the pending tasks of its job.
+func (st *State) dropPending(task api.TaskID) {
+	j := st.jobs[task.Job]
 	if j == nil {
 		return
 	}
-	at := slices.Index(j.pending, task.Index)
-	if at < 0 {
+	i := slices.Index(j.pending, task.Index)
+	if i < 0 {
 		return
 	}
-	w.queue.setPending(j, slices.Delete(j.pending, at, at+1))
+	st.queue.setPending(j, slices.Delete(j.pending, i, i+1))
 	if len(j.pending) == 0 {
-		w.dequeue(j)
+		st.dequeue(j)
 	}
 }
 
-// restorePending puts a task back in front of its job's pending ones.
-func (w *State) restorePending(task api.TaskID) {
-	j := w.jobs[task.Job]
+// restorePending inserts a task before the other pending tasks of its job.
+func (st *State) restorePending(task api.TaskID) {
+	j := st.jobs[task.Job]
 	if j == nil {
 		return
 	}
-	w.queue.setPending(j, slices.Insert(j.pending, 0, task.Index))
-	if j.queue == nil && !j.condemned {
-		j.since = w.clock
-		w.queue.add(j)
+	st.queue.setPending(j, slices.Insert(j.pending, 0, task.Index))
+	if j.queue == nil && !j.infeasible {
+		j.waitingSince = st.lastCycle
+		st.queue.add(j)
 	}
 }
 
-// countSpread adds by to the counts of the job of h, if it keeps any. Tasks
-// beyond the job's number, left from before it was scaled down, don't count.
-func (w *State) countSpread(h *holding, by int) {
-	j := w.jobs[h.task.Job]
-	if j == nil || j.spread == nil || h.task.Index >= j.Spec.Tasks {
+// countSpread adds delta to the spread counts of the job of alloc, if it has any.
+// Tasks that remain from before the job was scaled down are not counted.
+func (st *State) countSpread(alloc *allocation, delta int) {
+	j := st.jobs[alloc.task.Job]
+	if j == nil || j.spread == nil || alloc.task.Index >= j.Spec.Tasks {
 		return
 	}
-	addCount(j.spread.vms, h.vm.ID, by)
-	addCount(j.spread.racks, h.vm.Rack, by)
+	addCount(j.spread.vms, alloc.vm.ID, delta)
+	addCount(j.spread.racks, alloc.vm.Rack, delta)
 }
 
-// recountSpread counts the tasks of j that hold a VM, if j needs it.
-func (w *State) recountSpread(j *jobState) {
+// recountSpread recomputes the spread counts of j from its allocations.
+func (st *State) recountSpread(j *jobState) {
 	if !j.countsSpread() {
 		j.spread = nil
 		return
 	}
 	j.spread = &spreadCount{vms: make(map[api.VMID]uint32), racks: make(map[string]uint32)}
 	for index := range j.Spec.Tasks {
-		if h := w.holdings[api.TaskID{Job: j.Spec.ID, Index: index}]; h != nil {
-			w.countSpread(h, 1)
+		if alloc := st.allocations[api.TaskID{Job: j.Spec.ID, Index: index}]; alloc != nil {
+			st.countSpread(alloc, 1)
 		}
 	}
 }
 
-func addCount[K comparable](counts map[K]uint32, key K, by int) {
-	n := int(counts[key]) + by
+func addCount[K comparable](counts map[K]uint32, key K, delta int) {
+	n := int(counts[key]) + delta
 	if n <= 0 {
 		delete(counts, key)
 		return
@@ -230,21 +229,21 @@
 	counts[key] = uint32(n)
 }
 
-// Explain returns why a job waits, as far as the last attempts tell, and
-// whether it does.
-func (w *State) Explain(id api.JobID) (WaitingJob, bool) {
-	j := w.jobs[id]
+// Explain returns why a job waits, according to the last attempt to place it, and
+// whether it waits.
+func (st *State) Explain(id api.JobID) (WaitingJob, bool) {
+	j := st.jobs[id]
 	if j == nil || len(j.pending) == 0 {
 		return WaitingJob{}, false
 	}
-	v := j.verdict
+	v := j.status
 	if v.reason == "" && j.queue != nil {
-		v = j.queue.verdict
+		v = j.queue.status
 	}
 	return WaitingJob{Job: id, Reason: v.reason, Detail: v.detail}, true
 }
 
-// dataCentreKey joins the data centres a job is limited to.
+// dataCentreKey returns a key for the data centres that a job is limited to.
 func dataCentreKey(names []api.DataCentre) string {
 	if len(names) == 0 {
 		return ""
--- a/internal/scheduler/park.go
+++ b/internal/scheduler/park.go
@@ -1,58 +1,59 @@
 package scheduler
 
-// A queue whose head found no place is parked: on its shape when capacity is
-// short, on its team when the quota is. What frees either makes it ready.
+// A queue whose head could not be placed is parked: on its shape if capacity is
+// short, on its team if the quota is short. Freeing either makes it ready again.
 
-// parkOnCapacity parks q until a VM is freed that could hold its tasks.
-func (w *State) parkOnCapacity(q *shapeQueue) {
+// parkOnCapacity parks q until capacity is freed that may fit its tasks.
+func (st *State) parkOnCapacity(q *shapeQueue) {
 	q.owner.park(q)
 	q.shape.parked = append(q.shape.parked, q)
-	w.queue.blocked.block(q.shape)
+	st.queue.blocked.block(q.shape)
 }
 
-// parkOnQuota parks q until its team holds less or may hold more.
-func (w *State) parkOnQuota(q *shapeQueue) {
+// parkOnQuota parks q until its team uses less or its quota is raised.
+func (st *State) parkOnQuota(q *shapeQueue) {
 	q.owner.park(q)
 	q.owner.team.parked = append(q.owner.team.parked, q)
 }
 
-// retryNext parks q until the next cycle.
-func (w *State) retryNext(q *shapeQueue) {
+// retryNextCycle parks q until the next cycle.
+func (st *State) retryNextCycle(q *shapeQueue) {
 	q.owner.park(q)
-	w.retry = append(w.retry, q)
+	st.retryQueues = append(st.retryQueues, q)
 }
 
-// wakeTeam notes that queues parked on the quota of t may go on.
-func (w *State) wakeTeam(t *teamState) {
+// wakeTeam records that queues parked on the quota of t may be ready.
+func (st *State) wakeTeam(t *teamState) {
 	if len(t.parked) == 0 || t.waking {
 		return
 	}
 	t.waking = true
-	w.waking = append(w.waking, t)
+	st.waking = append(st.waking, t)
 }
 
-// wake makes ready what the changes since the last cycle let go on.
-func (w *State) wake() {
-	for _, q := range w.retry {
+// wakeQueues makes ready the parked queues that changes since the last cycle may
+// allow to continue.
+func (st *State) wakeQueues() {
+	for _, q := range st.retryQueues {
 		q.owner.makeReady(q)
 	}
-	clear(w.retry)
-	w.retry = w.retry[:0]
-	for _, t := range w.waking {
+	clear(st.retryQueues)
+	st.retryQueues = st.retryQueues[:0]
+	for _, t := range st.waking {
 		t.waking = false
 		t.wakeParked()
 	}
-	clear(w.waking)
-	w.waking = w.waking[:0]
-	w.wakeBlocked()
+	clear(st.waking)
+	st.waking = st.waking[:0]
+	st.unblockShapes()
 }
 
-// wakeParked makes ready the queues that the quota now lets go on.
+// wakeParked makes ready the queues whose tasks the quota now allows.
 func (t *teamState) wakeParked() {
 	kept := t.parked[:0]
 	for _, q := range t.parked {
 		switch {
-		case q.live == 0:
+		case q.liveJobs == 0:
 		case t.allows(q.shape.key.need):
 			q.owner.makeReady(q)
 		default:
@@ -63,27 +64,28 @@
 	t.parked = kept
 }
 
-// wakeBlocked unblocks the shapes that fit a VM freed since the last cycle.
-func (w *State) wakeBlocked() {
-	for _, v := range w.freed {
+// unblockShapes unblocks the shapes that fit a VM with capacity freed since the
+// last cycle.
+func (st *State) unblockShapes() {
+	for _, v := range st.freed {
 		v.freed = false
-		if !v.known || !v.Schedulable {
+		if !v.listed || !v.Schedulable {
 			continue
 		}
-		w.woken = w.queue.blocked.fitting(w.woken[:0], v)
-		for _, s := range w.woken {
-			w.retryShape(s)
+		st.unblocked = st.queue.blocked.fitting(st.unblocked[:0], v)
+		for _, s := range st.unblocked {
+			st.retryShape(s)
 		}
 	}
-	clear(w.freed)
-	w.freed = w.freed[:0]
+	clear(st.freed)
+	st.freed = st.freed[:0]
 }
 
-// retryShape lets the jobs of s be tried again.
-func (w *State) retryShape(s *shape) {
-	w.queue.blocked.unblock(s)
+// retryShape unblocks s and makes its queues ready.
+func (st *State) retryShape(s *shape) {
+	st.queue.blocked.unblock(s)
 	for _, q := range s.parked {
-		if q.live > 0 {
+		if q.liveJobs > 0 {
 			q.owner.makeReady(q)
 		}
 	}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -8,54 +8,55 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// preemptSample is how many VMs are weighed for one preemption.
-const preemptSample = 64
+// maxPreemptionCandidates bounds the VMs compared for one preemption.
+const maxPreemptionCandidates = 64
 
-// nomination keeps room on a VM for a task whose victims are stopping.
+// nomination keeps capacity on a VM for a task while its victims stop.
 type nomination struct {
 	job     *jobState
 	vm      *vmState
 	need    api.Resources
-	victims []*holding
+	victims []*allocation
 	expires time.Time
 }
 
-// preemption is the outcome of an attempt to preempt.
-type preemption int
+// preemptResult is the outcome of an attempt to preempt.
+type preemptResult int
 
 const (
-	preemptNone  preemption = iota // not entitled, or no victims make room
-	preempting                     // a VM was nominated for one more task
-	preemptLater                   // the cycle's preemptions are used up
+	preemptNone      preemptResult = iota // not allowed, or no victims free enough capacity
+	preemptNominated                      // a VM was nominated for one more task
+	preemptRetry                          // the preemptions of this cycle are used up
 )
 
-// preempt makes room for one task of j by stopping cheaper work. The room
-// counts as free only when the victims are gone; until then it is nominated.
-func (c *cycle) preempt(j *jobState) preemption {
-	if len(j.nominations) >= len(j.pending) || !c.world.evictable.anyBelow(c.victimsBelow(j)) {
+// preempt nominates capacity for one task of j by stopping work of lower priority.
+// The capacity is free only when the victims have stopped; until then it is
+// nominated.
+func (c *cycle) preempt(j *jobState) preemptResult {
+	if len(j.nominations) >= len(j.pending) || !c.state.evictable.anyBelow(c.victimPriorityLimit(j)) {
 		return preemptNone
 	}
-	left := c.cfg.Policy.MaxPreemptions - len(c.plan.Preemptions)
-	if left <= 0 {
-		return preemptLater
+	remaining := c.cfg.Policy.MaxPreemptions - len(c.plan.Preemptions)
+	if remaining <= 0 {
+		return preemptRetry
 	}
-	v, victims := c.cheapestVictims(j, left)
+	v, victims := c.cheapestVictims(j, remaining)
 	if v == nil {
 		return preemptNone
 	}
 	c.nominate(j, v, victims)
-	return preempting
+	return preemptNominated
 }
 
-// victimsBelow is the priority under which j may displace running tasks.
-func (c *cycle) victimsBelow(j *jobState) int {
+// victimPriorityLimit returns the priority below which j may preempt running tasks.
+func (c *cycle) victimPriorityLimit(j *jobState) int {
 	if j.isUrgent() {
 		return api.PriorityUrgent
 	}
 	return j.Spec.Priority - c.cfg.PreemptMargin + 1
 }
 
-func (c *cycle) nominate(j *jobState, v *vmState, victims []*holding) {
+func (c *cycle) nominate(j *jobState, v *vmState, victims []*allocation) {
 	n := &nomination{
 		job:     j,
 		vm:      v,
@@ -63,25 +64,25 @@
 		victims: victims,
 		expires: c.now.Add(c.cfg.NominationTimeout),
 	}
-	for _, h := range victims {
-		h.stopping = true
-		c.plan.Preemptions = append(c.plan.Preemptions, Preemption{Task: h.task, VM: v.ID, Preemptor: j.Spec.ID})
+	for _, alloc := range victims {
+		alloc.stopping = true
+		c.plan.Preemptions = append(c.plan.Preemptions, Preemption{Task: alloc.task, VM: v.ID, Preemptor: j.Spec.ID})
 	}
 	j.nominations = append(j.nominations, n)
-	c.world.nominations = append(c.world.nominations, n)
+	c.state.nominations = append(c.state.nominations, n)
 	v.nominated = v.nominated.Add(n.need)
-	c.world.reindex(v)
+	c.state.reindex(v)
 }
 
-// bid is a VM with the victims that would make room on it.
-type bid struct {
+// preemptionCandidate is a VM with the victims that would free enough capacity on it.
+type preemptionCandidate struct {
 	vm       *vmState
-	victims  []*holding
-	priority int32 // highest among the victims
-	load     int64 // processors and memory they hold, in thousandths of the VM
+	victims  []*allocation
+	priority int32 // highest priority of the victims
+	load     int64 // processors and memory of the victims, in thousandths of the VM
 }
 
-func (b bid) cheaper(o bid) bool {
+func (b preemptionCandidate) cheaper(o preemptionCandidate) bool {
 	if b.priority != o.priority {
 		return b.priority < o.priority
 	}
@@ -91,45 +92,47 @@
 	return b.load < o.load
 }
 
-// cheapestVictims returns the VM of a sample on which the cheapest victims,
-// most at most, make room for a task of j; nil if there is none.
-func (c *cycle) cheapestVictims(j *jobState, most int) (*vmState, []*holding) {
-	var best bid
-	weighed := 0
-	below := int32(c.victimsBelow(j))
+// cheapestVictims returns the VM of a sample on which the cheapest set of at most
+// maxVictims victims frees enough capacity for a task of j, or nil if there is
+// none.
+func (c *cycle) cheapestVictims(j *jobState, maxVictims int) (*vmState, []*allocation) {
+	var best preemptionCandidate
+	compared := 0
+	below := int32(c.victimPriorityLimit(j))
 	visit := func(v *vmState) bool {
-		if !v.victims.anyBelow(int(below)) || !c.mayMakeRoom(j, v) {
+		if !v.evictableByBand.anyBelow(int(below)) || !c.canPreemptOn(j, v) {
 			return true
 		}
-		b, ok := bidOn(v, j.need(), below)
-		if !ok || len(b.victims) > most {
+		b, ok := candidateOn(v, j.need(), below)
+		if !ok || len(b.victims) > maxVictims {
 			return true
 		}
-		weighed++
+		compared++
 		if best.vm == nil || b.cheaper(best) {
 			best = b
 		}
-		return weighed < preemptSample
+		return compared < maxPreemptionCandidates
 	}
-	var nothing api.Resources
+	var noNeed api.Resources
 	for _, d := range c.dataCentres(j) {
-		if j.need().Accelerators == 0 && !d.plain.walk(nothing, 0, c.rand.Uint32(), visit) {
+		if j.need().Accelerators == 0 && !d.cpuOnly.walk(noNeed, 0, c.rand.Uint32(), visit) {
 			break
 		}
-		if !d.accelerated.walk(nothing, 0, c.rand.Uint32(), visit) {
+		if !d.accelerated.walk(noNeed, 0, c.rand.Uint32(), visit) {
 			break
 		}
 	}
 	return best.vm, best.victims
 }
 
-// mayMakeRoom reports whether victims on v could help j. A VM with room was
-// refused on another ground, which stopping victims doesn't change; VMs with
-// accelerators are left to work that needs them, unless j is urgent.
-func (c *cycle) mayMakeRoom(j *jobState, v *vmState) bool {
+// canPreemptOn reports whether stopping victims on v could help j. A VM with enough
+// free capacity was excluded for another reason, which stopping victims does not
+// change. VMs with accelerators are kept for work that needs them, unless j is
+// urgent.
+func (c *cycle) canPreemptOn(j *jobState, v *vmState) bool {
 	need := j.need()
 	switch {
-	case need.Fits(v.spare()) || !need.Fits(v.spare().Add(v.evictable)):
+	case need.Fits(v.available()) || !need.Fits(v.available().Add(v.evictable)):
 		return false
 	case need.Accelerators == 0 && v.Capacity.Accelerators > 0 && !j.isUrgent():
 		return false
@@ -137,42 +140,43 @@
 	return !j.Avoid[v.ID] && j.spreadAllows(v)
 }
 
-// bidOn picks the cheapest victims under a priority that make room for need
-// on v: the lowest priority first, of one priority the youngest.
-func bidOn(v *vmState, need api.Resources, below int32) (bid, bool) {
-	room := v.spare()
-	var able []*holding
-	for _, h := range v.holdings {
+// candidateOn selects the cheapest victims with a priority below the given one that
+// free enough capacity for need on v: lowest priority first, then the most recently
+// started.
+func candidateOn(v *vmState, need api.Resources, below int32) (preemptionCandidate, bool) {
+	capacity := v.available()
+	var victims []*allocation
+	for _, alloc := range v.allocations {
 		switch {
-		case h.stopping:
-			room = room.Add(h.resources)
-		case h.evictable() && h.priority < below:
-			able = append(able, h)
+		case alloc.stopping:
+			capacity = capacity.Add(alloc.resources)
+		case alloc.evictable() && alloc.priority < below:
+			victims = append(victims, alloc)
 		}
 	}
-	slices.SortFunc(able, func(a, b *holding) int {
+	slices.SortFunc(victims, func(a, b *allocation) int {
 		return cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(b.started, a.started),
-			cmp.Compare(a.slot, b.slot))
+			cmp.Compare(a.vmIndex, b.vmIndex))
 	})
 	taken := 0
-	for taken < len(able) && !need.Fits(room) {
-		room = room.Add(able[taken].resources)
+	for taken < len(victims) && !need.Fits(capacity) {
+		capacity = capacity.Add(victims[taken].resources)
 		taken++
 	}
-	if !need.Fits(room) {
-		return bid{}, false
+	if !need.Fits(capacity) {
+		return preemptionCandidate{}, false
 	}
-	return newBid(v, spareVictims(able[:taken], need, room)), true
+	return newPreemptionCandidate(v, dropUnneededVictims(victims[:taken], need, capacity)), true
 }
 
-// spareVictims leaves out victims that turn out not to be needed, the
-// dearest first.
-func spareVictims(victims []*holding, need, room api.Resources) []*holding {
-	kept := make([]*holding, 0, len(victims))
+// dropUnneededVictims removes victims that are not needed to fit need, the most
+// expensive first.
+func dropUnneededVictims(victims []*allocation, need, capacity api.Resources) []*allocation {
+	kept := make([]*allocation, 0, len(victims))
 	for i := len(victims) - 1; i >= 0; i-- {
-		without := room.Sub(victims[i].resources)
+		without := capacity.Sub(victims[i].resources)
 		if need.Fits(without) {
-			room = without
+			capacity = without
 			continue
 		}
 		kept = append(kept, victims[i])
@@ -180,13 +184,13 @@
 	return kept
 }
 
-func newBid(v *vmState, victims []*holding) bid {
+func newPreemptionCandidate(v *vmState, victims []*allocation) preemptionCandidate {
 	const thousandths = 1000
-	b := bid{vm: v, victims: victims}
-	for _, h := range victims {
-		b.priority = max(b.priority, h.priority)
-		b.load += int64(thousandths * fraction(h.resources.MilliCPU, v.Capacity.MilliCPU))
-		b.load += int64(thousandths * fraction(h.resources.MemoryMB, v.Capacity.MemoryMB))
+	b := preemptionCandidate{vm: v, victims: victims}
+	for _, alloc := range victims {
+		b.priority = max(b.priority, alloc.priority)
+		b.load += int64(thousandths * fraction(alloc.resources.MilliCPU, v.Capacity.MilliCPU))
+		b.load += int64(thousandths * fraction(alloc.resources.MemoryMB, v.Capacity.MemoryMB))
 	}
 	return b
 }
@@ -194,7 +198,7 @@
 // bandCounts counts tasks by the priority band they were started in.
 type bandCounts [bandCount]int32
 
-// anyBelow reports whether a task may have a priority under that given.
+// anyBelow reports whether a counted task may have a priority below the given one.
 func (b *bandCounts) anyBelow(priority int) bool {
 	if priority <= api.PriorityLowest {
 		return false
@@ -207,81 +211,81 @@
 	return false
 }
 
-// countEvictable adds n to the counts, and n times what h holds to the
-// amounts, of what may be preempted.
-func (w *State) countEvictable(h *holding, n int32) {
-	if !h.evictable() {
+// countEvictable adds n to the counts of evictable tasks, and n times the resources
+// of alloc to the evictable resources of its VM, if alloc is evictable.
+func (st *State) countEvictable(alloc *allocation, n int32) {
+	if !alloc.evictable() {
 		return
 	}
-	band := bandOf(int(h.priority), 0)
-	h.vm.evictable = h.vm.evictable.Add(h.resources.Times(int64(n)))
-	h.vm.victims[band] += n
-	w.evictable[band] += n
+	band := bandOf(int(alloc.priority), 0)
+	alloc.vm.evictable = alloc.vm.evictable.Add(alloc.resources.Times(int64(n)))
+	alloc.vm.evictableByBand[band] += n
+	st.evictable[band] += n
 }
 
-// evictable reports whether h may be checkpointed and stopped for others.
-func (h *holding) evictable() bool {
-	return h.checkpointable && h.class == api.ClassBatch && !h.reserved
+// evictable reports whether alloc may be preempted, by checkpoint and stop.
+func (alloc *allocation) evictable() bool {
+	return alloc.checkpointable && alloc.class == api.ClassBatch && !alloc.reserved
 }
 
-// expireNominations gives up those whose victims did not stop in time.
-func (w *State) expireNominations(now time.Time) {
-	for i := 0; i < len(w.nominations); {
-		n := w.nominations[i]
+// expireNominations drops the nominations whose victims did not stop in time.
+func (st *State) expireNominations(now time.Time) {
+	for i := 0; i < len(st.nominations); {
+		n := st.nominations[i]
 		if now.Before(n.expires) {
 			i++
 			continue
 		}
-		w.dropNomination(n)
+		st.dropNomination(n)
 		if q := n.job.queue; q != nil {
-			w.retryShape(q.shape)
+			st.retryShape(q.shape)
 		}
 	}
 }
 
-func (w *State) dropNominations(j *jobState) {
+func (st *State) dropNominations(j *jobState) {
 	for len(j.nominations) > 0 {
-		w.dropNomination(j.nominations[0])
+		st.dropNomination(j.nominations[0])
 	}
 }
 
-// dropNomination gives the room nominated by n back to everybody.
-func (w *State) dropNomination(n *nomination) {
-	w.undoNomination(n)
-	w.markFreed(n.vm)
-	w.dropIfEmpty(n.vm)
+// dropNomination releases the capacity nominated by n.
+func (st *State) dropNomination(n *nomination) {
+	st.undoNomination(n)
+	st.markFreed(n.vm)
+	st.dropIfEmpty(n.vm)
 }
 
-// undoNomination takes n back as if it had not been made.
-func (w *State) undoNomination(n *nomination) {
+// undoNomination removes n as if it had not been made.
+func (st *State) undoNomination(n *nomination) {
 	same := func(o *nomination) bool { return o == n }
-	w.nominations = slices.DeleteFunc(w.nominations, same)
+	st.nominations = slices.DeleteFunc(st.nominations, same)
 	n.job.nominations = slices.DeleteFunc(n.job.nominations, same)
-	for _, h := range n.victims {
-		h.stopping = false
+	for _, alloc := range n.victims {
+		alloc.stopping = false
 	}
 	n.vm.nominated = n.vm.nominated.Sub(n.need)
-	w.reindex(n.vm)
+	st.reindex(n.vm)
 }
 
-// settleNomination drops the nomination that a start of j on v makes
-// needless: the one on v, or one more than j has tasks left.
-func (w *State) settleNomination(j *jobState, v *vmState) {
+// consumeNomination drops the nomination that a start of j on v makes unnecessary:
+// the one on v, or else the oldest if j has a nomination for every pending task.
+func (st *State) consumeNomination(j *jobState, v *vmState) {
 	for _, n := range j.nominations {
 		if n.vm == v {
-			w.dropNomination(n)
+			st.dropNomination(n)
 			return
 		}
 	}
 	if len(j.nominations) >= len(j.pending) {
-		w.dropNomination(j.nominations[0])
+		st.dropNomination(j.nominations[0])
 	}
 }
 
-// nominated returns a VM nominated for j whose victims have gone, or nil.
-func (j *jobState) nominated() *vmState {
+// nominatedVM returns a VM nominated for j whose victims have stopped, or nil.
+func (j *jobState) nominatedVM() *vmState {
 	for _, n := range j.nominations {
-		if n.vm.open() && j.spreadAllows(n.vm) && n.need.Fits(n.vm.spare().Add(n.need)) {
+		if n.vm.acceptsWork() && j.spreadAllows(n.vm) && n.need.Fits(n.vm.available().Add(n.need)) {
 			return n.vm
 		}
 	}
--- a/internal/scheduler/probe.go
+++ b/internal/scheduler/probe.go
@@ -1,73 +1,72 @@
 package scheduler
 
 const (
-	// probesTried bounds the quarantined VMs looked at for one task.
-	probesTried = 4
-	// probesOffered bounds those looked at in each cycle for being due.
-	probesOffered = 16
+	// maxProbeCandidates bounds the quarantined VMs examined for one task.
+	maxProbeCandidates = 4
+	// maxProbeWakes bounds the quarantined VMs checked per cycle for a due probe.
+	maxProbeWakes = 16
 )
 
-// probeTarget returns a quarantined VM that is due for a probe and may take
-// a task of j, or nil. Probes are ordinary batch tasks that may be started
-// again when they fail.
+// probeTarget returns a quarantined VM that is due for a probe and may run a task
+// of j, or nil. Probes are ordinary batch tasks that may be restarted if they fail.
 func (c *cycle) probeTarget(j *jobState) *vmState {
-	list := c.world.quarantine.list
+	list := c.state.quarantined.list
 	if len(list) == 0 || !j.isBatch() || j.isUrgent() || j.Spec.MaxAttempts == 1 {
 		return nil
 	}
-	for range min(probesTried, len(list)) {
-		c.world.probeCursor++
-		v := list[c.world.probeCursor%len(list)]
-		if c.probeDue(v) && c.admitsProbe(j, v) {
+	for range min(maxProbeCandidates, len(list)) {
+		c.state.probeCursor++
+		v := list[c.state.probeCursor%len(list)]
+		if c.isProbeDue(v) && c.canProbe(j, v) {
 			return v
 		}
 	}
 	return nil
 }
 
-// offerProbes wakes work that waits for VMs which are due for a probe, as
-// nothing else may. It looks at a few VMs in each cycle.
-func (c *cycle) offerProbes() {
-	list := c.world.quarantine.list
-	for i := range min(probesOffered, len(list)) {
-		v := list[(c.world.offerCursor+i)%len(list)]
-		if c.probeDue(v) && c.now.Sub(v.offered) >= c.cfg.ProbeInterval {
-			v.offered = c.now
-			c.world.markFreed(v)
+// wakeForProbes wakes waiting work that fits VMs due for a probe, because no other
+// event may wake it. It checks at most maxProbeWakes VMs per cycle.
+func (c *cycle) wakeForProbes() {
+	list := c.state.quarantined.list
+	for i := range min(maxProbeWakes, len(list)) {
+		v := list[(c.state.probeWakeCursor+i)%len(list)]
+		if c.isProbeDue(v) && c.now.Sub(v.lastProbeWake) >= c.cfg.ProbeInterval {
+			v.lastProbeWake = c.now
+			c.state.markFreed(v)
 		}
 	}
-	c.world.offerCursor += probesOffered
+	c.state.probeWakeCursor += maxProbeWakes
 }
 
-// startProbe starts the next task of j as the one probe on v.
+// startProbe starts the next task of j as the only probe on v.
 func (c *cycle) startProbe(j *jobState, v *vmState) {
 	c.start(j, v).probe = true
 	v.lastProbe = c.now
 }
 
-func (c *cycle) probeDue(v *vmState) bool {
-	return !v.probing() && c.now.Sub(v.lastProbe) >= c.cfg.ProbeInterval
+func (c *cycle) isProbeDue(v *vmState) bool {
+	return !v.hasProbe() && c.now.Sub(v.lastProbe) >= c.cfg.ProbeInterval
 }
 
-func (c *cycle) admitsProbe(j *jobState, v *vmState) bool {
-	f := search{perAccelerator: c.world.keepsHeadroom(j)}
-	return j.mayUse(v.DataCentre) && f.admit(j, v, j.need())
+func (c *cycle) canProbe(j *jobState, v *vmState) bool {
+	f := search{averagePerAccelerator: c.state.acceleratorHeadroom(j)}
+	return j.mayUse(v.DataCentre) && f.admits(j, v, j.need())
 }
 
-// probing reports whether a probe runs on v.
-func (v *vmState) probing() bool {
-	for _, h := range v.holdings {
-		if h.probe {
+// hasProbe reports whether a probe has an allocation on v.
+func (v *vmState) hasProbe() bool {
+	for _, alloc := range v.allocations {
+		if alloc.probe {
 			return true
 		}
 	}
 	return false
 }
 
-// quarantineFits reports whether a quarantined VM would have room for j.
-func (w *State) quarantineFits(j *jobState) bool {
-	for _, v := range w.quarantine.list {
-		if j.mayUse(v.DataCentre) && j.need().Fits(v.spare()) {
+// fitsQuarantinedVM reports whether a task of j fits a quarantined VM.
+func (st *State) fitsQuarantinedVM(j *jobState) bool {
+	for _, v := range st.quarantined.list {
+		if j.mayUse(v.DataCentre) && j.need().Fits(v.available()) {
 			return true
 		}
 	}
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -7,20 +7,20 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// Priority bands. Bands go strictly one after the other; a job rises by one
-// with each Config.AgeStep it has waited, but never into the urgent one.
+// Priority bands are served in strict order. A job is promoted by one band for
+// each Config.AgeStep that it has waited, but never into the urgent band.
 const (
 	bandWidth  = 100
 	urgentBand = api.PriorityUrgent / bandWidth
 	bandCount  = urgentBand + 1
 )
 
-// bandOf returns the band of a priority after a rise.
-func bandOf(priority, risen int) int {
+// bandOf returns the band of a priority after a number of promotions.
+func bandOf(priority, promotions int) int {
 	if priority >= api.PriorityUrgent {
 		return urgentBand
 	}
-	return min(max(priority, 0)/bandWidth+risen, urgentBand-1)
+	return min(max(priority, 0)/bandWidth+promotions, urgentBand-1)
 }
 
 // queue holds the jobs with pending tasks.
@@ -28,27 +28,27 @@
 	bands   [bandCount]band
 	shapes  map[shapeKey]*shape
 	blocked blockedIndex       // shapes that wait for capacity
-	aging   [bandCount]ageHeap // by bands already gained
+	aging   [bandCount]ageHeap // by number of promotions
 	jobs    int
 	tasks   int
 }
 
-// band is the jobs of one priority band.
+// band contains the jobs of one priority band.
 type band struct {
 	teams map[*teamState]*teamQueue
-	ready []*teamQueue // those with a ready queue
+	ready []*teamQueue // teams with a ready queue
 }
 
-// teamQueue is one team's jobs in one band.
+// teamQueue contains the jobs of one team in one band.
 type teamQueue struct {
-	band    *band
-	team    *teamState
-	shapes  map[*shape]*shapeQueue
-	ready   shapeHeap
-	listPos int // in band.ready; -1: not listed
+	band     *band
+	team     *teamState
+	shapes   map[*shape]*shapeQueue
+	ready    shapeHeap
+	readyPos int // index in band.ready; -1 if not listed
 }
 
-// setPending replaces the pending tasks of j and keeps the sums.
+// setPending replaces the pending tasks of j and updates the totals.
 func (q *queue) setPending(j *jobState, pending []uint32) {
 	q.tasks += len(pending) - len(j.pending)
 	switch {
@@ -62,17 +62,17 @@
 
 // add queues j by its priority, team and shape.
 func (q *queue) add(j *jobState) {
-	j.band = bandOf(j.Spec.Priority, j.risen)
+	j.band = bandOf(j.Spec.Priority, j.promotions)
 	s := q.shapeOf(keyOf(j))
 	t := q.bands[j.band].teamQueue(j.team)
 	sq := t.shapes[s]
 	if sq == nil {
 		sq = &shapeQueue{owner: t, shape: s, heapPos: -1}
 		t.shapes[s] = sq
-		s.queues++
+		s.queueCount++
 	}
 	j.queue = sq
-	wasEmpty := sq.live == 0
+	wasEmpty := sq.liveJobs == 0
 	sq.insert(j)
 	switch {
 	case sq.heapPos >= 0:
@@ -80,21 +80,21 @@
 	case wasEmpty:
 		t.makeReady(sq)
 	}
-	if j.risen < bandCount-1 {
-		heap.Push(&q.aging[j.risen], ageEntry{job: j, since: j.since})
+	if j.promotions < bandCount-1 {
+		heap.Push(&q.aging[j.promotions], ageEntry{job: j, waitingSince: j.waitingSince})
 	}
 }
 
-// remove takes j out of its queue; the entry itself goes lazily.
+// remove removes j from its queue. The entry in shapeQueue.jobs is removed lazily.
 func (q *queue) remove(j *jobState) {
 	sq := j.queue
 	if sq == nil {
 		return
 	}
 	j.queue = nil
-	sq.live--
-	if sq.live == 0 {
-		q.drop(sq)
+	sq.liveJobs--
+	if sq.liveJobs == 0 {
+		q.removeEmpty(sq)
 		return
 	}
 	t := sq.owner
@@ -105,15 +105,15 @@
 	sq.compact()
 }
 
-// drop forgets an empty queue, and its shape with the last one. The team's
-// place in the band stays: there are few of those.
-func (q *queue) drop(sq *shapeQueue) {
+// removeEmpty removes an empty queue, and its shape with the shape's last queue. The
+// teamQueue stays in the band, because there are few of them.
+func (q *queue) removeEmpty(sq *shapeQueue) {
 	t := sq.owner
 	t.park(sq)
 	sq.jobs = nil
 	delete(t.shapes, sq.shape)
-	sq.shape.queues--
-	if sq.shape.queues == 0 {
+	sq.shape.queueCount--
+	if sq.shape.queueCount == 0 {
 		q.blocked.unblock(sq.shape)
 		delete(q.shapes, sq.shape.key)
 	}
@@ -131,7 +131,7 @@
 func (b *band) teamQueue(t *teamState) *teamQueue {
 	tq := b.teams[t]
 	if tq == nil {
-		tq = &teamQueue{band: b, team: t, shapes: make(map[*shape]*shapeQueue), listPos: -1}
+		tq = &teamQueue{band: b, team: t, shapes: make(map[*shape]*shapeQueue), readyPos: -1}
 		if b.teams == nil {
 			b.teams = make(map[*teamState]*teamQueue)
 		}
@@ -140,38 +140,38 @@
 	return tq
 }
 
-// makeReady lets sq be tried.
+// makeReady adds sq to the ready queues of the team.
 func (t *teamQueue) makeReady(sq *shapeQueue) {
 	if sq.heapPos >= 0 || sq.head() == nil {
 		return
 	}
 	heap.Push(&t.ready, sq)
-	if t.listPos < 0 {
-		t.listPos = len(t.band.ready)
+	if t.readyPos < 0 {
+		t.readyPos = len(t.band.ready)
 		t.band.ready = append(t.band.ready, t)
 	}
 }
 
-// park takes sq off its turn until something makes it ready.
+// park removes sq from the ready queues of the team until makeReady is called.
 func (t *teamQueue) park(sq *shapeQueue) {
 	if sq.heapPos >= 0 {
 		heap.Remove(&t.ready, sq.heapPos)
 	}
-	if len(t.ready) > 0 || t.listPos < 0 {
+	if len(t.ready) > 0 || t.readyPos < 0 {
 		return
 	}
 	ready := t.band.ready
 	last := len(ready) - 1
-	ready[t.listPos] = ready[last]
-	ready[t.listPos].listPos = t.listPos
+	ready[t.readyPos] = ready[last]
+	ready[t.readyPos].readyPos = t.readyPos
 	ready[last] = nil
 	t.band.ready = ready[:last]
-	t.listPos = -1
+	t.readyPos = -1
 }
 
-// next returns the queue whose turn it is: of the highest band with ready
-// work, that of the team with the least share, and of that team the oldest.
-// It returns nil when nothing is ready.
+// next returns the queue to serve next: in the highest band with ready work, of the
+// team with the smallest dominant share, the queue with the oldest job. It returns
+// nil if no queue is ready.
 func (q *queue) next(total api.Resources) *shapeQueue {
 	for b := urgentBand; b >= 0; b-- {
 		if ready := q.bands[b].ready; len(ready) > 0 {
@@ -186,34 +186,34 @@
 	if len(teams) == 1 {
 		return best
 	}
-	bestShare := best.team.share(total)
+	bestShare := best.team.dominantShare(total)
 	for _, t := range teams[1:] {
-		share := t.team.share(total)
-		if share < bestShare || share == bestShare && t.older(best) {
+		dominantShare := t.team.dominantShare(total)
+		if dominantShare < bestShare || dominantShare == bestShare && t.hasOlderHead(best) {
 			best = t
-			bestShare = share
+			bestShare = dominantShare
 		}
 	}
 	return best
 }
 
-func (t *teamQueue) older(o *teamQueue) bool {
-	return t.ready[0].jobs[0].before(o.ready[0].jobs[0])
+func (t *teamQueue) hasOlderHead(o *teamQueue) bool {
+	return t.ready[0].jobs[0].submittedBefore(o.ready[0].jobs[0])
 }
 
-// promote raises the jobs that have waited another step by one band, and
-// lets them be tried.
-func (q *queue) promote(now time.Time, step time.Duration) {
-	for risen := range q.aging {
-		h := &q.aging[risen]
-		due := now.Add(-step * time.Duration(risen+1))
+// promoteAged promotes the jobs that have waited another step by one band and makes
+// their queues ready.
+func (q *queue) promoteAged(now time.Time, step time.Duration) {
+	for promotions := range q.aging {
+		h := &q.aging[promotions]
+		due := now.Add(-step * time.Duration(promotions+1))
 		h.compact(q.jobs)
-		for h.Len() > 0 && !(*h)[0].since.After(due) {
+		for h.Len() > 0 && !(*h)[0].waitingSince.After(due) {
 			j := heap.Pop(h).(ageEntry).job
 			switch {
-			case j.queue == nil || j.risen != risen:
-			case j.since.After(due):
-				heap.Push(h, ageEntry{job: j, since: j.since})
+			case j.queue == nil || j.promotions != promotions:
+			case j.waitingSince.After(due):
+				heap.Push(h, ageEntry{job: j, waitingSince: j.waitingSince})
 			default:
 				q.promoteJob(j)
 			}
@@ -223,26 +223,26 @@
 
 func (q *queue) promoteJob(j *jobState) {
 	q.remove(j)
-	j.risen++
+	j.promotions++
 	q.add(j)
 	j.queue.owner.makeReady(j.queue)
 }
 
-// ageEntry is a job with the time from which it waited when it was listed.
+// ageEntry is a job with the value of its waitingSince when the entry was added.
 type ageEntry struct {
-	job   *jobState
-	since time.Time
+	job          *jobState
+	waitingSince time.Time
 }
 
-// ageHeap orders jobs by how long they wait. Entries of jobs that left the
-// queue go lazily.
+// ageHeap orders jobs by waiting time, longest first. Entries of jobs that left the
+// queue are removed lazily.
 type ageHeap []ageEntry
 
-// compact drops the entries of jobs that left, when there are more entries
-// than twice the queued jobs.
+// compact removes the entries of jobs that left the queue, if there are more than
+// twice as many entries as queued jobs.
 func (h *ageHeap) compact(jobs int) {
-	const fewest = 1024
-	if h.Len() < 2*jobs+fewest {
+	const minEntries = 1024
+	if h.Len() < 2*jobs+minEntries {
 		return
 	}
 	kept := (*h)[:0]
@@ -257,7 +257,7 @@
 }
 
 func (h ageHeap) Len() int           { return len(h) }
-func (h ageHeap) Less(a, b int) bool { return h[a].since.Before(h[b].since) }
+func (h ageHeap) Less(a, b int) bool { return h[a].waitingSince.Before(h[b].waitingSince) }
 func (h ageHeap) Swap(a, b int)      { h[a], h[b] = h[b], h[a] }
 
 // Push implements heap.Interface.
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -9,46 +9,46 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// Errors of World.Reserve.
+// Errors returned by State.Reserve.
 var (
-	ErrUnknownJob           = errors.New("scheduler: job not known")
-	ErrTaskNotPending       = errors.New("scheduler: task not pending")
-	ErrVMNotSchedulable     = errors.New("scheduler: VM not listed or takes no work")
+	ErrUnknownJob           = errors.New("scheduler: unknown job")
+	ErrTaskNotPending       = errors.New("scheduler: task is not the next pending task of its job")
+	ErrVMNotSchedulable     = errors.New("scheduler: VM is not listed or not schedulable")
 	ErrInsufficientCapacity = errors.New("scheduler: task does not fit the VM")
-	ErrQuotaExceeded        = errors.New("scheduler: quota of the team exceeded")
-	ErrConstraintViolated   = errors.New("scheduler: VM refused by the job's constraints")
+	ErrQuotaExceeded        = errors.New("scheduler: task exceeds the quota of its team")
+	ErrConstraintViolated   = errors.New("scheduler: VM violates a constraint of the job")
 )
 
-// Reserve reserves room on a VM for a pending task and returns its start. It
-// checks capacity, quota and the job's constraints; on an error nothing
-// changed. It serves schedulers other than this package's, which are
-// measured against it.
-func (w *State) Reserve(task api.TaskID, vm api.VMID, now time.Time) (Start, error) {
-	j := w.jobs[task.Job]
-	v := w.vms[vm]
+// Reserve reserves capacity on a VM for the next pending task of a job and returns
+// its start. It checks capacity, quota and the constraints of the job, and changes
+// nothing if it returns an error. It is meant for other schedulers that are compared
+// with the one of this package.
+func (st *State) Reserve(task api.TaskID, vm api.VMID, now time.Time) (Start, error) {
+	j := st.jobs[task.Job]
+	v := st.vms[vm]
 	switch {
 	case j == nil:
 		return Start{}, ErrUnknownJob
 	case len(j.pending) == 0 || j.pending[0] != task.Index:
 		return Start{}, ErrTaskNotPending
-	case v == nil || !v.open():
+	case v == nil || !v.acceptsWork():
 		return Start{}, ErrVMNotSchedulable
-	case !j.need().Fits(v.spare()):
+	case !j.need().Fits(v.available()):
 		return Start{}, ErrInsufficientCapacity
 	case !j.team.allows(j.need()):
 		return Start{}, ErrQuotaExceeded
 	case j.Avoid[vm] || !j.spreadAllows(v) || !j.mayUse(v.DataCentre):
 		return Start{}, ErrConstraintViolated
 	}
-	h := w.reserve(j, v, now)
-	return Start{Task: h.task, VM: v.ID, Resources: h.resources}, nil
+	alloc := st.reserve(j, v, now)
+	return Start{Task: alloc.task, VM: v.ID, Resources: alloc.resources}, nil
 }
 
-// VMs returns the listed VMs in order of their names.
-func (w *State) VMs() []api.VMID {
-	ids := make([]api.VMID, 0, len(w.vms))
-	for id, v := range w.vms {
-		if v.known {
+// VMs returns the IDs of the listed VMs in ascending order.
+func (st *State) VMs() []api.VMID {
+	ids := make([]api.VMID, 0, len(st.vms))
+	for id, v := range st.vms {
+		if v.listed {
 			ids = append(ids, id)
 		}
 	}
@@ -56,10 +56,10 @@
 	return ids
 }
 
-// QueuedJobs returns the jobs with pending tasks in the order they came.
-func (w *State) QueuedJobs() []Job {
-	queued := make([]*jobState, 0, w.queue.jobs)
-	for _, j := range w.jobs {
+// QueuedJobs returns the jobs with pending tasks in order of arrival.
+func (st *State) QueuedJobs() []Job {
+	queued := make([]*jobState, 0, st.queue.jobs)
+	for _, j := range st.jobs {
 		if len(j.pending) > 0 {
 			queued = append(queued, j)
 		}
@@ -73,51 +73,52 @@
 	return jobs
 }
 
-// reserve takes room on v for the next pending task of j.
-func (w *State) reserve(j *jobState, v *vmState, now time.Time) *holding {
-	h := &holding{
+// reserve reserves capacity on v for the next pending task of j.
+func (st *State) reserve(j *jobState, v *vmState, now time.Time) *allocation {
+	alloc := &allocation{
 		task:           api.TaskID{Job: j.Spec.ID, Index: j.pending[0]},
 		vm:             v,
 		team:           j.team,
 		resources:      j.need(),
 		started:        now.UnixNano(),
-		end:            expectedEnd(now, j.runTime()),
+		expectedEnd:    expectedEndNanos(now, j.runTime()),
 		priority:       int32(j.Spec.Priority),
 		class:          j.Spec.Class,
 		checkpointable: j.Spec.Checkpointable,
 		reserved:       true,
 	}
-	w.hold(h)
-	w.usual.add(h.resources)
-	w.queue.setPending(j, j.pending[1:])
-	j.since = now
+	st.addAllocation(alloc)
+	st.averageStarted.add(alloc.resources)
+	st.queue.setPending(j, j.pending[1:])
+	j.waitingSince = now
 	switch {
 	case len(j.pending) == 0:
-		w.dequeue(j)
-		j.risen = 0
-	case j.risen > 0 && !j.isGang():
-		w.queue.remove(j)
-		j.risen = 0
-		w.queue.add(j)
+		st.dequeue(j)
+		j.promotions = 0
+	case j.promotions > 0 && !j.isGang():
+		st.queue.remove(j)
+		j.promotions = 0
+		st.queue.add(j)
 	}
-	return h
+	return alloc
 }
 
-// start reserves room on v and adds the start to the plan.
-func (c *cycle) start(j *jobState, v *vmState) *holding {
-	c.world.settleNomination(j, v)
-	h := c.world.reserve(j, v, c.now)
-	j.verdict = verdict{}
+// start reserves capacity on v for the next pending task of j and adds the start to
+// the plan.
+func (c *cycle) start(j *jobState, v *vmState) *allocation {
+	c.state.consumeNomination(j, v)
+	alloc := c.state.reserve(j, v, c.now)
+	j.status = status{}
 	c.plan.Starts = append(c.plan.Starts, Start{
-		Task:      h.task,
+		Task:      alloc.task,
 		VM:        v.ID,
-		Resources: h.resources,
+		Resources: alloc.resources,
 		Gang:      j.isGang(),
 	})
-	return h
+	return alloc
 }
 
-func expectedEnd(now time.Time, runTime time.Duration) int64 {
+func expectedEndNanos(now time.Time, runTime time.Duration) int64 {
 	if runTime <= 0 {
 		return 0
 	}
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -7,33 +7,33 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// Scheduler plans placements. It keeps no state of its own between cycles
-// but its random source, so the same World, time and seed give the same
-// plan, and a new policy is put in force by a new Scheduler on the same
-// World. It is not safe for concurrent use.
+// Scheduler plans placements. Its only state between cycles is its random
+// source, so the same State, time and seed give the same plan, and a new
+// Scheduler with another policy can continue on the same State. It is not safe
+// for concurrent use.
 type Scheduler struct {
 	cfg  Config
 	rand *rand.Rand
-	vms  []*vmState    // scratch: VMs that passed the filter
-	dcs  []*dataCentre // scratch: data centres a job may use
+	vms  []*vmState    // scratch space for VMs that passed the filter
+	dcs  []*dataCentre // scratch space for data centres a job may use
 }
 
-// New returns a scheduler. Zero fields of cfg take their defaults; call
-// Config.Validate first on a cfg from outside.
+// New returns a scheduler. Zero fields of cfg take their defaults. Call
+// Config.Validate first on a cfg from an external source.
 func New(cfg Config, rnd *rand.Rand) *Scheduler {
 	return &Scheduler{cfg: cfg.WithDefaults(), rand: rnd}
 }
 
-// Cycle plans up to maxStarts starts at time now and reserves them in w. A
-// gang counts as a whole: it may take the plan over maxStarts.
+// Cycle plans up to maxStarts starts at time now and reserves them in st. A gang
+// is placed as a whole, so the plan may exceed maxStarts.
 //
-// Waits names a job when an attempt to place it failed in this cycle; jobs
-// whose cached verdict still holds are left out, and World.Explain tells it.
-func (s *Scheduler) Cycle(w *State, now time.Time, maxStarts int) Plan {
-	c := &cycle{Scheduler: s, world: w, now: now}
+// Plan.Waiting lists the jobs that could not be placed in this cycle. Jobs whose
+// cached status still applies are omitted; State.Explain returns their status.
+func (s *Scheduler) Cycle(st *State, now time.Time, maxStarts int) Plan {
+	c := &cycle{Scheduler: s, state: st, now: now}
 	c.begin()
 	for len(c.plan.Starts) < maxStarts && c.searches < s.cfg.MaxSearches {
-		q := w.queue.next(w.fleet.total)
+		q := st.queue.next(st.fleet.total)
 		if q == nil {
 			break
 		}
@@ -45,33 +45,33 @@
 // cycle is the state of one call of Cycle.
 type cycle struct {
 	*Scheduler
-	world    *State
+	state    *State
 	now      time.Time
 	plan     Plan
 	searches int
 }
 
-// begin applies what changed since the last cycle.
+// begin applies changes and timeouts since the last cycle and wakes waiting work.
 func (c *cycle) begin() {
-	w := c.world
-	w.clock = c.now
-	if w.fleet.forget(c.now, c.cfg.CapacityRetention) {
-		w.judgeAgain()
+	st := c.state
+	st.lastCycle = c.now
+	if st.fleet.expirePeaks(c.now, c.cfg.CapacityRetention) {
+		st.invalidateFeasibility()
 	}
-	w.requeueCondemned()
-	w.expireNominations(c.now)
-	c.offerProbes()
-	w.renewHolds(c.now, c.cfg.MaxHolds)
-	w.wake()
-	w.queue.promote(c.now, c.cfg.AgeStep)
+	st.requeueInfeasible()
+	st.expireNominations(c.now)
+	c.wakeForProbes()
+	st.retryHolds(c.now, c.cfg.MaxHolds)
+	st.wakeQueues()
+	st.queue.promoteAged(c.now, c.cfg.AgeStep)
 }
 
-// place takes the head of q through the stages. It always makes progress:
-// the head starts, or q is parked, or the head leaves the queue.
+// place passes the head of q through the stages. It always makes progress: the
+// head starts, or q is parked, or the head leaves the queue.
 func (c *cycle) place(q *shapeQueue) {
 	j := q.head()
-	if missing := c.world.missing(j); missing.reason != "" {
-		c.condemn(j, missing)
+	if missing := c.state.checkFeasibility(j); missing.reason != "" {
+		c.markInfeasible(j, missing)
 		return
 	}
 	if j.isGang() {
@@ -81,7 +81,7 @@
 	c.placeTask(j)
 }
 
-// placeTask places one task of a job whose tasks start one by one.
+// placeTask places one task of a job that is not a gang.
 func (c *cycle) placeTask(j *jobState) {
 	if !j.team.allows(j.need()) {
 		c.waitForQuota(j, j.need())
@@ -91,13 +91,13 @@
 		c.startProbe(j, v)
 		return
 	}
-	if j.queue.shape.answersFor(j) && !c.wantsHold(j) {
-		j.queue.verdict = j.queue.shape.verdict
-		c.world.parkOnCapacity(j.queue)
+	if j.queue.shape.statusAppliesTo(j) && !c.mayGetHold(j) {
+		j.queue.status = j.queue.shape.status
+		c.state.parkOnCapacity(j.queue)
 		return
 	}
 	c.searches++
-	if v := j.nominated(); v != nil {
+	if v := j.nominatedVM(); v != nil {
 		c.start(j, v)
 		return
 	}
@@ -106,54 +106,54 @@
 		c.start(j, best)
 		return
 	}
-	c.notPlaced(j, found)
+	c.handleUnplacedTask(j, found)
 }
 
-// notPlaced goes on with a task for which no VM has room: by preemption, by
-// holding a VM for it, or by waiting.
-func (c *cycle) notPlaced(j *jobState, found search) {
+// handleUnplacedTask handles a task that fits no VM: by preemption, by holding a
+// VM for it, or by parking its queue.
+func (c *cycle) handleUnplacedTask(j *jobState, found search) {
 	switch c.preempt(j) {
-	case preempting:
+	case preemptNominated:
 		return
-	case preemptLater:
-		c.wait(j, found.verdict(c.world, j))
-		c.world.retryNext(j.queue)
+	case preemptRetry:
+		c.reportWaiting(j, found.status(c.state, j))
+		c.state.retryNextCycle(j.queue)
 		return
 	}
-	if c.starves(j) {
-		c.holdFor(j, 1)
+	if c.isStarving(j) {
+		c.createHold(j, 1)
 	}
-	c.wait(j, found.verdict(c.world, j))
-	c.remember(j, found)
-	c.world.parkOnCapacity(j.queue)
+	c.reportWaiting(j, found.status(c.state, j))
+	c.cacheFailedSearch(j, found)
+	c.state.parkOnCapacity(j.queue)
 }
 
-// remember keeps what a vain search says of other tasks.
-func (c *cycle) remember(j *jobState, found search) {
+// cacheFailedSearch records what a failed search implies for other tasks.
+func (c *cycle) cacheFailedSearch(j *jobState, found search) {
 	s := j.queue.shape
-	s.shortest = 0
+	s.minFailedRunTime = 0
 	if found.held > 0 {
-		s.shortest = j.runTime()
+		s.minFailedRunTime = j.runTime()
 	}
-	s.outright = found.noRoom(j)
-	if s.outright {
-		s.headroom = found.perAccelerator != nil
-		c.world.frontier.add(s)
+	s.fitsNoVM = found.foundNoCapacity(j)
+	if s.fitsNoVM {
+		s.headroomKept = found.averagePerAccelerator != nil
+		c.state.frontier.add(s)
 	}
 }
 
-// wait reports why j was not placed and keeps it for Explain.
-func (c *cycle) wait(j *jobState, v verdict) {
-	j.verdict = v
-	j.queue.verdict = v
-	j.queue.shape.verdict = v
-	c.plan.Waiting = append(c.plan.Waiting, WaitingJob{Job: j.Spec.ID, Reason: v.reason, Detail: v.detail})
+// reportWaiting adds j to the plan's waiting jobs and keeps its status for Explain.
+func (c *cycle) reportWaiting(j *jobState, s status) {
+	j.status = s
+	j.queue.status = s
+	j.queue.shape.status = s
+	c.plan.Waiting = append(c.plan.Waiting, WaitingJob{Job: j.Spec.ID, Reason: s.reason, Detail: s.detail})
 }
 
 func (c *cycle) waitForQuota(j *jobState, need api.Resources) {
-	v := quotaVerdict(j.team, need)
-	j.verdict = v
-	j.queue.verdict = v
-	c.plan.Waiting = append(c.plan.Waiting, WaitingJob{Job: j.Spec.ID, Reason: v.reason, Detail: v.detail})
-	c.world.parkOnQuota(j.queue)
+	s := quotaStatus(j.team, need)
+	j.status = s
+	j.queue.status = s
+	c.plan.Waiting = append(c.plan.Waiting, WaitingJob{Job: j.Spec.ID, Reason: s.reason, Detail: s.detail})
+	c.state.parkOnQuota(j.queue)
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -13,21 +13,21 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// bench is a World of equal VMs with a scheduler and a virtual clock, in
-// which every start applies at once.
-type bench struct {
+// harness is a State of equal VMs with a scheduler and a virtual clock. Every start is
+// applied immediately.
+type harness struct {
 	*State
-	s    *Scheduler
-	now  time.Time
-	runs map[api.TaskID]RunningTask
+	scheduler *Scheduler
+	now       time.Time
+	running   map[api.TaskID]RunningTask
 }
 
-func newBench(vms int, capacity api.Resources, cfg Config) *bench {
-	b := &bench{State: NewState(), s: New(cfg, rand.New(rand.NewPCG(7, 7))), now: time.Unix(0, 0), runs: map[api.TaskID]RunningTask{}}
+func newHarness(vms int, capacity api.Resources, cfg Config) *harness {
+	h := &harness{State: NewState(), scheduler: New(cfg, rand.New(rand.NewPCG(7, 7))), now: time.Unix(0, 0), running: map[api.TaskID]RunningTask{}}
 	for i := range vms {
-		b.PutVM(VM{ID: api.VMID(fmt.Sprintf("vm-%d", i)), DataCentre: "dc", Rack: fmt.Sprintf("rack-%d", i/2), Capacity: capacity, Schedulable: true})
+		h.PutVM(VM{ID: api.VMID(fmt.Sprintf("vm-%d", i)), DataCentre: "dc", Rack: fmt.Sprintf("rack-%d", i/2), Capacity: capacity, Schedulable: true})
 	}
-	return b
+	return h
 }
 
 func job(id string, class api.Class, tasks uint32, cpu int64) api.JobSpec {
@@ -35,45 +35,46 @@
 		Resources: api.Resources{MilliCPU: cpu, MemoryMB: cpu}, RunTime: 10 * time.Second, Checkpointable: class == api.ClassBatch}
 }
 
-func (b *bench) submit(spec api.JobSpec) {
-	j := Job{Spec: spec, Submitted: b.now}
+func (h *harness) submit(spec api.JobSpec) {
+	j := Job{Spec: spec, Submitted: h.now}
 	for i := range spec.Tasks {
 		j.Pending = append(j.Pending, i)
 	}
-	b.PutJob(j)
+	h.PutJob(j)
 }
 
-// cycle plans and applies, and returns the plan.
-func (b *bench) cycle() Plan {
-	p := b.s.Cycle(b.State, b.now, 1000)
+// cycle plans, applies the starts and returns the plan.
+func (h *harness) cycle() Plan {
+	p := h.scheduler.Cycle(h.State, h.now, 1000)
 	for _, s := range p.Starts {
-		spec := b.jobs[s.Task.Job].Spec
+		spec := h.jobs[s.Task.Job].Spec
 		r := RunningTask{Task: s.Task, VM: s.VM, Team: spec.Team, Class: spec.Class, Priority: spec.Priority, Resources: s.Resources,
-			Checkpointable: spec.Checkpointable, Started: b.now, ExpectedEnd: b.now.Add(spec.RunTime)}
-		b.runs[s.Task] = r
-		b.Occupy(r)
+			Checkpointable: spec.Checkpointable, Started: h.now, ExpectedEnd: h.now.Add(spec.RunTime)}
+		h.running[s.Task] = r
+		h.Occupy(r)
 	}
 	return p
 }
 
-// advance lets a second pass and ends what is due, in a fixed order.
-func (b *bench) advance() {
-	b.now = b.now.Add(time.Second)
+// advance advances the clock by a second and ends the tasks that are due, in a
+// deterministic order.
+func (h *harness) advance() {
+	h.now = h.now.Add(time.Second)
 	var due []api.TaskID
-	for id, r := range b.runs {
-		if !r.ExpectedEnd.After(b.now) {
+	for id, r := range h.running {
+		if !r.ExpectedEnd.After(h.now) {
 			due = append(due, id)
 		}
 	}
 	slices.SortFunc(due, func(x, y api.TaskID) int { return cmp.Or(cmp.Compare(x.Job, y.Job), cmp.Compare(x.Index, y.Index)) })
 	for _, id := range due {
-		b.end(id)
+		h.end(id)
 	}
 }
 
-func (b *bench) end(id api.TaskID) {
-	delete(b.runs, id)
-	b.Vacate(id)
+func (h *harness) end(id api.TaskID) {
+	delete(h.running, id)
+	h.Vacate(id)
 }
 
 func started(p Plan) (ids []string) {
@@ -86,190 +87,190 @@
 var small = api.Resources{MilliCPU: 4000, MemoryMB: 4000}
 
 func TestOrder(t *testing.T) {
-	Convey("Urgent goes first, then the team with the least weighted share, then the oldest", t, func() {
-		b := newBench(1, api.Resources{MilliCPU: 7000, MemoryMB: 7000}, Config{})
-		b.PutQuota(api.QuotaSpec{Team: "team-b", Max: small.Times(9), Weight: 2})
-		b.submit(job("a1", api.ClassBatch, 3, 1000))
-		b.submit(job("b1", api.ClassBatch, 3, 1000))
-		b.submit(job("a2", api.ClassBatch, 3, 1000))
+	Convey("Urgent jobs go first, then the team with the smallest weighted share, then the oldest job", t, func() {
+		h := newHarness(1, api.Resources{MilliCPU: 7000, MemoryMB: 7000}, Config{})
+		h.PutQuota(api.QuotaSpec{Team: "team-b", Max: small.Times(9), Weight: 2})
+		h.submit(job("a1", api.ClassBatch, 3, 1000))
+		h.submit(job("b1", api.ClassBatch, 3, 1000))
+		h.submit(job("a2", api.ClassBatch, 3, 1000))
 		urgent := job("c1", api.ClassBatch, 1, 1000)
 		urgent.Priority = api.PriorityUrgent
-		b.submit(urgent)
-		So(started(b.cycle()), ShouldResemble, []string{"c1/0", "a1/0", "b1/0", "b1/1", "a1/1", "b1/2", "a1/2"})
-		w, waits := b.Explain("a2")
+		h.submit(urgent)
+		So(started(h.cycle()), ShouldResemble, []string{"c1/0", "a1/0", "b1/0", "b1/1", "a1/1", "b1/2", "a1/2"})
+		w, waits := h.Explain("a2")
 		So(waits, ShouldBeTrue)
 		So(w.Reason, ShouldEqual, api.ReasonNoCapacity)
 		So(w.Detail, ShouldContainSubstring, "no VM has the processors free")
 	})
-	Convey("A quota is a hard bound, and the rest goes on", t, func() {
-		b := newBench(2, small, Config{})
-		b.PutQuota(api.QuotaSpec{Team: "team-a", Max: api.Resources{MilliCPU: 2500, MemoryMB: 9000}, Weight: 1})
-		b.submit(job("a1", api.ClassBatch, 3, 1000))
-		b.submit(job("b1", api.ClassBatch, 1, 1000))
-		p := b.cycle()
+	Convey("A quota is a hard limit and does not block other teams", t, func() {
+		h := newHarness(2, small, Config{})
+		h.PutQuota(api.QuotaSpec{Team: "team-a", Max: api.Resources{MilliCPU: 2500, MemoryMB: 9000}, Weight: 1})
+		h.submit(job("a1", api.ClassBatch, 3, 1000))
+		h.submit(job("b1", api.ClassBatch, 1, 1000))
+		p := h.cycle()
 		So(len(p.Starts), ShouldEqual, 3)
 		So(p.Waiting, ShouldResemble, []WaitingJob{{Job: "a1", Reason: api.ReasonQuota, Detail: "team team-a holds cpu=2000m memory=2000MB accelerators=0 of " +
 			"cpu=2500m memory=9000MB accelerators=0 and needs cpu=1000m memory=1000MB accelerators=0 more"}})
-		So(b.cycle(), ShouldResemble, Plan{})
-		b.end(api.TaskID{Job: "a1"})
-		So(started(b.cycle()), ShouldResemble, []string{"a1/2"})
+		So(h.cycle(), ShouldResemble, Plan{})
+		h.end(api.TaskID{Job: "a1"})
+		So(started(h.cycle()), ShouldResemble, []string{"a1/2"})
 	})
-	Convey("Jobs that can never run are told apart and block nothing", t, func() {
-		b := newBench(3, small, Config{})
-		b.PutQuota(api.QuotaSpec{Team: "team-q", Max: small, Weight: 1})
-		b.submit(job("a1", api.ClassBatch, 1, 5000))
-		b.submit(job("a2", api.ClassGang, 4, 3000))
-		b.submit(job("q1", api.ClassGang, 2, 3000))
-		b.submit(job("a3", api.ClassBatch, 1, 1000))
-		p := b.cycle()
+	Convey("Jobs that can never run are reported as infeasible and block no other job", t, func() {
+		h := newHarness(3, small, Config{})
+		h.PutQuota(api.QuotaSpec{Team: "team-q", Max: small, Weight: 1})
+		h.submit(job("a1", api.ClassBatch, 1, 5000))
+		h.submit(job("a2", api.ClassGang, 4, 3000))
+		h.submit(job("q1", api.ClassGang, 2, 3000))
+		h.submit(job("a3", api.ClassBatch, 1, 1000))
+		p := h.cycle()
 		So(started(p), ShouldResemble, []string{"a3/0"})
 		So(p.Infeasible, ShouldResemble, []WaitingJob{
 			{Job: "a1", Reason: api.ReasonNeverFits, Detail: "a task needs cpu=5000m memory=5000MB accelerators=0, the VMs it may use have at most cpu=4000m memory=4000MB accelerators=0"},
 			{Job: "a2", Reason: api.ReasonNeverFits, Detail: "4 tasks of cpu=3000m memory=3000MB accelerators=0 at once, the VMs it may use have room for 3 when idle"},
 			{Job: "q1", Reason: api.ReasonQuota, Detail: "needs cpu=6000m memory=6000MB accelerators=0 at once, the quota of team team-q is cpu=4000m memory=4000MB accelerators=0"}})
-		b.PutVM(VM{ID: "large", DataCentre: "dc", Capacity: small.Times(2), Schedulable: true})
-		So(started(b.cycle()), ShouldResemble, []string{"a1/0", "a2/0", "a2/1", "a2/2", "a2/3"})
+		h.PutVM(VM{ID: "large", DataCentre: "dc", Capacity: small.Times(2), Schedulable: true})
+		So(started(h.cycle()), ShouldResemble, []string{"a1/0", "a2/0", "a2/1", "a2/2", "a2/3"})
 	})
-	Convey("A VM list that shrinks for a moment condemns nothing", t, func() {
-		b := newBench(1, small, Config{})
-		b.PutVM(VM{ID: "large", DataCentre: "dc", Capacity: small.Times(2), Schedulable: true})
-		b.RemoveVM("large")
-		b.submit(job("a1", api.ClassBatch, 1, 5000))
-		So(b.cycle().Infeasible, ShouldBeEmpty)
-		b.now = b.now.Add(2 * DefaultCapacityRetention)
-		So(b.cycle().Infeasible, ShouldHaveLength, 1)
+	Convey("A temporarily shortened VM list makes no job infeasible", t, func() {
+		h := newHarness(1, small, Config{})
+		h.PutVM(VM{ID: "large", DataCentre: "dc", Capacity: small.Times(2), Schedulable: true})
+		h.RemoveVM("large")
+		h.submit(job("a1", api.ClassBatch, 1, 5000))
+		So(h.cycle().Infeasible, ShouldBeEmpty)
+		h.now = h.now.Add(2 * DefaultCapacityRetention)
+		So(h.cycle().Infeasible, ShouldHaveLength, 1)
 	})
 }
 
 func TestClasses(t *testing.T) {
-	Convey("Services spread over racks, batch is packed", t, func() {
-		b := newBench(8, small, Config{})
+	Convey("Services are spread over racks, batch tasks are packed", t, func() {
+		h := newHarness(8, small, Config{})
 		spec := job("s1", api.ClassService, 5, 1000)
 		spec.MaxPerRack = 1
-		b.submit(spec)
-		p := b.cycle()
+		h.submit(spec)
+		p := h.cycle()
 		So(len(p.Starts), ShouldEqual, 4)
 		So(p.Waiting[0].Reason, ShouldEqual, api.ReasonSpread)
-		b.submit(job("a1", api.ClassBatch, 12, 1000))
+		h.submit(job("a1", api.ClassBatch, 12, 1000))
 		used := map[api.VMID]bool{}
-		for _, s := range b.cycle().Starts {
+		for _, s := range h.cycle().Starts {
 			used[s.VM] = true
 		}
 		So(len(used), ShouldEqual, 4)
 	})
-	Convey("VMs with accelerators keep room for work that needs them", t, func() {
-		b := newBench(1, small, Config{})
-		b.PutVM(VM{ID: "accelerated", DataCentre: "dc", Capacity: api.Resources{MilliCPU: 4000, MemoryMB: 4000, Accelerators: 2}, Schedulable: true})
-		for range 200 { // learn what such work needs
+	Convey("VMs with accelerators keep headroom for work that needs accelerators", t, func() {
+		h := newHarness(1, small, Config{})
+		h.PutVM(VM{ID: "accelerated", DataCentre: "dc", Capacity: api.Resources{MilliCPU: 4000, MemoryMB: 4000, Accelerators: 2}, Schedulable: true})
+		for range 200 { // so that the average need per accelerator is learned
 			spec := job("a0", api.ClassBatch, 1, 1000)
 			spec.Resources.Accelerators = 1
-			b.submit(spec)
-			b.RemoveJob("a0")
+			h.submit(spec)
+			h.RemoveJob("a0")
 		}
-		b.submit(job("a0", api.ClassBatch, 4, 1000))
-		So(len(b.cycle().Starts), ShouldEqual, 4)
-		b.submit(job("a1", api.ClassBatch, 4, 1000))
-		So(len(b.cycle().Starts), ShouldEqual, 2)
+		h.submit(job("a0", api.ClassBatch, 4, 1000))
+		So(len(h.cycle().Starts), ShouldEqual, 4)
+		h.submit(job("a1", api.ClassBatch, 4, 1000))
+		So(len(h.cycle().Starts), ShouldEqual, 2)
 		spec := job("a2", api.ClassBatch, 2, 1000)
 		spec.Resources.Accelerators = 1
-		b.submit(spec)
-		So(len(b.cycle().Starts), ShouldEqual, 2)
+		h.submit(spec)
+		So(len(h.cycle().Starts), ShouldEqual, 2)
 	})
-	Convey("A quarantined VM takes one probe at a time, and none that may not fail", t, func() {
-		b := newBench(0, small, Config{})
-		b.PutVM(VM{ID: "bad", DataCentre: "dc", Capacity: small, Schedulable: true, Quarantined: true})
+	Convey("A quarantined VM gets one probe at a time, and no task without a further attempt", t, func() {
+		h := newHarness(0, small, Config{})
+		h.PutVM(VM{ID: "bad", DataCentre: "dc", Capacity: small, Schedulable: true, Quarantined: true})
 		once := job("b1", api.ClassBatch, 1, 1000)
 		once.MaxAttempts = 1
-		b.submit(once)
-		p := b.cycle()
+		h.submit(once)
+		p := h.cycle()
 		So(p.Waiting[0].Reason, ShouldEqual, api.ReasonQuarantine)
-		b.submit(job("a1", api.ClassBatch, 3, 1000))
-		So(started(b.cycle()), ShouldResemble, []string{"a1/0"})
-		b.now = b.now.Add(DefaultProbeInterval)
-		So(b.cycle().Starts, ShouldBeEmpty)
-		b.end(api.TaskID{Job: "a1"})
-		So(started(b.cycle()), ShouldResemble, []string{"a1/1"})
+		h.submit(job("a1", api.ClassBatch, 3, 1000))
+		So(started(h.cycle()), ShouldResemble, []string{"a1/0"})
+		h.now = h.now.Add(DefaultProbeInterval)
+		So(h.cycle().Starts, ShouldBeEmpty)
+		h.end(api.TaskID{Job: "a1"})
+		So(started(h.cycle()), ShouldResemble, []string{"a1/1"})
 	})
 }
 
 func TestGangs(t *testing.T) {
-	Convey("Smaller work fills in before a waiting gang only if it ends in time", t, func() {
-		b := newBench(2, small, Config{})
-		b.submit(job("a1", api.ClassBatch, 1, 3000))
-		b.cycle()
-		b.submit(job("g1", api.ClassGang, 2, 4000))
-		p := b.cycle()
+	Convey("Smaller tasks are backfilled before a waiting gang only if they end in time", t, func() {
+		h := newHarness(2, small, Config{})
+		h.submit(job("a1", api.ClassBatch, 1, 3000))
+		h.cycle()
+		h.submit(job("g1", api.ClassGang, 2, 4000))
+		p := h.cycle()
 		So(p.Waiting[0].Reason, ShouldEqual, api.ReasonGangWaiting)
 		So(p.Waiting[0].Detail, ShouldEqual, "1 of 2 tasks of cpu=4000m memory=4000MB accelerators=0 have room; 2 VMs are held, expected free in 10s")
 		long, short := job("l1", api.ClassBatch, 1, 1000), job("s1", api.ClassBatch, 1, 1000)
 		long.RunTime = 11 * time.Second
-		b.submit(long)
-		b.submit(short)
-		p = b.cycle()
+		h.submit(long)
+		h.submit(short)
+		p = h.cycle()
 		So(started(p), ShouldResemble, []string{"s1/0"})
 		So(p.Waiting[0].Reason, ShouldEqual, api.ReasonBehindGang)
 		for range 10 {
-			b.advance()
+			h.advance()
 		}
-		So(started(b.cycle()), ShouldResemble, []string{"g1/0", "g1/1"})
+		So(started(h.cycle()), ShouldResemble, []string{"g1/0", "g1/1"})
 	})
-	Convey("Two gangs that each need more than half never hold half each", t, func() {
-		b := newBench(4, small, Config{})
-		b.submit(job("g1", api.ClassGang, 3, 4000))
-		b.submit(job("h1", api.ClassGang, 3, 4000))
+	Convey("Two gangs that each need more than half of the fleet do not deadlock", t, func() {
+		h := newHarness(4, small, Config{})
+		h.submit(job("g1", api.ClassGang, 3, 4000))
+		h.submit(job("h1", api.ClassGang, 3, 4000))
 		done := 0
 		for range 21 {
-			done += len(b.cycle().Starts)
-			b.advance()
+			done += len(h.cycle().Starts)
+			h.advance()
 		}
 		So(done, ShouldEqual, 6)
 	})
 }
 
-// flood keeps the bench full of small tasks of one team, and reports after
-// how many seconds the wanted job started.
-func (b *bench) flood(priority int, wanted api.JobID, most int) int {
-	for second := range most {
+// floodUntilStarted keeps the harness full of small tasks of one team. It returns after
+// how many seconds the wanted job started, or limit if it did not.
+func (h *harness) floodUntilStarted(priority int, wanted api.JobID, limit int) int {
+	for second := range limit {
 		for i := range 40 {
 			spec := job(fmt.Sprintf("f%d-%d", second, i), api.ClassBatch, 1, 1000)
 			spec.Priority = priority
 			spec.RunTime = time.Duration(5+i%7) * time.Second
-			b.submit(spec)
+			h.submit(spec)
 		}
-		for _, s := range b.cycle().Starts {
+		for _, s := range h.cycle().Starts {
 			if s.Task.Job == wanted {
 				return second
 			}
 		}
-		b.advance()
+		h.advance()
 	}
-	return most
+	return limit
 }
 
 func TestNothingStarves(t *testing.T) {
 	cfg := Config{AgeStep: time.Minute, StarveAfter: 2 * time.Minute}
-	flooded := func() *bench {
-		b := newBench(5, small, cfg)
-		b.flood(api.PriorityDefault, "", 20)
-		return b
+	flooded := func() *harness {
+		h := newHarness(5, small, cfg)
+		h.floodUntilStarted(api.PriorityDefault, "", 20)
+		return h
 	}
 	Convey("Under a flood of small tasks", t, func() {
-		Convey("a gang over most of the fleet starts when what ran has ended", func() {
-			b := flooded()
-			b.submit(job("g1", api.ClassGang, 4, 4000))
-			So(b.flood(api.PriorityDefault, "g1", 60), ShouldBeLessThanOrEqualTo, 12)
+		Convey("a gang that needs most of the fleet starts when the earlier tasks have ended", func() {
+			h := flooded()
+			h.submit(job("g1", api.ClassGang, 4, 4000))
+			So(h.floodUntilStarted(api.PriorityDefault, "g1", 60), ShouldBeLessThanOrEqualTo, 12)
 		})
-		Convey("a task as large as a VM starts soon after it counts as starved", func() {
-			b := flooded()
-			b.submit(job("a1", api.ClassBatch, 1, 4000))
-			So(b.flood(api.PriorityDefault, "a1", 300), ShouldBeBetween, 110, 150)
+		Convey("a task as large as a VM starts soon after StarveAfter", func() {
+			h := flooded()
+			h.submit(job("a1", api.ClassBatch, 1, 4000))
+			So(h.floodUntilStarted(api.PriorityDefault, "a1", 300), ShouldBeBetween, 110, 150)
 		})
-		Convey("a job of the lowest priority rises to the top band, and has its fair share there", func() {
-			b := flooded()
+		Convey("a job of the lowest priority is promoted to the highest non-urgent band and gets its fair share there", func() {
+			h := flooded()
 			spec := job("a1", api.ClassBatch, 1, 1000)
 			spec.Priority = api.PriorityLowest
-			b.submit(spec)
-			So(b.flood(api.PriorityDefault+200, "a1", 600), ShouldBeBetween, 475, 500)
+			h.submit(spec)
+			So(h.floodUntilStarted(api.PriorityDefault+200, "a1", 600), ShouldBeBetween, 475, 500)
 		})
 	})
 }
@@ -277,104 +278,104 @@
 func TestPreemption(t *testing.T) {
 	urgent := job("u1", api.ClassBatch, 1, 4000)
 	urgent.Priority = api.PriorityUrgent
-	Convey("Urgent work stops the cheapest victims and waits until they are gone", t, func() {
-		b := newBench(3, small, Config{})
-		dear, cheap, fixed := job("d1", api.ClassBatch, 4, 1000), job("c1", api.ClassBatch, 2, 2000), job("f1", api.ClassBatch, 1, 4000)
-		dear.Priority = 500
-		fixed.Checkpointable = false
-		for _, spec := range []api.JobSpec{dear, cheap, fixed} {
-			b.submit(spec)
-			b.cycle()
+	Convey("Urgent work preempts the cheapest victims and waits until they have stopped", t, func() {
+		h := newHarness(3, small, Config{})
+		expensive, cheap, notCheckpointable := job("d1", api.ClassBatch, 4, 1000), job("c1", api.ClassBatch, 2, 2000), job("f1", api.ClassBatch, 1, 4000)
+		expensive.Priority = 500
+		notCheckpointable.Checkpointable = false
+		for _, spec := range []api.JobSpec{expensive, cheap, notCheckpointable} {
+			h.submit(spec)
+			h.cycle()
 		}
-		b.submit(urgent)
-		p := b.cycle()
+		h.submit(urgent)
+		p := h.cycle()
 		So(p.Preemptions, ShouldHaveLength, 2)
 		So(p.Preemptions[0].Task.Job, ShouldEqual, api.JobID("c1"))
 		So(p.Starts, ShouldBeEmpty)
-		b.end(p.Preemptions[0].Task)
-		b.submit(job("x1", api.ClassBatch, 1, 1000))
-		So(b.cycle().Starts, ShouldBeEmpty) // the room is nominated
-		b.end(p.Preemptions[1].Task)
-		So(started(b.cycle()), ShouldResemble, []string{"u1/0"})
-		So(b.nominations, ShouldBeEmpty)
+		h.end(p.Preemptions[0].Task)
+		h.submit(job("x1", api.ClassBatch, 1, 1000))
+		So(h.cycle().Starts, ShouldBeEmpty) // the freed capacity is nominated
+		h.end(p.Preemptions[1].Task)
+		So(started(h.cycle()), ShouldResemble, []string{"u1/0"})
+		So(h.nominations, ShouldBeEmpty)
 	})
-	Convey("Preemptions in a cycle are bounded, and go on in the next", t, func() {
-		b := newBench(3, small, Config{Policy: api.PolicySpec{MaxPreemptions: 2}})
-		b.submit(job("a1", api.ClassBatch, 3, 4000))
-		b.cycle()
+	Convey("Preemptions per cycle are bounded and continue in the next cycle", t, func() {
+		h := newHarness(3, small, Config{Policy: api.PolicySpec{MaxPreemptions: 2}})
+		h.submit(job("a1", api.ClassBatch, 3, 4000))
+		h.cycle()
 		wave := urgent
 		wave.Tasks = 3
-		b.submit(wave)
-		So(b.cycle().Preemptions, ShouldHaveLength, 2)
-		So(b.cycle().Preemptions, ShouldHaveLength, 1)
-		So(b.cycle().Preemptions, ShouldBeEmpty)
+		h.submit(wave)
+		So(h.cycle().Preemptions, ShouldHaveLength, 2)
+		So(h.cycle().Preemptions, ShouldHaveLength, 1)
+		So(h.cycle().Preemptions, ShouldBeEmpty)
 	})
-	Convey("An urgent gang has room made for all its tasks, or for none", t, func() {
+	Convey("An urgent gang preempts for all of its tasks or for none", t, func() {
 		gang := urgent
 		gang.Class, gang.Tasks = api.ClassGang, 3
-		for most, stopped := range map[int]int{1: 0, 2: 2} {
-			b := newBench(3, small, Config{Policy: api.PolicySpec{MaxPreemptions: most}})
-			b.submit(job("a1", api.ClassBatch, 2, 4000))
-			b.cycle()
-			b.submit(gang)
-			p := b.cycle()
-			So(p.Preemptions, ShouldHaveLength, stopped)
+		for maxPreemptions, preempted := range map[int]int{1: 0, 2: 2} {
+			h := newHarness(3, small, Config{Policy: api.PolicySpec{MaxPreemptions: maxPreemptions}})
+			h.submit(job("a1", api.ClassBatch, 2, 4000))
+			h.cycle()
+			h.submit(gang)
+			p := h.cycle()
+			So(p.Preemptions, ShouldHaveLength, preempted)
 			for i, v := range p.Preemptions {
-				b.submit(job("x1", api.ClassBatch, 1, 1000))
-				So(b.cycle().Starts, ShouldBeEmpty)
-				b.end(v.Task)
-				So(len(b.cycle().Starts), ShouldEqual, i*3)
+				h.submit(job("x1", api.ClassBatch, 1, 1000))
+				So(h.cycle().Starts, ShouldBeEmpty)
+				h.end(v.Task)
+				So(len(h.cycle().Starts), ShouldEqual, i*3)
 			}
 		}
 	})
-	Convey("A nomination whose victims do not stop is given up and made again", t, func() {
-		b := newBench(1, small, Config{})
-		b.submit(job("a1", api.ClassBatch, 1, 4000))
-		b.cycle()
-		b.submit(urgent)
-		So(b.cycle().Preemptions, ShouldHaveLength, 1)
-		b.now = b.now.Add(DefaultNominationTimeout)
-		So(b.cycle().Preemptions, ShouldHaveLength, 1)
-		b.RemoveJob("u1")
-		So(b.nominations, ShouldBeEmpty)
+	Convey("A nomination whose victims do not stop expires and is made again", t, func() {
+		h := newHarness(1, small, Config{})
+		h.submit(job("a1", api.ClassBatch, 1, 4000))
+		h.cycle()
+		h.submit(urgent)
+		So(h.cycle().Preemptions, ShouldHaveLength, 1)
+		h.now = h.now.Add(DefaultNominationTimeout)
+		So(h.cycle().Preemptions, ShouldHaveLength, 1)
+		h.RemoveJob("u1")
+		So(h.nominations, ShouldBeEmpty)
 	})
 }
 
 func TestNoWakeUpIsLost(t *testing.T) {
-	Convey("A job that waits is tried again", t, func() {
-		b := newBench(1, small, Config{})
-		Convey("when a quarantined VM is due for a probe, with nothing freed", func() {
-			b.PutVM(VM{ID: "bad", DataCentre: "dc", Capacity: small.Times(2), Schedulable: true, Quarantined: true})
-			b.submit(job("a1", api.ClassBatch, 2, 5000))
-			So(started(b.cycle()), ShouldResemble, []string{"a1/0"})
-			b.end(api.TaskID{Job: "a1"})
-			b.cycle()
-			b.now = b.now.Add(DefaultProbeInterval)
-			So(started(b.cycle()), ShouldResemble, []string{"a1/1"})
+	Convey("A waiting job is retried", t, func() {
+		h := newHarness(1, small, Config{})
+		Convey("when a quarantined VM is due for a probe, although no capacity was freed", func() {
+			h.PutVM(VM{ID: "bad", DataCentre: "dc", Capacity: small.Times(2), Schedulable: true, Quarantined: true})
+			h.submit(job("a1", api.ClassBatch, 2, 5000))
+			So(started(h.cycle()), ShouldResemble, []string{"a1/0"})
+			h.end(api.TaskID{Job: "a1"})
+			h.cycle()
+			h.now = h.now.Add(DefaultProbeInterval)
+			So(started(h.cycle()), ShouldResemble, []string{"a1/1"})
 		})
-		Convey("when its own limits allow more, or its task left a closed VM", func() {
+		Convey("when its own limits are raised, or its task left an unschedulable VM", func() {
 			spec := job("s1", api.ClassService, 3, 1000)
 			spec.MaxPerRack = 1
-			b.submit(spec)
-			So(b.cycle().Starts, ShouldHaveLength, 1)
-			b.PutVM(VM{ID: "vm-9", DataCentre: "dc", Rack: "rack-0", Capacity: small, Schedulable: true})
-			b.PutVM(VM{ID: "vm-0", DataCentre: "dc", Rack: "rack-0", Capacity: small})
-			So(b.cycle().Starts, ShouldBeEmpty)
-			b.end(api.TaskID{Job: "s1"})
-			So(started(b.cycle()), ShouldResemble, []string{"s1/1"})
+			h.submit(spec)
+			So(h.cycle().Starts, ShouldHaveLength, 1)
+			h.PutVM(VM{ID: "vm-9", DataCentre: "dc", Rack: "rack-0", Capacity: small, Schedulable: true})
+			h.PutVM(VM{ID: "vm-0", DataCentre: "dc", Rack: "rack-0", Capacity: small})
+			So(h.cycle().Starts, ShouldBeEmpty)
+			h.end(api.TaskID{Job: "s1"})
+			So(started(h.cycle()), ShouldResemble, []string{"s1/1"})
 			spec.MaxPerRack = 2
-			b.PutJob(Job{Spec: spec, Submitted: b.now, Pending: []uint32{2}})
-			So(started(b.cycle()), ShouldResemble, []string{"s1/2"})
+			h.PutJob(Job{Spec: spec, Submitted: h.now, Pending: []uint32{2}})
+			So(started(h.cycle()), ShouldResemble, []string{"s1/2"})
 		})
-		Convey("when a task that runs is reported to hold less", func() {
-			b.submit(job("a1", api.ClassBatch, 1, 4000))
-			b.cycle()
-			b.submit(job("a2", api.ClassBatch, 1, 2000))
-			So(b.cycle().Starts, ShouldBeEmpty)
-			r := b.runs[api.TaskID{Job: "a1"}]
+		Convey("when a running task is reported to use less", func() {
+			h.submit(job("a1", api.ClassBatch, 1, 4000))
+			h.cycle()
+			h.submit(job("a2", api.ClassBatch, 1, 2000))
+			So(h.cycle().Starts, ShouldBeEmpty)
+			r := h.running[api.TaskID{Job: "a1"}]
 			r.Resources = api.Resources{MilliCPU: 2000, MemoryMB: 2000}
-			b.Occupy(r)
-			So(started(b.cycle()), ShouldResemble, []string{"a2/0"})
+			h.Occupy(r)
+			So(started(h.cycle()), ShouldResemble, []string{"a2/0"})
 		})
 	})
 }
--- a/internal/scheduler/score.go
+++ b/internal/scheduler/score.go
@@ -2,18 +2,18 @@
 
 import "github.com/skylarklock/skylarklock/api"
 
-// Weights of the score. Lower scores are better.
+// Weights of the score of a VM. Lower scores are better.
 const (
-	// imbalanceWeight weighs a lopsided remainder, of which one resource
-	// can't be used for want of the other, against its size.
+	// imbalanceWeight weighs the imbalance of the remaining capacity against its
+	// size: capacity of one resource is unusable if the other is exhausted.
 	imbalanceWeight = 1.0
-	// rackWeight and vmWeight put spreading before packing: one task more of
-	// the job in the rack outweighs any remainder.
+	// rackWeight and vmWeight give spreading precedence over packing: one more
+	// task of the job in the rack outweighs any remaining capacity.
 	rackWeight = 16.0
 	vmWeight   = 4.0
 )
 
-// score returns the best of vms for a task of j, or nil of none.
+// score returns the VM with the best score for a task of j, or nil if vms is empty.
 func (c *cycle) score(j *jobState, vms []*vmState) *vmState {
 	var best *vmState
 	bestScore := 0.0
@@ -31,10 +31,10 @@
 	return best
 }
 
-// packScore is what would be left of v over its capacity, summed over the
-// resources, plus its imbalance: best fit over the vector.
+// packScore implements multi-resource best fit. It returns the remaining fraction of
+// the capacity of v, summed over the resources, plus the weighted imbalance.
 func packScore(v *vmState, need api.Resources) float64 {
-	left := v.spare().Sub(need)
+	left := v.available().Sub(need)
 	cpu := fraction(left.MilliCPU, v.Capacity.MilliCPU)
 	memory := fraction(left.MemoryMB, v.Capacity.MemoryMB)
 	accelerators := fraction(left.Accelerators, v.Capacity.Accelerators)
@@ -42,7 +42,7 @@
 	return cpu + memory + accelerators + imbalanceWeight*imbalance
 }
 
-// spreadScore counts the job's tasks in the rack and on the VM.
+// spreadScore returns the weighted counts of the job's tasks in the rack and on v.
 func spreadScore(j *jobState, v *vmState) float64 {
 	if j.spread == nil {
 		return 0
--- a/internal/scheduler/shape.go
+++ b/internal/scheduler/shape.go
@@ -8,17 +8,18 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// shapeKey is what jobs have in common that one search for a VM can answer
-// for. Jobs with constraints of their own have the job in the key.
+// shapeKey identifies jobs for which one search for a VM gives the same result. The
+// key of a job with individual constraints includes its ID.
 type shapeKey struct {
 	need        api.Resources
 	class       api.Class
 	dataCentres string
-	runTime     uint8 // power of two of the run time in seconds; 0: not known
-	own         api.JobID
+	runTimeLog2 uint8 // bit length of the run time in seconds; 0 if unknown
+	ownJob      api.JobID
 }
 
-// compare orders keys, so that what is done for many of them has one order.
+// compare defines an order of keys, so that operations on many shapes are
+// deterministic.
 func (k shapeKey) compare(o shapeKey) int {
 	return cmp.Or(
 		cmp.Compare(k.need.MilliCPU, o.need.MilliCPU),
@@ -26,33 +27,34 @@
 		cmp.Compare(k.need.Accelerators, o.need.Accelerators),
 		cmp.Compare(k.class, o.class),
 		cmp.Compare(k.dataCentres, o.dataCentres),
-		cmp.Compare(k.runTime, o.runTime),
-		cmp.Compare(k.own, o.own),
+		cmp.Compare(k.runTimeLog2, o.runTimeLog2),
+		cmp.Compare(k.ownJob, o.ownJob),
 	)
 }
 
-// shape is the jobs of one key. While it is blocked, no search is made for
-// them: nothing has been freed that could hold one of their tasks.
+// shape is the state shared by the jobs of one key. While it is blocked, no search
+// is made for them, because no capacity has been freed that could fit their tasks.
 type shape struct {
-	key        shapeKey
-	queues     int  // that refer to it
-	blocked    bool // by way of queue.blocked
-	blockedPos int
-	judged     uint64 // judgement of the World at which it could run, plus 1
-	verdict    verdict
-	parked     []*shapeQueue
-	// outright: no VM had room, whatever the job.
-	outright bool
-	// headroom: idle accelerators kept room against it.
-	headroom bool
-	// shortest is the run time searched for in vain while VMs with room were
-	// held, for which a shorter job may still have them; 0: none were.
-	shortest time.Duration
+	key             shapeKey
+	queueCount      int  // number of queues with this shape
+	blocked         bool // listed in queue.blocked
+	blockedPos      int
+	feasibleAtEpoch uint64 // State.feasibilityEpoch at which the shape was feasible, plus 1
+	status          status
+	parked          []*shapeQueue
+	// fitsNoVM is set if the last search showed that the need fits no VM,
+	// regardless of the job.
+	fitsNoVM bool
+	// headroomKept is set if that search kept headroom for idle accelerators.
+	headroomKept bool
+	// minFailedRunTime is the run time of the last failed search that found VMs
+	// under a hold, which a shorter job may still use; zero if there were none.
+	minFailedRunTime time.Duration
 }
 
-// answersFor reports whether the cached verdict of s holds for j too.
-func (s *shape) answersFor(j *jobState) bool {
-	shorter := j.runTime() > 0 && j.runTime() < s.shortest
+// statusAppliesTo reports whether the cached status of s also applies to j.
+func (s *shape) statusAppliesTo(j *jobState) bool {
+	shorter := j.runTime() > 0 && j.runTime() < s.minFailedRunTime
 	return s.blocked && !shorter
 }
 
@@ -61,10 +63,10 @@
 		need:        j.need(),
 		class:       j.Spec.Class,
 		dataCentres: dataCentreKey(j.Spec.DataCentres),
-		runTime:     runTimeLevel(j.runTime()),
+		runTimeLog2: runTimeLevel(j.runTime()),
 	}
 	if j.isGang() || j.countsSpread() || j.isUrgent() || len(j.Avoid) > 0 {
-		key.own = j.Spec.ID
+		key.ownJob = j.Spec.ID
 	}
 	return key
 }
@@ -73,18 +75,18 @@
 	return uint8(bits.Len64(uint64(max(d, 0) / time.Second)))
 }
 
-// shapeQueue is the waiting jobs of one shape of one team in one priority
-// band, oldest first.
+// shapeQueue contains the waiting jobs of one shape, team and priority band, oldest
+// first.
 type shapeQueue struct {
-	owner   *teamQueue
-	shape   *shape
-	jobs    []*jobState // some may have left the queue
-	live    int
-	heapPos int // in owner.ready; -1: parked
-	verdict verdict
+	owner    *teamQueue
+	shape    *shape
+	jobs     []*jobState // may include jobs that have left the queue
+	liveJobs int
+	heapPos  int // index in owner.ready; -1 if parked
+	status   status
 }
 
-// head returns the oldest job that waits here, or nil.
+// head returns the oldest job in the queue, or nil.
 func (q *shapeQueue) head() *jobState {
 	for len(q.jobs) > 0 && q.jobs[0].queue != q {
 		q.jobs[0] = nil
@@ -96,25 +98,26 @@
 	return q.jobs[0]
 }
 
-// insert puts j in its place by age.
+// insert inserts j in order of submission.
 func (q *shapeQueue) insert(j *jobState) {
-	at := len(q.jobs)
-	for at > 0 && j.before(q.jobs[at-1]) {
-		at--
+	i := len(q.jobs)
+	for i > 0 && j.submittedBefore(q.jobs[i-1]) {
+		i--
 	}
 	q.jobs = append(q.jobs, nil)
-	copy(q.jobs[at+1:], q.jobs[at:])
-	q.jobs[at] = j
-	q.live++
+	copy(q.jobs[i+1:], q.jobs[i:])
+	q.jobs[i] = j
+	q.liveJobs++
 }
 
-// compact drops the jobs that left, when they are the greater part.
+// compact removes the jobs that left the queue, if they are at least half of the
+// entries.
 func (q *shapeQueue) compact() {
-	const fewest = 64
-	if len(q.jobs) < fewest || q.live*2 > len(q.jobs) {
+	const minEntries = 64
+	if len(q.jobs) < minEntries || q.liveJobs*2 > len(q.jobs) {
 		return
 	}
-	kept := make([]*jobState, 0, q.live)
+	kept := make([]*jobState, 0, q.liveJobs)
 	for _, j := range q.jobs {
 		if j.queue == q {
 			kept = append(kept, j)
@@ -123,13 +126,13 @@
 	q.jobs = kept
 }
 
-// shapeHeap orders the ready queues of a team by their oldest job.
+// shapeHeap orders the ready queues of a team by their oldest jobs.
 type shapeHeap []*shapeQueue
 
 func (h shapeHeap) Len() int { return len(h) }
 
 func (h shapeHeap) Less(a, b int) bool {
-	return h[a].jobs[0].before(h[b].jobs[0])
+	return h[a].jobs[0].submittedBefore(h[b].jobs[0])
 }
 
 func (h shapeHeap) Swap(a, b int) {
--- a/internal/scheduler/team.go
+++ b/internal/scheduler/team.go
@@ -2,57 +2,58 @@
 
 import "github.com/skylarklock/skylarklock/api"
 
-// teamState is a team's quota and what it holds.
+// teamState is the quota and the allocated resources of a team.
 type teamState struct {
-	name    string
-	limited bool
-	max     api.Resources
-	weight  int64
-	use     api.Resources // running and reserved
-	parked  []*shapeQueue // waiting for the quota
-	waking  bool          // listed in World.waking
+	name      string
+	hasQuota  bool
+	quota     api.Resources
+	weight    int64
+	allocated api.Resources // running and reserved
+	parked    []*shapeQueue // queues that wait for the quota
+	waking    bool          // listed in State.waking
 }
 
-// PutQuota sets or replaces a team's quota and weight. A team without one is
-// unbounded, with a weight of 1.
-func (w *State) PutQuota(q api.QuotaSpec) {
-	t := w.teamOf(q.Team)
-	t.limited = true
-	t.max = q.Max
+// PutQuota sets or replaces the quota and weight of a team. A team without a quota is
+// unbounded and has a weight of 1.
+func (st *State) PutQuota(q api.QuotaSpec) {
+	t := st.teamOf(q.Team)
+	t.hasQuota = true
+	t.quota = q.Max
 	t.weight = max(q.Weight, 1)
-	w.judgeAgain()
-	w.wakeTeam(t)
+	st.invalidateFeasibility()
+	st.wakeTeam(t)
 }
 
-// TeamUsage returns what a team's running and reserved tasks hold.
-func (w *State) TeamUsage(team string) api.Resources {
-	t := w.teams[team]
+// TeamUsage returns the resources of a team's running and reserved tasks.
+func (st *State) TeamUsage(team string) api.Resources {
+	t := st.teams[team]
 	if t == nil {
 		return api.Resources{}
 	}
-	return t.use
+	return t.allocated
 }
 
-func (w *State) teamOf(name string) *teamState {
-	t := w.teams[name]
+func (st *State) teamOf(name string) *teamState {
+	t := st.teams[name]
 	if t == nil {
 		t = &teamState{name: name, weight: 1}
-		w.teams[name] = t
+		st.teams[name] = t
 	}
 	return t
 }
 
-// allows reports whether the team may hold need as well.
+// allows reports whether the quota allows need in addition to the allocated
+// resources.
 func (t *teamState) allows(need api.Resources) bool {
-	return !t.limited || t.use.Add(need).Fits(t.max)
+	return !t.hasQuota || t.allocated.Add(need).Fits(t.quota)
 }
 
-// share is the team's dominant share of the fleet over its weight: the
-// largest share it holds of any one resource.
-func (t *teamState) share(total api.Resources) float64 {
-	dominant := fraction(t.use.MilliCPU, total.MilliCPU)
-	dominant = max(dominant, fraction(t.use.MemoryMB, total.MemoryMB))
-	dominant = max(dominant, fraction(t.use.Accelerators, total.Accelerators))
+// dominantShare returns the largest share of any one resource of the fleet that the
+// team holds, divided by the weight of the team.
+func (t *teamState) dominantShare(total api.Resources) float64 {
+	dominant := fraction(t.allocated.MilliCPU, total.MilliCPU)
+	dominant = max(dominant, fraction(t.allocated.MemoryMB, total.MemoryMB))
+	dominant = max(dominant, fraction(t.allocated.Accelerators, total.Accelerators))
 	return dominant / float64(t.weight)
 }
 
--- a/internal/scheduler/types.go
+++ b/internal/scheduler/types.go
@@ -1,14 +1,13 @@
 // Package scheduler decides which task runs on which VM.
 //
-// It is pure code: a World is the state, Cycle reads it and the time given
-// and returns a Plan. It does no I/O, reads no clock and draws its random
-// numbers from an injected source. A plan is only a proposal; it is checked
-// again, against the ledger, where the journal applies it.
+// The package does no I/O, reads no clock and draws random numbers from an
+// injected source: Cycle reads a State and the given time and returns a Plan.
+// A plan is only a proposal; it is checked again, against the ledger, where the
+// journal applies it.
 //
-// A cycle takes the pending jobs in order and passes each task through named
-// stages: filter, score, reserve. What a cycle reserved stays reserved in the
-// World until the caller reports the start as applied (Occupy) or as rejected
-// (Release).
+// A cycle processes the pending jobs in order and passes each task through the
+// stages filter, score and reserve. A reservation stays in the State until the
+// caller reports the start as applied (Occupy) or rejected (Release).
 package scheduler
 
 import (
@@ -17,32 +16,32 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// VM is what the scheduler knows of a worker VM.
+// VM describes a worker VM.
 type VM struct {
 	ID          api.VMID
 	DataCentre  api.DataCentre
 	Rack        string
 	Capacity    api.Resources
-	Schedulable bool // false: leaving, unreachable or waiting for a takeover
-	Quarantined bool // accepts only probes
+	Schedulable bool // false if leaving, unreachable or waiting for a takeover
+	Quarantined bool // accepts only probe tasks
 }
 
 // Job is a job with tasks to place.
 type Job struct {
 	Spec      api.JobSpec
-	Submitted time.Time // local time at which this scheduler learned of it
+	Submitted time.Time // local time at which this scheduler received the job
 	Pending   []uint32  // indexes of tasks to place, in order
-	// Estimate is the resources to plan each task with: the declared ones,
-	// or those learned from reports.
+	// Estimate is the resources to plan each task with, declared or learned
+	// from reports.
 	Estimate api.Resources
-	// RunTime is the run time to expect of a task, as learned; zero: the
+	// RunTime is the learned run time of a task; zero means to use the
 	// declared one.
 	RunTime time.Duration
-	// Avoid holds VMs on which the tasks of this job failed.
+	// Avoid is the set of VMs on which tasks of this job failed.
 	Avoid map[api.VMID]bool
 }
 
-// RunningTask is a task that occupies a VM.
+// RunningTask describes a task that occupies a VM.
 type RunningTask struct {
 	Task           api.TaskID
 	VM             api.VMID
@@ -52,7 +51,7 @@
 	Resources      api.Resources
 	Checkpointable bool
 	Started        time.Time
-	ExpectedEnd    time.Time // zero: not known
+	ExpectedEnd    time.Time // zero if unknown
 }
 
 // Start proposes to run a task on a VM.
@@ -60,27 +59,28 @@
 	Task      api.TaskID
 	VM        api.VMID
 	Resources api.Resources
-	Gang      bool // all starts of the job must be applied together or not at all
+	Gang      bool // all starts of the job must be applied together or none
 }
 
-// Preemption proposes to checkpoint and stop a running task in favour of a job.
+// Preemption proposes to checkpoint and stop a running task in favour of the job
+// Preemptor.
 type Preemption struct {
 	Task      api.TaskID
 	VM        api.VMID
 	Preemptor api.JobID
 }
 
-// WaitingJob says why a job's tasks were not placed in a cycle.
+// WaitingJob reports why tasks of a job were not placed.
 type WaitingJob struct {
 	Job    api.JobID
 	Reason api.Reason
-	Detail string // what is missing, for operators
+	Detail string // what is missing, shown to operators
 }
 
 // Plan is the outcome of one cycle.
 type Plan struct {
 	Starts      []Start
 	Preemptions []Preemption
-	Waiting     []WaitingJob // jobs that wait, with the first reason found
-	Infeasible  []WaitingJob // jobs that no VM of the cell could ever hold
+	Waiting     []WaitingJob // jobs with tasks that were not placed
+	Infeasible  []WaitingJob // jobs that cannot run on the VMs of the cell or within their quota
 }
--- a/internal/scheduler/vm.go
+++ b/internal/scheduler/vm.go
@@ -6,45 +6,45 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// vmState is a VM with what occupies it.
+// vmState is a VM with its allocations and scheduling state.
 type vmState struct {
 	VM
-	known     bool          // listed; false for a VM seen only in reports
-	used      api.Resources // running and reserved
-	evictable api.Resources // of what runs here, by checkpoint
-	victims   bandCounts    // the number of those, by band
-	nominated api.Resources // kept for urgent tasks whose victims are stopping
-	holdings  []*holding
-	hold      *hold // VM is held for a waiting job; out of the index
-	holdTasks int64 // tasks of that job it is held for
-	lastProbe time.Time
-	offered   time.Time // when waiting work was last woken to probe v
-
-	part  *partition // nil: not in the index
-	at    cellAt
-	pos   int
-	freed bool // listed in World.freed
-}
-
-// free is the capacity not in use or reserved.
+	listed          bool          // false for a VM known only from allocations
+	used            api.Resources // running and reserved
+	evictable       api.Resources // resources of the evictable tasks
+	evictableByBand bandCounts    // number of evictable tasks by band
+	nominated       api.Resources // nominated for tasks whose victims are stopping
+	allocations     []*allocation
+	hold            *hold // hold for a waiting job; a held VM is not indexed
+	holdTasks       int64 // number of tasks of that job that the hold places here
+	lastProbe       time.Time
+	lastProbeWake   time.Time // when waiting work was last woken to probe this VM
+
+	indexPartition *partition // nil if not indexed
+	bucketAt       bucketKey
+	bucketPos      int
+	freed          bool // listed in State.freed
+}
+
+// free returns the capacity that is not allocated.
 func (v *vmState) free() api.Resources {
 	return v.Capacity.Sub(v.used)
 }
 
-// spare is what work without a nomination may take.
-func (v *vmState) spare() api.Resources {
+// available returns the free capacity that is not nominated.
+func (v *vmState) available() api.Resources {
 	return v.free().Sub(v.nominated)
 }
 
-// open reports whether ordinary work may start on v.
-func (v *vmState) open() bool {
-	return v.known && v.Schedulable && !v.Quarantined
+// acceptsWork reports whether tasks other than probes may start on v.
+func (v *vmState) acceptsWork() bool {
+	return v.listed && v.Schedulable && !v.Quarantined
 }
 
-// dataCentre is the index of one data centre.
+// dataCentre indexes the VMs of one data centre.
 type dataCentre struct {
 	name        api.DataCentre
-	plain       partition // VMs without accelerators
+	cpuOnly     partition // VMs without accelerators
 	accelerated partition
 }
 
@@ -52,135 +52,135 @@
 	if v.Capacity.Accelerators > 0 {
 		return &d.accelerated
 	}
-	return &d.plain
+	return &d.cpuOnly
 }
 
-// PutVM adds a VM or replaces what is known of it; its tasks stay.
-func (w *State) PutVM(vm VM) {
-	v := w.vmOf(vm.ID)
-	if v.known && v.VM == vm {
+// PutVM adds a VM or replaces its description. Its allocations stay.
+func (st *State) PutVM(vm VM) {
+	v := st.vmOf(vm.ID)
+	if v.listed && v.VM == vm {
 		return
 	}
-	w.unindex(v)
-	if v.known {
-		w.fleet.remove(v)
+	st.unindex(v)
+	if v.listed {
+		st.fleet.remove(v)
 	}
-	w.countRack(v, -1)
+	st.countSpreadOnVM(v, -1)
 	v.VM = vm
-	w.countRack(v, 1)
-	v.known = true
-	if w.fleet.add(v) {
-		w.judgeAgain()
+	st.countSpreadOnVM(v, 1)
+	v.listed = true
+	if st.fleet.add(v) {
+		st.invalidateFeasibility()
 	}
-	w.index(v)
-	w.markFreed(v)
+	st.index(v)
+	st.markFreed(v)
 }
 
-// countRack adds by to the counts by rack of the jobs with tasks on v.
-func (w *State) countRack(v *vmState, by int) {
-	for _, h := range v.holdings {
-		w.countSpread(h, by)
+// countSpreadOnVM adds delta to the spread counts of the jobs with tasks on v.
+func (st *State) countSpreadOnVM(v *vmState, delta int) {
+	for _, alloc := range v.allocations {
+		st.countSpread(alloc, delta)
 	}
 }
 
-// RemoveVM takes a VM out of the list. Tasks on it keep counting against
-// their teams until Vacate.
-func (w *State) RemoveVM(id api.VMID) {
-	v := w.vms[id]
-	if v == nil || !v.known {
+// RemoveVM removes a VM from the list. Tasks on it count against the quotas of their
+// teams until Vacate.
+func (st *State) RemoveVM(id api.VMID) {
+	v := st.vms[id]
+	if v == nil || !v.listed {
 		return
 	}
-	w.unindex(v)
-	w.quarantine.set(v, false)
-	w.fleet.remove(v)
-	v.known = false
+	st.unindex(v)
+	st.quarantined.set(v, false)
+	st.fleet.remove(v)
+	v.listed = false
 	v.Schedulable = false
 	v.Capacity = api.Resources{}
-	w.dropIfEmpty(v)
+	st.dropIfEmpty(v)
 }
 
-// Free returns the capacity of a VM that is neither used nor reserved, and
-// whether the VM is listed. A field is negative after the VM shrank or was
-// reported to hold more than it can.
-func (w *State) Free(id api.VMID) (api.Resources, bool) {
-	v := w.vms[id]
-	if v == nil || !v.known {
+// Free returns the unallocated capacity of a VM and whether the VM is listed. A field
+// is negative if the VM shrank or its allocations were reported to exceed its
+// capacity.
+func (st *State) Free(id api.VMID) (api.Resources, bool) {
+	v := st.vms[id]
+	if v == nil || !v.listed {
 		return api.Resources{}, false
 	}
 	return v.free(), true
 }
 
-// vmOf returns the state of a VM; one that isn't listed yet gets an entry
-// without capacity.
-func (w *State) vmOf(id api.VMID) *vmState {
-	v := w.vms[id]
+// vmOf returns the state of a VM. It adds an entry without capacity for an unknown
+// VM.
+func (st *State) vmOf(id api.VMID) *vmState {
+	v := st.vms[id]
 	if v == nil {
 		v = &vmState{VM: VM{ID: id}}
-		w.vms[id] = v
+		st.vms[id] = v
 	}
 	return v
 }
 
-func (w *State) dropIfEmpty(v *vmState) {
-	if !v.known && len(v.holdings) == 0 && v.hold == nil && v.nominated.IsZero() {
-		delete(w.vms, v.ID)
+func (st *State) dropIfEmpty(v *vmState) {
+	if !v.listed && len(v.allocations) == 0 && v.hold == nil && v.nominated.IsZero() {
+		delete(st.vms, v.ID)
 	}
 }
 
-func (w *State) index(v *vmState) {
-	w.quarantine.set(v, v.known && v.Schedulable && v.Quarantined)
-	if !v.open() {
+func (st *State) index(v *vmState) {
+	st.quarantined.set(v, v.listed && v.Schedulable && v.Quarantined)
+	if !v.acceptsWork() {
 		return
 	}
-	if v.hold != nil || v.spare().Negative() {
+	if v.hold != nil || v.available().Negative() {
 		return
 	}
-	w.dataCentreOf(v.DataCentre).partitionOf(v).insert(v)
+	st.dataCentreOf(v.DataCentre).partitionOf(v).insert(v)
 }
 
-func (w *State) unindex(v *vmState) {
-	if v.part != nil {
-		v.part.remove(v)
+func (st *State) unindex(v *vmState) {
+	if v.indexPartition != nil {
+		v.indexPartition.remove(v)
 	}
 }
 
-// reindex follows a change of what v has to spare.
-func (w *State) reindex(v *vmState) {
-	if v.part != nil && !v.spare().Negative() {
-		v.part.update(v)
+// reindex updates the index after a change of the available capacity of v.
+func (st *State) reindex(v *vmState) {
+	if v.indexPartition != nil && !v.available().Negative() {
+		v.indexPartition.update(v)
 		return
 	}
-	w.unindex(v)
-	w.index(v)
+	st.unindex(v)
+	st.index(v)
 }
 
-// markFreed notes that v may now hold work which waits.
-func (w *State) markFreed(v *vmState) {
+// markFreed records that v may now fit waiting work.
+func (st *State) markFreed(v *vmState) {
 	if v.freed {
 		return
 	}
 	v.freed = true
-	w.freed = append(w.freed, v)
+	st.freed = append(st.freed, v)
 }
 
-func (w *State) dataCentreOf(name api.DataCentre) *dataCentre {
-	d := w.dataCentres[name]
+func (st *State) dataCentreOf(name api.DataCentre) *dataCentre {
+	d := st.dataCentres[name]
 	if d == nil {
 		d = &dataCentre{name: name}
-		w.dataCentres[name] = d
-		w.dcList = append(w.dcList, d)
+		st.dataCentres[name] = d
+		st.dataCentreList = append(st.dataCentreList, d)
 	}
 	return d
 }
 
-// vmSet is a set of VMs with a stable order.
+// vmSet is a set of VMs with a deterministic order.
 type vmSet struct {
 	list []*vmState
 	pos  map[*vmState]int
 }
 
 func (s *vmSet) set(v *vmState, in bool) {
-	at, has := s.pos[v]
+	i, has := s.pos[v]
 	if has == in {
 		return
 	}
@@ -190,8 +190,8 @@
 		return
 	}
 	last := len(s.list) - 1
-	s.list[at] = s.list[last]
-	s.pos[s.list[at]] = at
+	s.list[i] = s.list[last]
+	s.pos[s.list[i]] = i
 	s.list[last] = nil
 	s.list = s.list[:last]
 	delete(s.pos, v)
--- a/internal/scheduler/wave_test.go
+++ b/internal/scheduler/wave_test.go
@@ -12,22 +12,22 @@
 	"github.com/skylarklock/skylarklock/internal/scheduler"
 )
 
-// Virtual times of the wave experiment.
+// Virtual times of BenchmarkWave.
 const (
 	waveTick       = 200 * time.Millisecond
-	checkpointTime = time.Second // a victim takes to stop
+	checkpointTime = time.Second // time that a victim needs to stop
 	waveStarts     = time.Minute
 	waveEnds       = 2 * time.Minute
-	waveOver       = 3 * time.Minute
+	waveTestEnd    = 3 * time.Minute
 	waveFactor     = 20
 )
 
-// wave drives one cell in virtual time.
+// wave runs a simulation in virtual time under a load wave.
 type wave struct {
-	*cell
+	*simulation
 	now      time.Time
 	rnd      *rand.Rand
-	next     int
+	jobCount int
 	kinds    map[api.JobID]string
 	arrived  map[api.JobID]time.Time
 	stopping map[api.TaskID]time.Time
@@ -36,8 +36,8 @@
 
 var waveKinds = [...]string{"urgent", "service", "steady", "gang", "wave"}
 
-func newWave(by cycler) *wave {
-	w := &wave{cell: newCell(by), now: time.Unix(0, 0), rnd: seeded(5), kinds: map[api.JobID]string{}, arrived: map[api.JobID]time.Time{},
+func newWave(planner cyclePlanner) *wave {
+	w := &wave{simulation: newSimulation(planner), now: time.Unix(0, 0), rnd: newRand(5), kinds: map[api.JobID]string{}, arrived: map[api.JobID]time.Time{},
 		stopping: map[api.TaskID]time.Time{}, waits: map[string]*hdrhistogram.Histogram{}}
 	for _, kind := range waveKinds {
 		w.waits[kind] = hdrhistogram.New(1, time.Hour.Milliseconds(), 3)
@@ -46,45 +46,45 @@
 	return w
 }
 
-func (w *wave) arrive(kind, team string, spec api.JobSpec) {
-	w.next++
-	spec.ID, spec.Team, spec.Tasks = api.JobID(fmt.Sprintf("job-%06d", w.next)), team, max(spec.Tasks, 1)
+func (w *wave) submitKind(kind, team string, spec api.JobSpec) {
+	w.jobCount++
+	spec.ID, spec.Team, spec.Tasks = api.JobID(fmt.Sprintf("job-%06d", w.jobCount)), team, max(spec.Tasks, 1)
 	w.kinds[spec.ID] = kind
 	w.arrived[spec.ID] = w.now
 	w.submit(pendingAll(spec, w.now))
 }
 
-// arrivals submits the jobs of one tick: the steady load takes about 40% of
-// the fleet; the wave, of one team, comes at twenty times its rate.
-func (w *wave) arrivals() {
-	passed := w.now.Sub(time.Unix(0, 0))
-	tick := int(passed / waveTick)
+// submitTick submits the jobs of one tick. The steady load uses about 40% of the
+// fleet; the wave is batch jobs of one team at twenty times the rate of the steady jobs.
+func (w *wave) submitTick() {
+	elapsed := w.now.Sub(time.Unix(0, 0))
+	tick := int(elapsed / waveTick)
 	batch := api.JobSpec{Class: api.ClassBatch, Priority: api.PriorityDefault, Checkpointable: true, RunTime: 60 * time.Second,
 		Resources: api.Resources{MilliCPU: 2000, MemoryMB: 4000}}
-	w.arrive("steady", fmt.Sprintf("team-%d", tick%8), batch)
+	w.submitKind("steady", fmt.Sprintf("team-%d", tick%8), batch)
 	if w.rnd.IntN(10) == 0 {
 		urgent := batch
 		urgent.Priority, urgent.RunTime = api.PriorityUrgent, 10*time.Second
 		urgent.Resources = batch.Resources.Times(4)
-		w.arrive("urgent", "team-0", urgent)
+		w.submitKind("urgent", "team-0", urgent)
 	}
 	if w.rnd.IntN(25) == 0 {
-		w.arrive("service", "team-1", api.JobSpec{Class: api.ClassService, Priority: api.PriorityDefault + 200, Resources: batch.Resources})
+		w.submitKind("service", "team-1", api.JobSpec{Class: api.ClassService, Priority: api.PriorityDefault + 200, Resources: batch.Resources})
 	}
 	if tick%300 == 150 {
-		w.arrive("gang", "team-2", api.JobSpec{Class: api.ClassGang, Priority: api.PriorityDefault, Tasks: 16, RunTime: 45 * time.Second,
+		w.submitKind("gang", "team-2", api.JobSpec{Class: api.ClassGang, Priority: api.PriorityDefault, Tasks: 16, RunTime: 45 * time.Second,
 			Resources: api.Resources{MilliCPU: 8000, MemoryMB: 16000}})
 	}
-	if passed >= waveStarts && passed < waveEnds {
+	if elapsed >= waveStarts && elapsed < waveEnds {
 		for range waveFactor {
-			w.arrive("wave", "team-wave", batch)
+			w.submitKind("wave", "team-wave", batch)
 		}
 	}
 }
 
-// ends vacates what ran out or has been checkpointed; the latter is pending
-// again.
-func (w *wave) ends() {
+// endTasks vacates the tasks that have ended or been checkpointed. Checkpointed tasks
+// become pending again.
+func (w *wave) endTasks() {
 	kept := w.running[:0]
 	for _, r := range w.running {
 		stopped, isVictim := w.stopping[r.Task]
@@ -104,9 +104,9 @@
 }
 
 func (w *wave) tick() {
-	w.arrivals()
-	w.ends()
-	p := w.by.Cycle(w.State, w.now, 1000)
+	w.submitTick()
+	w.endTasks()
+	p := w.planner.Cycle(w.State, w.now, 1000)
 	w.apply(p, w.now)
 	for _, s := range p.Starts {
 		if at, first := w.arrived[s.Task.Job]; first {
@@ -120,15 +120,15 @@
 	w.now = w.now.Add(waveTick)
 }
 
-// BenchmarkWave measures the waits by kind of work under a wave of batch at
-// twenty times the steady load, in virtual time. What has not started by the
-// end counts with its wait so far.
+// BenchmarkWave measures the waiting times by kind of work, in virtual time, under a
+// wave of batch jobs at twenty times the steady rate. Jobs that have not started by the
+// end count with their waiting time so far.
 func BenchmarkWave(b *testing.B) {
 	for _, name := range [...]string{"sampled", "first_fit"} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
-				w := newWave(contender(name))
-				for w.now.Before(time.Unix(0, 0).Add(waveOver)) {
+				w := newWave(newPlanner(name))
+				for w.now.Before(time.Unix(0, 0).Add(waveTestEnd)) {
 					w.tick()
 				}
 				for id, at := range w.arrived {
