--- a/internal/assist/assist.go
+++ b/internal/assist/assist.go
@@ -166,22 +166,22 @@
 	Deliver(span replica.Span, jobs []work.Summary, end platform.Offset) platform.Offset
 	// DeliverContent takes in the content of records of a span.
 	DeliverContent(span replica.Span, records []platform.Record)
-	// Content returns up to where the content of records is kept, and whether
+	// ContentPosition returns up to where the content of records is kept, and whether
 	// it is kept at all.
-	Content() (platform.Offset, bool)
-	// Keep has the content of records kept, Shed dropped.
-	Keep()
-	Shed()
+	ContentPosition() (platform.Offset, bool)
+	// KeepContent has the content of records kept, Shed dropped.
+	KeepContent()
+	DropContent()
 	Sync(ctx context.Context) error
 	Position() platform.Offset
 }
 
 // Electorate knows who leads; *leader.Elector is one.
 type Electorate interface {
-	// Learn takes in who leads and returns the highest epoch known.
-	Learn(l leader.Leader) api.Epoch
-	// Assured takes in the leader's last confirmed renewal.
-	Assured(epoch api.Epoch, r leader.Renewal)
+	// ObserveLeader takes in who leads and returns the highest epoch known.
+	ObserveLeader(l leader.Leader) api.Epoch
+	// ObserveRenewal takes in the leader's last confirmed renewal.
+	ObserveRenewal(epoch api.Epoch, r leader.Renewal)
 	// Invite has this process claim the cell after a leader that has stepped down.
 	Invite(i leader.Invitation)
 }
@@ -225,39 +225,39 @@
 
 // Deliver takes in records from the leader.
 func (h *Handler) Deliver(d *Delivery, reply *DeliveryAnswer) error {
-	reply.Epoch = h.Electorate.Learn(d.Leader)
+	reply.Epoch = h.Electorate.ObserveLeader(d.Leader)
 	if reply.Epoch != d.Leader.Epoch {
 		return nil // a former leader; what it brings may be behind
 	}
-	h.Electorate.Assured(d.Leader.Epoch, d.Renewed)
+	h.Electorate.ObserveRenewal(d.Leader.Epoch, d.Renewed)
 	if h.LeaderCut != nil {
 		h.LeaderCut(d.CutOff)
 	}
 	h.Helpers.Know(d.Machines)
 	switch d.Role {
 	case Standby:
-		h.Receiver.Keep()
+		h.Receiver.KeepContent()
 	case Follower:
-		h.Receiver.Shed()
+		h.Receiver.DropContent()
 	}
 	jobs, readable := d.Jobs.Unpack()
 	if !readable {
 		return errors.New("assist: news of another version")
 	}
 	reply.Position = h.Receiver.Deliver(d.Span, jobs, d.End)
-	reply.Content, reply.Whole = h.Receiver.Content()
+	reply.Content, reply.Whole = h.Receiver.ContentPosition()
 	return nil
 }
 
 // Content takes in the content of records from the leader.
 func (h *Handler) Content(c *ContentDelivery, reply *DeliveryAnswer) error {
-	reply.Epoch = h.Electorate.Learn(c.Leader)
+	reply.Epoch = h.Electorate.ObserveLeader(c.Leader)
 	if reply.Epoch != c.Leader.Epoch {
 		return nil // a former leader; what it brings may be behind
 	}
 	h.Receiver.DeliverContent(c.Span, unpackContent(c.Records))
 	reply.Position = h.Receiver.Position()
-	reply.Content, reply.Whole = h.Receiver.Content()
+	reply.Content, reply.Whole = h.Receiver.ContentPosition()
 	return nil
 }
 
--- a/internal/assist/burst_test.go
+++ b/internal/assist/burst_test.go
@@ -16,7 +16,7 @@
 	f := newFeed(m, 0)
 	f.choose([]Attachment{f.at}, f.now)
 	f.deliver(deliverEvery) // learns where the machine is
-	var a replica.Applied
+	var a replica.AppliedBatch
 	for i := range platform.Offset(2000 * 3) {
 		job := work.ID{byte(i / 3 >> 8), byte(i / 3)}
 		kind := []work.Kind{work.KindOutcome, work.KindJob, work.KindProgress}[i%3]
--- a/internal/assist/publisher.go
+++ b/internal/assist/publisher.go
@@ -22,7 +22,7 @@
 	// see the end of their job with this delay.
 	deliverEvery = 25 * time.Millisecond
 	// deliverIdle is the longest time after which a delivery without news says
-	// that there is none (replica.Timing.FedFor is over twice that), idlePaces how many
+	// that there is none (replica.Timing.DeliveryValidity is over twice that), idlePaces how many
 	// times that between two with news it is, and idleLeast the shortest.
 	deliverIdle = 200 * time.Millisecond
 	idlePaces   = 4
@@ -73,7 +73,7 @@
 	records  []platform.Record
 	bytes    int             // of these
 	newsFrom platform.Offset // from here on all news is kept
-	news     []replica.News
+	news     []replica.SummaryUpdate
 	targets  map[api.NodeID]*target
 	standbys map[api.NodeID]bool
 	enough   bool // standbys keep the content, so that others need not
@@ -115,7 +115,7 @@
 // Add takes in what was applied. If it doesn't follow on the
 // last, as when the replica was read anew, machines that miss what lies
 // between read it from the store.
-func (p *Publisher) Add(a replica.Applied) {
+func (p *Publisher) Add(a replica.AppliedBatch) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if a.Records[0].Offset != p.end() {
@@ -128,7 +128,7 @@
 	for _, r := range a.Records {
 		p.bytes += r.Size()
 	}
-	p.news = append(p.news, a.News...)
+	p.news = append(p.news, a.Updates...)
 	p.trim()
 }
 
@@ -145,7 +145,7 @@
 	}
 	if over := len(p.news) - keptNews; over > 0 {
 		p.newsFrom = p.news[over-1].Offset + 1
-		p.news = append([]replica.News(nil), p.news[over:]...)
+		p.news = append([]replica.SummaryUpdate(nil), p.news[over:]...)
 	}
 }
 
@@ -279,13 +279,13 @@
 }
 
 // newsSince returns the news from an offset on; p.mu is held.
-func (p *Publisher) newsSince(from platform.Offset) []replica.News {
+func (p *Publisher) newsSince(from platform.Offset) []replica.SummaryUpdate {
 	i := sort.Search(len(p.news), func(i int) bool { return p.news[i].Offset >= from })
 	return p.news[i:]
 }
 
 // newest returns the newest summary of each job.
-func newest(news []replica.News) []work.Summary {
+func newest(news []replica.SummaryUpdate) []work.Summary {
 	places := make(map[work.ID]int, len(news))
 	out := make([]work.Summary, 0, len(news))
 	for _, n := range news {
--- a/internal/assist/publisher_test.go
+++ b/internal/assist/publisher_test.go
@@ -95,11 +95,11 @@
 
 // add publishes a record for each key; each brings news of the job of its offset.
 func (f *feed) add(first platform.Offset, keys ...string) {
-	var a replica.Applied
+	var a replica.AppliedBatch
 	for i, key := range keys {
 		at := first + platform.Offset(i)
 		a.Records = append(a.Records, platform.Record{Offset: at, Key: key})
-		a.News = append(a.News, replica.News{Offset: at, Summary: work.Summary{ID: work.ID{byte(at)}, Queue: "q", State: work.Running}})
+		a.Updates = append(a.Updates, replica.SummaryUpdate{Offset: at, Summary: work.Summary{ID: work.ID{byte(at)}, Queue: "q", State: work.Running}})
 	}
 	f.Add(a)
 }
@@ -132,7 +132,7 @@
 		Convey("of a job that has changed several times only the newest is told", func() {
 			id := work.ID{7}
 			records := []platform.Record{{Offset: 10, Key: "a"}, {Offset: 11, Key: "b"}}
-			f.Add(replica.Applied{Records: records, News: []replica.News{
+			f.Add(replica.AppliedBatch{Records: records, Updates: []replica.SummaryUpdate{
 				{Offset: 10, Summary: work.Summary{ID: id, Queue: "q"}},
 				{Offset: 11, Summary: work.Summary{ID: id, Queue: "q", State: work.Completed}},
 			}})
@@ -141,7 +141,7 @@
 			So(m.position, ShouldEqual, 12)
 		})
 		Convey("records that change no state bring it up to date all the same", func() {
-			f.Add(replica.Applied{Records: []platform.Record{{Offset: 10, Key: "a"}}})
+			f.Add(replica.AppliedBatch{Records: []platform.Record{{Offset: 10, Key: "a"}}})
 			So(f.deliver(deliverEvery), ShouldBeFalse)
 			So(f.deliver(deliverIdle), ShouldBeTrue)
 			So(m.position, ShouldEqual, 11)
@@ -169,11 +169,11 @@
 			So(sent, ShouldBeBetweenOrEqual, 4, 5)
 		})
 		Convey("one delivery brings a bounded number of jobs, and the next the others", func() {
-			var a replica.Applied
+			var a replica.AppliedBatch
 			for i := range sentNews + 5 {
 				at := 10 + platform.Offset(i)
 				a.Records = append(a.Records, platform.Record{Offset: at, Key: "k"})
-				a.News = append(a.News, replica.News{Offset: at, Summary: work.Summary{ID: work.ID{byte(i >> 8), byte(i)}}})
+				a.Updates = append(a.Updates, replica.SummaryUpdate{Offset: at, Summary: work.Summary{ID: work.ID{byte(i >> 8), byte(i)}}})
 			}
 			f.Add(a)
 			So(f.deliver(deliverEvery), ShouldBeTrue)
@@ -226,7 +226,7 @@
 		})
 		Convey("one delivery brings no more than a slow link carries in its time", func() {
 			value := make([]byte, 4000)
-			var a replica.Applied
+			var a replica.AppliedBatch
 			for i := range platform.Offset(500) {
 				key := work.Key(work.KindProgress, work.ID{byte(i >> 8), byte(i)})
 				a.Records = append(a.Records, platform.Record{Offset: 10 + i, Key: key, Value: value})
@@ -255,7 +255,7 @@
 	const seconds = 20
 	sent, next := 0, platform.Offset(10)
 	for range seconds * 10 {
-		var a replica.Applied
+		var a replica.AppliedBatch
 		for range 30 {
 			key := work.Key(work.KindProgress, work.ID{byte(next >> 8), byte(next)})
 			a.Records = append(a.Records, platform.Record{Offset: next, Key: key, Value: make([]byte, 400)})
--- a/internal/assist/thinlink_test.go
+++ b/internal/assist/thinlink_test.go
@@ -83,7 +83,7 @@
 
 // thinCell plays the load of a leader on a thin link for a while and returns the
 // longest time that a renewal of its leadership took.
-func thinCell(t *testing.T, deliver func(p *Publisher, l *thinLink, a replica.Applied)) (slowest time.Duration, machines map[string]*machine, end platform.Offset) {
+func thinCell(t *testing.T, deliver func(p *Publisher, l *thinLink, a replica.AppliedBatch)) (slowest time.Duration, machines map[string]*machine, end platform.Offset) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(1, 2))
 	l := &thinLink{rate: thinLinkBytes}
@@ -120,12 +120,12 @@
 	}()
 	end = 10
 	for began, renewed := time.Now(), time.Now(); time.Since(began) < 20*time.Second; {
-		var a replica.Applied
+		var a replica.AppliedBatch
 		for range recordsPerS / 50 {
 			job := work.ID{byte(random.IntN(85))} // 17 jobs a second of 5 s are alive
 			a.Records = append(a.Records, platform.Record{Offset: end, Key: work.Key(work.KindProgress, job), Value: make([]byte, recordBytes)})
 			if random.IntN(recordsPerS) < changesPerS {
-				a.News = append(a.News, replica.News{Offset: end, Summary: work.Summary{ID: job, Queue: "r-j4fr7ep", State: work.Running}})
+				a.Updates = append(a.Updates, replica.SummaryUpdate{Offset: end, Summary: work.Summary{ID: job, Queue: "r-j4fr7ep", State: work.Running}})
 			}
 			end++
 		}
@@ -151,7 +151,7 @@
 // behind them, and another machine claimed. The evidence: of 190 KB a second that
 // the leader sent 152 were deliveries, and appends took 60 to 110 ms.
 func TestLeaderOnAThinLinkKeepsItsCell(t *testing.T) {
-	takeover := leader.DefaultTiming().Takeover
+	takeover := leader.DefaultTiming().MinTakeoverSilence
 	t.Run("states to all and content to standbys", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			slowest, machines, end := thinCell(t, nil)
@@ -174,7 +174,7 @@
 	})
 	t.Run("every record to every machine", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			slowest, _, _ := thinCell(t, func(p *Publisher, l *thinLink, a replica.Applied) {
+			slowest, _, _ := thinCell(t, func(p *Publisher, l *thinLink, a replica.AppliedBatch) {
 				for range thinMachines {
 					body, err := cbor.Marshal(packContent(a.Records))
 					if err != nil {
@@ -193,11 +193,11 @@
 // What the leader sends of the same load grows at most with the square root of the
 // machines.
 func TestBytesOfALeaderByMachines(t *testing.T) {
-	a := replica.Applied{}
+	a := replica.AppliedBatch{}
 	for i := range platform.Offset(400) {
 		a.Records = append(a.Records, platform.Record{Offset: 10 + i, Key: work.Key(work.KindProgress, work.ID{byte(i)}), Value: make([]byte, recordBytes)})
 		if i%4 == 0 {
-			a.News = append(a.News, replica.News{Offset: 10 + i, Summary: work.Summary{ID: work.ID{byte(i)}, Queue: "r-j4fr7ep", State: work.Running}})
+			a.Updates = append(a.Updates, replica.SummaryUpdate{Offset: 10 + i, Summary: work.Summary{ID: work.ID{byte(i)}, Queue: "r-j4fr7ep", State: work.Running}})
 		}
 	}
 	const link = 25e6
--- a/internal/capacity/heartbeat.go
+++ b/internal/capacity/heartbeat.go
@@ -78,9 +78,9 @@
 	s.service = member.New(member.Config{
 		Self: identity(i), DataCentre: "dc-a", Address: l.Addr().String(),
 		Timing: member.Timing{Heartbeat: heartbeatEvery}, Hold: grantsHold, Caller: s.client, Roster: roster,
-		Applied: func() platform.Offset { return 100_000 },
-		Load:    func() []member.ServiceFree { return []member.ServiceFree{{Service: "torquebench", Free: 44}} },
-		Random:  rand.New(rand.NewPCG(1, uint64(i))),
+		Applied:   func() platform.Offset { return 100_000 },
+		FreeSlots: func() []member.ServiceFree { return []member.ServiceFree{{Service: "torquebench", Free: 44}} },
+		Random:    rand.New(rand.NewPCG(1, uint64(i))),
 	})
 	s.service.Bind(granter{identity(i), cut})
 	return s
--- a/internal/cell/apply.go
+++ b/internal/cell/apply.go
@@ -171,7 +171,7 @@
 		t.numbers[seen.ID] = number
 	}
 	t.rows[number] = &vmRow{id: seen.ID, rack: seen.Rack, capacity: seen.Capacity}
-	t.ledger.Put(number, seen.Capacity)
+	t.ledger.SetCapacity(number, seen.Capacity)
 }
 
 func (t *vmTable) drop(id api.VMID) bool {
@@ -191,7 +191,7 @@
 	if row == nil || !row.gone || t.ledger.Count(number) > 0 {
 		return
 	}
-	t.ledger.Remove(number)
+	t.ledger.RemoveVM(number)
 	t.rows[number] = nil
 	delete(t.numbers, row.id)
 }
@@ -213,9 +213,9 @@
 	switch {
 	case errors.Is(err, ledger.ErrUnknownVM):
 		return api.ReasonUnknownVM
-	case errors.Is(err, ledger.ErrNoRoom):
+	case errors.Is(err, ledger.ErrInsufficientCapacity):
 		return api.ReasonNoCapacity
-	case errors.Is(err, ledger.ErrBadAmount):
+	case errors.Is(err, ledger.ErrInvalidAmount):
 		return api.ReasonMalformed
 	}
 	return api.ReasonConflict
--- a/internal/cell/apply_start.go
+++ b/internal/cell/apply_start.go
@@ -130,7 +130,7 @@
 	if a.m.vms.row(s.VM) == nil {
 		return api.ReasonUnknownVM
 	}
-	if err := a.m.vms.ledger.Claim(s.VM, a.key(s), a.g.Resources); err != nil {
+	if err := a.m.vms.ledger.Allocate(s.VM, a.key(s), a.g.Resources); err != nil {
 		return ledgerReason(err)
 	}
 	return ""
--- a/internal/cell/read.go
+++ b/internal/cell/read.go
@@ -138,7 +138,7 @@
 func (m *Machine) held(j *job, index uint32) Held {
 	t, _ := j.get(index)
 	key := ledger.Key{Job: j.number, Index: index, Attempt: t.attempt}
-	amount, _ := m.vms.ledger.Held(t.vm, key)
+	amount, _ := m.vms.ledger.Allocated(t.vm, key)
 	return Held{TaskView: m.viewTask(j, index, t), Resources: amount}
 }
 
@@ -150,7 +150,7 @@
 	if !ok {
 		return nil
 	}
-	claims := m.vms.ledger.Claims(number)
+	claims := m.vms.ledger.Allocations(number)
 	sort.Slice(claims, func(i, j int) bool { return keyLess(claims[i].Key, claims[j].Key) })
 	list := make([]Held, 0, len(claims))
 	for _, c := range claims {
--- a/internal/cell/snapshot.go
+++ b/internal/cell/snapshot.go
@@ -151,7 +151,7 @@
 		image.VM = 0
 		return image
 	}
-	held, _ := m.vms.ledger.Held(t.vm, ledger.Key{Job: j.number, Index: index, Attempt: t.attempt})
+	held, _ := m.vms.ledger.Allocated(t.vm, ledger.Key{Job: j.number, Index: index, Attempt: t.attempt})
 	image.Claim = &held
 	return image
 }
@@ -201,7 +201,7 @@
 		}
 		m.vms.rows[v.Number] = &vmRow{id: v.ID, rack: v.Rack, capacity: v.Capacity, gone: v.Gone}
 		m.vms.numbers[v.ID] = v.Number
-		m.vms.ledger.Put(v.Number, v.Capacity)
+		m.vms.ledger.SetCapacity(v.Number, v.Capacity)
 	}
 	for i := range s.Jobs {
 		if err := m.loadJob(&s.Jobs[i]); err != nil {
--- a/internal/controller/worker/exchange.go
+++ b/internal/controller/worker/exchange.go
@@ -37,7 +37,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	restarted := out.grant.Incarnation != 0 && report.Incarnation != out.grant.Incarnation
-	if !v.tracker.Report(now, out.grant.Exchange, report) {
+	if !v.tracker.ApplyReport(now, out.grant.ExchangeID, report) {
 		c.counters.Inc(counterGroup, "report_out_of_order")
 		return
 	}
@@ -61,14 +61,14 @@
 	if v.tracker.Incarnation() != 0 {
 		for _, h := range held {
 			a := attemptOf(h)
-			if h.State == api.TaskStarting && !v.tracker.Told(a) {
+			if h.State == api.TaskStarting && !v.tracker.Known(a) {
 				msg.Starts = append(msg.Starts, c.startOf(h))
 				out.starts = append(out.starts, a)
 			}
 		}
 		msg.Stops = c.stops(v, held)
 	}
-	grant, ok := v.tracker.Build(out.starts)
+	grant, ok := v.tracker.BuildGrant(out.starts)
 	out.grant = grant
 	msg.Incarnation = grant.Incarnation
 	msg.LeaseExpiry = grant.Expiry
@@ -100,7 +100,7 @@
 	for _, h := range held {
 		a := attemptOf(h)
 		holds[a] = true
-		if h.State == api.TaskStopping && v.tracker.Told(a) {
+		if h.State == api.TaskStopping && v.tracker.Known(a) {
 			stops = append(stops, platform.TaskStop{Task: h.Task, Attempt: h.Attempt, Mode: stopMode(h)})
 		}
 	}
@@ -149,10 +149,10 @@
 	switch {
 	case errors.Is(err, errSuperseded):
 		reason = "superseded"
-		v.tracker.Undelivered(out.starts)
+		v.tracker.RevertStarts(out.starts)
 	case errors.Is(err, platform.ErrWorkerUnreachable):
 		reason = "unreachable"
-		v.tracker.Undelivered(out.starts)
+		v.tracker.RevertStarts(out.starts)
 	case errors.Is(err, platform.ErrWorkerFenced):
 		reason = "fenced" // a newer holder is about: nothing is told again
 	}
@@ -166,12 +166,12 @@
 func (c *Controller) lapse(v *vm, now time.Time, held []cell.Held) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.tracker.Lapsed(now) {
+	if !v.tracker.Expired(now) {
 		return
 	}
 	v.lapsed = true
 	for _, h := range held {
-		v.tracker.GiveUp(attemptOf(h))
+		v.tracker.MarkEnded(attemptOf(h))
 		c.journal.add(cell.Report{Task: h.Task, Attempt: h.Attempt, Ending: cell.ReportLost, Reason: api.ReasonLeaseLapsed}, h)
 	}
 }
@@ -200,10 +200,10 @@
 			c.present(h, r)
 			continue
 		}
-		if h.State == api.TaskStarting && !v.tracker.Told(a) {
+		if h.State == api.TaskStarting && !v.tracker.Known(a) {
 			continue // to be told with the next exchange
 		}
-		if v.tracker.Missing(a) {
+		if v.tracker.ConfirmMissing(a) {
 			c.journal.add(cell.Report{Task: h.Task, Attempt: h.Attempt, Ending: cell.ReportLost, Reason: missingReason(h, restarted)}, h)
 		}
 	}
--- a/internal/controller/worker/vm.go
+++ b/internal/controller/worker/vm.go
@@ -68,7 +68,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	d := dueVM{vm: v, last: v.last, probe: v.failures > 0 || v.report == nil}
-	d.lapsing = v.failures > 0 && !v.lapsed && !now.Before(v.tracker.LapsesAt())
+	d.lapsing = v.failures > 0 && !v.lapsed && !now.Before(v.tracker.ExpiresAt())
 	if v.busy {
 		return d, false
 	}
@@ -122,6 +122,6 @@
 	return Status{
 		Answers:  !v.answeredAt.IsZero() && now.Sub(v.answeredAt) < v.cfg.Lease.Lease/2,
 		Leaving:  v.leaving,
-		LapsesAt: v.tracker.LapsesAt(),
+		LapsesAt: v.tracker.ExpiresAt(),
 	}
 }
--- a/internal/dispatch/begin.go
+++ b/internal/dispatch/begin.go
@@ -24,7 +24,7 @@
 	r.cell = plan.NewCell(cfg, r.lookup, r.cfg.Events, time.Now())
 	r.cell.Configure(r.cfg.Table())
 	r.mu.Unlock()
-	if !r.cfg.Replica.Follow(r.changed) {
+	if !r.cfg.Replica.SetListener(r.changed) {
 		return errNotWhole
 	}
 	r.publish(ctx)
@@ -49,7 +49,7 @@
 	}
 	<-read
 	// States of jobs may be known further than the content that planning needs.
-	if upTo, kept := r.cfg.Replica.Content(); !kept || upTo < end {
+	if upTo, kept := r.cfg.Replica.ContentPosition(); !kept || upTo < end {
 		r.readAll(ctx)
 	}
 	return nil
@@ -76,7 +76,7 @@
 func (r *Runner) publish(ctx context.Context) {
 	var publisher *assist.Publisher
 	ready := make(chan struct{})
-	from := r.cfg.Replica.Publish(func(a replica.Applied) {
+	from := r.cfg.Replica.SetPublisher(func(a replica.AppliedBatch) {
 		<-ready
 		publisher.Add(a)
 	})
--- a/internal/dispatch/begin_test.go
+++ b/internal/dispatch/begin_test.go
@@ -78,7 +78,7 @@
 		slow.during = func() {
 			from := p.replica.Position()
 			p.store.put(playJobs, record.Key, string(record.Value))
-			p.replica.Summarise(replica.Span{From: from, To: from + 1}, []work.Summary{{ID: work.ID{1}, Queue: "q", State: work.Queued}}, time.Now())
+			p.replica.ApplySummaries(replica.Span{From: from, To: from + 1}, []work.Summary{{ID: work.ID{1}, Queue: "q", State: work.Queued}}, time.Now())
 		}
 		p.register("ready")
 		p.log, p.reader.Log = slow, p.store
--- a/internal/dispatch/door_test.go
+++ b/internal/dispatch/door_test.go
@@ -26,7 +26,7 @@
 func TestBacklogOfOthersRefusesNobodyWhoCanBeginAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newCellPlay(t)
-		gang := work.Step{Tasks: 2, Need: api.Resources{MilliCPU: 20_000}, Estimate: 4 * time.Second, Gang: true}
+		gang := work.Step{TaskCount: 2, TaskResources: api.Resources{MilliCPU: 20_000}, Estimate: 4 * time.Second, Gang: true}
 		for n := range byte(2) {
 			r := p.recordOf(n, gang)
 			p.store.put(playJobs, r.Key, string(r.Value)) // accepted by a former leader
@@ -34,7 +34,7 @@
 		p.register("ready")
 		p.lead()
 		time.Sleep(20 * time.Second) // they are far beyond their objective
-		check := work.Step{Tasks: 1, Need: api.Resources{MilliCPU: 300}, Estimate: 500 * time.Millisecond}
+		check := work.Step{TaskCount: 1, TaskResources: api.Resources{MilliCPU: 300}, Estimate: 500 * time.Millisecond}
 		handedIn := time.Now()
 		got := p.runner.Store(t.Context(), []platform.Record{p.recordOf(9, check)})
 		if got[0].Outcome != assist.Stored {
--- a/internal/dispatch/play_test.go
+++ b/internal/dispatch/play_test.go
@@ -326,13 +326,13 @@
 // record returns the submission of a job of one long task.
 func (p *cellPlay) record(n byte) platform.Record {
 	p.t.Helper()
-	return p.recordOf(n, work.Step{Tasks: 1, Need: api.Resources{MilliCPU: 1000}, Estimate: time.Minute})
+	return p.recordOf(n, work.Step{TaskCount: 1, TaskResources: api.Resources{MilliCPU: 1000}, Estimate: time.Minute})
 }
 
 // recordOf returns the submission of a job of one step.
 func (p *cellPlay) recordOf(n byte, s work.Step) platform.Record {
 	p.t.Helper()
-	job := &work.Job{ID: work.ID{n}, Queue: "q", Service: "svc", Accepted: time.Now().UnixMilli(), Steps: []work.Step{s}}
+	job := &work.Job{ID: work.ID{n}, Queue: "q", Service: "svc", AcceptedMs: time.Now().UnixMilli(), Steps: []work.Step{s}}
 	data, err := work.EncodeJob(job)
 	if err != nil {
 		p.t.Fatal(err)
@@ -349,7 +349,7 @@
 
 // cancel makes a cancel durable as a machine does that reaches no leader.
 func (p *cellPlay) cancel(id work.ID) {
-	p.store.put(playJobs, work.Key(work.KindCancel, id), string(work.CancelValue))
+	p.store.put(playJobs, work.Key(work.KindCancellation, id), string(work.CancellationValue))
 }
 
 // idleWithin checks that the executor has nothing at work after d.
--- a/internal/dispatch/runner.go
+++ b/internal/dispatch/runner.go
@@ -120,8 +120,8 @@
 
 // end lets go of the replica and of what was handed in.
 func (r *Runner) end() {
-	r.cfg.Replica.Publish(nil)
-	r.cfg.Replica.Follow(nil)
+	r.cfg.Replica.SetPublisher(nil)
+	r.cfg.Replica.SetListener(nil)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.inbox {
--- a/internal/dispatch/runner_test.go
+++ b/internal/dispatch/runner_test.go
@@ -48,7 +48,7 @@
 	for i := range jobs {
 		job := &work.Job{
 			ID: work.ID{byte(i)}, Queue: "q", Service: "svc",
-			Steps: []work.Step{{Tasks: 1, Need: api.Resources{MilliCPU: 1000}, Estimate: time.Second}},
+			Steps: []work.Step{{TaskCount: 1, TaskResources: api.Resources{MilliCPU: 1000}, Estimate: time.Second}},
 		}
 		cell.AddJob(job, nil, now.UnixMilli(), now)
 	}
--- a/internal/dispatch/stop_test.go
+++ b/internal/dispatch/stop_test.go
@@ -65,7 +65,7 @@
 		client, cancel := context.WithTimeout(context.Background(), time.Hour)
 		defer cancel()
 		began := time.Now()
-		record := platform.Record{Key: work.Key(work.KindCancel, work.ID{1}), Value: work.CancelValue}
+		record := platform.Record{Key: work.Key(work.KindCancellation, work.ID{1}), Value: work.CancellationValue}
 		results := r.Store(client, []platform.Record{record})
 		if took := time.Since(began); results[0].Outcome != assist.NotStored || took > 0 {
 			t.Errorf("told %v after %v, want at once that it is not stored", results[0].Outcome, took)
--- a/internal/dispatch/store.go
+++ b/internal/dispatch/store.go
@@ -253,7 +253,7 @@
 			answer(handedIn, assist.StoreUnknown)
 			return err
 		}
-		r.cfg.Replica.Offer(first, part, time.Now())
+		r.cfg.Replica.ApplyRecords(first, part, time.Now())
 		if i == 0 {
 			answer(handedIn, assist.Stored)
 			handedIn = nil
--- a/internal/dispatch/tidy.go
+++ b/internal/dispatch/tidy.go
@@ -15,8 +15,8 @@
 // leaves only the outcome, and of jobs that ended long ago nothing.
 func (r *Runner) tidy(ctx context.Context) error {
 	now := time.Now()
-	ended := r.cfg.Replica.Ended(now, wholeFor, tidyAtOnce)
-	expired := r.cfg.Replica.Expired(now, tidyAtOnce)
+	ended := r.cfg.Replica.EndedJobs(now, wholeFor, tidyAtOnce)
+	expired := r.cfg.Replica.ExpiredJobs(now, tidyAtOnce)
 	if len(ended)+len(expired) == 0 {
 		return nil
 	}
@@ -34,7 +34,7 @@
 		r.cfg.Events.WithError(err).WithField("records", len(records)).Warn("records of ended jobs not cleared up")
 		return nil
 	}
-	r.cfg.Replica.Offer(first, records, time.Now())
+	r.cfg.Replica.ApplyRecords(first, records, time.Now())
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cell.ForgetJobs(expired)
@@ -44,7 +44,7 @@
 // outcomes returns the records that stand for those of ended jobs. A job's
 // outcome comes before the deletions, so that there is no moment at which it is
 // unknown.
-func outcomes(ended []replica.Ended) ([]platform.Record, error) {
+func outcomes(ended []replica.EndedJob) ([]platform.Record, error) {
 	var records []platform.Record
 	for _, e := range ended {
 		value, err := work.EncodeOutcome(&e.Outcome)
@@ -57,7 +57,7 @@
 			platform.Record{Key: work.Key(work.KindProgress, e.ID)},
 		)
 		if e.Cancelled {
-			records = append(records, platform.Record{Key: work.Key(work.KindCancel, e.ID)})
+			records = append(records, platform.Record{Key: work.Key(work.KindCancellation, e.ID)})
 		}
 	}
 	return records, nil
@@ -67,7 +67,7 @@
 func deletions(ids []work.ID) []platform.Record {
 	var records []platform.Record
 	for _, id := range ids {
-		for _, kind := range []work.Kind{work.KindJob, work.KindProgress, work.KindCancel, work.KindOutcome} {
+		for _, kind := range []work.Kind{work.KindJob, work.KindProgress, work.KindCancellation, work.KindOutcome} {
 			records = append(records, platform.Record{Key: work.Key(kind, id)})
 		}
 	}
--- a/internal/dispatch/unwanted_test.go
+++ b/internal/dispatch/unwanted_test.go
@@ -139,8 +139,8 @@
 				p.store.stick(true) // the submission isn't applied yet
 				id := p.submit(1)
 				time.Sleep(planned)
-				cancel := platform.Record{Key: work.Key(work.KindCancel, id), Value: work.CancelValue}
-				p.replica.Offer(p.replica.Position(), []platform.Record{cancel}, time.Now())
+				cancel := platform.Record{Key: work.Key(work.KindCancellation, id), Value: work.CancellationValue}
+				p.replica.ApplyRecords(p.replica.Position(), []platform.Record{cancel}, time.Now())
 				p.store.put(playJobs, cancel.Key, string(cancel.Value))
 				time.Sleep(100 * time.Millisecond)
 				p.store.stick(false)
--- a/internal/entry/bootstrap.go
+++ b/internal/entry/bootstrap.go
@@ -134,7 +134,7 @@
 
 // bootstrapPeers returns the peers known from the settings and by gossip.
 func (n *Node) bootstrapPeers() []string {
-	addresses := slices.Concat(n.settings.Peers, n.members.Entries(n.settings.DataCentre))
+	addresses := slices.Concat(n.settings.Peers, n.members.EntryAddresses(n.settings.DataCentre))
 	slices.Sort(addresses)
 	addresses = slices.Compact(addresses)
 	return slices.DeleteFunc(addresses, func(a string) bool { return a == n.advertised() })
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -167,10 +167,10 @@
 			roster, _ := n.streams.owners.Roster()
 			return roster
 		},
-		Applied: n.streams.cell.Applied,
-		Load:    n.load,
-		Drains:  func() bool { return n.front.Leaving() || n.owner.Draining() },
-		Random:  rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		Applied:    n.streams.cell.Applied,
+		FreeSlots:  n.load,
+		IsDraining: func() bool { return n.front.Leaving() || n.owner.Draining() },
+		Random:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 	n.owner = ownership.NewController(ownership.Config{
 		Self:        identityOf(n.origin),
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -45,7 +45,7 @@
 // Home implements filter.Peers.
 func (p peers) Home(dc api.DataCentre) []api.NodeID {
 	var nodes []api.NodeID
-	for _, address := range p.members.Entries(dc) {
+	for _, address := range p.members.EntryAddresses(dc) {
 		if address != p.address {
 			nodes = append(nodes, api.NodeID(address))
 		}
--- a/internal/jobapi/jobs.go
+++ b/internal/jobapi/jobs.go
@@ -33,9 +33,9 @@
 	job.ID = id
 	job.Queue = r.queue.Name
 	job.Service = r.queue.Service
-	job.Accepted = time.Now().UnixMilli()
+	job.AcceptedMs = time.Now().UnixMilli()
 	faults := &finding.List{}
-	job.Check(faults)
+	job.Validate(faults)
 	if err := faults.Err(); err != nil {
 		return a.refuse(http.StatusBadRequest, err.Error(), 0)
 	}
@@ -52,12 +52,12 @@
 // retryAfter returns when the client should come back with a job that the store
 // didn't take.
 func retryAfter(r *request, j *work.Job) time.Duration {
-	return min(max(busyRetryAfter, time.Duration(retryShare*float64(r.queue.LatencyObjective(j.Chain())))), retryMost)
+	return min(max(busyRetryAfter, time.Duration(retryShare*float64(r.queue.LatencyObjective(j.CriticalPath())))), retryMost)
 }
 
 // patience returns how long the store is waited for with a job.
 func patience(r *request, j *work.Job) time.Duration {
-	wait := time.Duration(objectivePatience * float64(r.queue.LatencyObjective(j.Chain())))
+	wait := time.Duration(objectivePatience * float64(r.queue.LatencyObjective(j.CriticalPath())))
 	if deadline, ok := r.Context().Deadline(); ok {
 		wait = min(wait, time.Duration(storePatience*float64(time.Until(deadline))))
 	}
@@ -69,9 +69,9 @@
 	for i := range j.Steps {
 		s := &j.Steps[i]
 		switch {
-		case s.Fills:
+		case s.SpareCPUOnly:
 			return fmt.Sprintf("steps[%d]: filling unused processors", i)
-		case s.TailTarget > 0:
+		case s.TailLatencyTarget > 0:
 			return fmt.Sprintf("steps[%d]: a target for response times", i)
 		}
 	}
@@ -170,7 +170,7 @@
 	if e.State().Final() {
 		return &reply{status: http.StatusOK, body: a.Forms.EncodeState(e.State())}
 	}
-	return a.store(r, platform.Record{Key: work.Key(work.KindCancel, id), Value: work.CancelValue}, cancelPatience, busyRetryAfter)
+	return a.store(r, platform.Record{Key: work.Key(work.KindCancellation, id), Value: work.CancellationValue}, cancelPatience, busyRetryAfter)
 }
 
 // pendingAge is how old the number of pending jobs may be; clients allow 2 s.
@@ -180,13 +180,13 @@
 // have missed something for a while asks first, and tells nothing rather than a
 // number that may be wrong.
 func (a *API) pending(r *request) *reply {
-	if a.Replica.Behind(time.Now()) > pendingAge {
+	if a.Replica.Lag(time.Now()) > pendingAge {
 		if err := a.Sync(r.Context()); err != nil {
 			a.Events.WithError(err).WithField("queue", r.queue.Name).Info("number of pending jobs not known here")
 			return a.refuse(http.StatusServiceUnavailable, "the store gives no answer", busyRetryAfter)
 		}
 	}
-	body, err := a.Forms.EncodePending(a.Replica.Pending(r.queue.Name))
+	body, err := a.Forms.EncodePending(a.Replica.PendingJobs(r.queue.Name))
 	if err != nil {
 		return a.refuse(http.StatusInternalServerError, err.Error(), 0)
 	}
--- a/internal/jobapi/pending_test.go
+++ b/internal/jobapi/pending_test.go
@@ -32,7 +32,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := replica.New(time.Minute, logging.Silent())
-				r.Heard(time.Now())
+				r.MarkCurrent(time.Now())
 				time.Sleep(c.silent)
 				syncs := 0
 				api := &API{
--- a/internal/jobapi/retry_test.go
+++ b/internal/jobapi/retry_test.go
@@ -42,7 +42,7 @@
 				Remaining:   func(http.Header) (time.Duration, bool) { return 3 * time.Second, true },
 				EncodeError: func(string, time.Duration) ([]byte, error) { return []byte("{}"), nil },
 				DecodeJob: func([]byte) (*work.Job, error) {
-					return &work.Job{Steps: []work.Step{{Tasks: 1, Estimate: c.work}}}, nil
+					return &work.Job{Steps: []work.Step{{TaskCount: 1, Estimate: c.work}}}, nil
 				},
 			},
 			Table: func() *queue.Configuration {
@@ -76,7 +76,7 @@
 			Remaining:   func(http.Header) (time.Duration, bool) { return 3 * time.Second, true },
 			EncodeError: func(string, time.Duration) ([]byte, error) { return []byte("{}"), nil },
 			DecodeJob: func([]byte) (*work.Job, error) {
-				return &work.Job{Steps: []work.Step{{Tasks: 1, Estimate: time.Second}}}, nil
+				return &work.Job{Steps: []work.Step{{TaskCount: 1, Estimate: time.Second}}}, nil
 			},
 		},
 		Table: func() *queue.Configuration {
--- a/internal/leader/calls.go
+++ b/internal/leader/calls.go
@@ -33,7 +33,7 @@
 	case err == nil:
 		e.usual = time.Since(sent)
 	case errors.Is(err, platform.ErrUncertain):
-		e.usual = min(timeout, e.cfg.Timing.AppendMost/2) // the next one is given more
+		e.usual = min(timeout, e.cfg.Timing.MaxAppendTimeout/2) // the next one is given more
 	}
 	return offset, err
 }
@@ -46,8 +46,8 @@
 	e.usual = max(e.usual, took)
 }
 
-// Usual returns what the last append took, as far as is known.
-func (e *Elector) Usual() time.Duration {
+// LastAppendDuration returns what the last append took, as far as is known.
+func (e *Elector) LastAppendDuration() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.usual
@@ -58,11 +58,11 @@
 func (e *Elector) appendTimeout() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return max(e.cfg.Timing.Append, min(2*e.usual, e.cfg.Timing.AppendMost))
+	return max(e.cfg.Timing.MinAppendTimeout, min(2*e.usual, e.cfg.Timing.MaxAppendTimeout))
 }
 
 func (e *Elector) read(ctx context.Context, from platform.Offset, wait time.Duration) (platform.RecordBatch, error) {
-	ctx, cancel := context.WithTimeout(ctx, e.cfg.Timing.Call+wait)
+	ctx, cancel := context.WithTimeout(ctx, e.cfg.Timing.ReadTimeout+wait)
 	defer cancel()
 	return e.cfg.Log.Read(ctx, e.cfg.Partition, from, wait)
 }
--- a/internal/leader/claim.go
+++ b/internal/leader/claim.go
@@ -33,7 +33,7 @@
 // lookBeforeClaim reads on, since somebody may have been faster, and reports whether a
 // claim is still due.
 func (e *Elector) lookBeforeClaim(ctx context.Context) (bool, error) {
-	pause.For(ctx, rand.N(e.cfg.Timing.Spread))
+	pause.For(ctx, rand.N(e.cfg.Timing.ClaimJitter))
 	sent := time.Now()
 	if err := e.watchOnce(ctx, 0); err != nil {
 		return false, err
@@ -49,20 +49,20 @@
 	e.suspected = false
 	epoch := e.state.self.Epoch
 	e.mu.Unlock()
-	e.cfg.Events.WithField("epoch", epoch).Info("this process leads the cell")
-	e.cfg.Gained(epoch)
+	e.cfg.Logger.WithField("epoch", epoch).Info("this process leads the cell")
+	e.cfg.OnElected(epoch)
 }
 
 // found takes up an own claim that had no answer and that was read now; thrown away, it
 // would cost another one. A process that could plan nothing by now gives it back.
 func (e *Elector) found() {
-	standing := e.cfg.Standing()
+	standing := e.cfg.Suitability()
 	e.mu.Lock()
 	if !e.state.isOwnClaim() {
 		e.mu.Unlock()
 		return
 	}
-	if standing == Unread || e.stopping {
+	if standing == Unsynced || e.stopping {
 		e.state.released = true
 		e.mu.Unlock()
 		return
--- a/internal/leader/config.go
+++ b/internal/leader/config.go
@@ -11,23 +11,23 @@
 
 // Timing holds the elector's intervals.
 type Timing struct {
-	Renew        time.Duration // between two renewals of the leader
-	Takeover     time.Duration // least silence after which another process claims
-	Gaps         int           // as many of the usual gaps between renewals are waited for
-	Suspected    time.Duration // the same when the leader's process answers no call
-	Abandoned    time.Duration // the same when it says that it doesn't lead
-	Spread       time.Duration // claims of several processes are spread over this time
-	Watch        time.Duration // how long a read waits for a record
-	Fresh        time.Duration // silence up to which the store is not read
-	Look         time.Duration // between two looks at that
-	Append       time.Duration // least timeout of an append; it grows with what appends take
-	AppendMost   time.Duration // up to this
-	Call         time.Duration // longest read beside its wait
-	Retry        time.Duration // pause after a call that failed
-	Modest       time.Duration // further silence for which a machine waits that others surpass
-	Settled      time.Duration // least time of leading before it is handed to a machine that surpasses this one
-	Cooling      time.Duration // least time between two such hand-overs by one process
-	LeaseRenewal time.Duration // after the last confirmed renewal, for which executors' leases are extended
+	RenewInterval        time.Duration // between two renewals of the leader
+	MinTakeoverSilence   time.Duration // least silence after which another process claims
+	TakeoverGaps         int           // as many of the usual gaps between renewals are waited for
+	SuspectedSilence     time.Duration // the same when the leader's process answers no call
+	AbandonedSilence     time.Duration // the same when it says that it doesn't lead
+	ClaimJitter          time.Duration // claims of several processes are spread over this time
+	WatchTimeout         time.Duration // how long a read waits for a record
+	RenewalFreshness     time.Duration // silence up to which the store is not read
+	PollInterval         time.Duration // between two looks at that
+	MinAppendTimeout     time.Duration // least timeout of an append; it grows with what appends take
+	MaxAppendTimeout     time.Duration // up to this
+	ReadTimeout          time.Duration // longest read beside its wait
+	RetryDelay           time.Duration // pause after a call that failed
+	UnsuitableClaimDelay time.Duration // further silence for which a machine waits that others surpass
+	MinTenure            time.Duration // least time of leading before it is handed to a machine that surpasses this one
+	HandoverCooldown     time.Duration // least time between two such hand-overs by one process
+	LeaseRenewalWindow   time.Duration // after the last confirmed renewal, for which executors' leases are extended
 }
 
 // DefaultTiming returns the timing in use. Two renewals may be lost before the leader is
@@ -37,23 +37,23 @@
 // end of a leader (Fresh) and claim.
 func DefaultTiming() Timing {
 	return Timing{
-		Renew:        250 * time.Millisecond,
-		Takeover:     800 * time.Millisecond,
-		Gaps:         3,
-		Suspected:    400 * time.Millisecond,
-		Abandoned:    100 * time.Millisecond,
-		Spread:       60 * time.Millisecond,
-		Watch:        200 * time.Millisecond,
-		Fresh:        600 * time.Millisecond,
-		Look:         50 * time.Millisecond,
-		Append:       200 * time.Millisecond,
-		AppendMost:   600 * time.Millisecond,
-		Call:         700 * time.Millisecond,
-		Retry:        100 * time.Millisecond,
-		Modest:       700 * time.Millisecond,
-		Settled:      time.Second,
-		Cooling:      15 * time.Second,
-		LeaseRenewal: 3 * time.Second,
+		RenewInterval:        250 * time.Millisecond,
+		MinTakeoverSilence:   800 * time.Millisecond,
+		TakeoverGaps:         3,
+		SuspectedSilence:     400 * time.Millisecond,
+		AbandonedSilence:     100 * time.Millisecond,
+		ClaimJitter:          60 * time.Millisecond,
+		WatchTimeout:         200 * time.Millisecond,
+		RenewalFreshness:     600 * time.Millisecond,
+		PollInterval:         50 * time.Millisecond,
+		MinAppendTimeout:     200 * time.Millisecond,
+		MaxAppendTimeout:     600 * time.Millisecond,
+		ReadTimeout:          700 * time.Millisecond,
+		RetryDelay:           100 * time.Millisecond,
+		UnsuitableClaimDelay: 700 * time.Millisecond,
+		MinTenure:            time.Second,
+		HandoverCooldown:     15 * time.Second,
+		LeaseRenewalWindow:   3 * time.Second,
 	}
 }
 
@@ -63,16 +63,16 @@
 	Partition platform.Partition
 	Self      Leader // without an epoch
 	Timing    Timing
-	Events    *logrus.Entry
-	// Standing tells how this machine compares with others as a leader. It is
+	Logger    *logrus.Entry
+	// Suitability tells how this machine compares with others as a leader. It is
 	// called without the elector's lock: it takes that of the replica, whose
 	// holder may wait for a lock under which the elector is asked something.
-	Standing func() Standing
-	// Gained is called when this process has become the leader, Lost when it
+	Suitability func() Suitability
+	// OnElected is called when this process has become the leader, Lost when it
 	// no longer is. Neither may block.
-	Gained func(epoch api.Epoch)
-	Lost   func()
-	// Released is called when this process has stepped down, so that another can be
+	OnElected func(epoch api.Epoch)
+	OnLost    func()
+	// OnReleased is called when this process has stepped down, so that another can be
 	// invited; nil: nobody is. It may not block.
-	Released func(Invitation)
+	OnReleased func(Invitation)
 }
--- a/internal/leader/elector.go
+++ b/internal/leader/elector.go
@@ -54,11 +54,11 @@
 func (e *Elector) MayRenewLeases() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.state != nil && e.state.MayRenewLeases(uptime(), e.cfg.Timing.LeaseRenewal)
+	return e.state != nil && e.state.MayRenewLeases(uptime(), e.cfg.Timing.LeaseRenewalWindow)
 }
 
-// Replaced tells the elector that the store refused this process's epoch.
-func (e *Elector) Replaced() {
+// Wake tells the elector that the store refused this process's epoch.
+func (e *Elector) Wake() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -77,11 +77,11 @@
 	if !leads {
 		return
 	}
-	e.Replaced() // the loop makes the append, after the one that may be under way
+	e.Wake() // the loop makes the append, after the one that may be under way
 	select {
 	case <-e.released:
 	case <-ctx.Done():
-		e.cfg.Events.Warn("leadership not released yet; others wait for the silence to end")
+		e.cfg.Logger.Warn("leadership not released yet; others wait for the silence to end")
 	}
 }
 
@@ -91,10 +91,10 @@
 	if err != nil {
 		return e.settle(ctx, err)
 	}
-	e.cfg.Lost()
+	e.cfg.OnLost()
 	invitation := e.steppedDown(at)
-	if e.cfg.Released != nil {
-		e.cfg.Released(invitation)
+	if e.cfg.OnReleased != nil {
+		e.cfg.OnReleased(invitation)
 	}
 	return nil
 }
@@ -104,7 +104,7 @@
 func (e *Elector) steppedDown(at platform.Offset) Invitation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	invitation := Invitation{Epoch: e.state.self.Epoch, End: at + 1, Took: e.usual}
+	invitation := Invitation{Epoch: e.state.self.Epoch, End: at + 1, LastAppendDuration: e.usual}
 	now := time.Now()
 	e.state.stepDown(at, now)
 	if e.stopping {
@@ -120,20 +120,20 @@
 func (e *Elector) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := e.step(ctx); err != nil {
-			e.cfg.Events.WithError(err).Debug("leader partition not reached")
-			pause.For(ctx, e.cfg.Timing.Retry)
+			e.cfg.Logger.WithError(err).Debug("leader partition not reached")
+			pause.For(ctx, e.cfg.Timing.RetryDelay)
 		}
 	}
 	return nil
 }
 
-// GiveUp hands leadership back, to whoever claims next: this process can't plan.
+// Resign hands leadership back, to whoever claims next: this process can't plan.
 // A leader that renews and doesn't plan would keep all others from claiming.
-func (e *Elector) GiveUp() {
+func (e *Elector) Resign() {
 	e.mu.Lock()
 	e.yielding = true
 	e.mu.Unlock()
-	e.Replaced() // wakes the loop, whose next step makes the append
+	e.Wake() // wakes the loop, whose next step makes the append
 }
 
 // step makes the next call: the first read, a renewal, a claim or a watch.
@@ -150,12 +150,12 @@
 	case gives && leads:
 		return e.release(ctx)
 	case leads:
-		e.sleep(ctx, e.cfg.Timing.Renew)
+		e.sleep(ctx, e.cfg.Timing.RenewInterval)
 		return e.renewOrRelease(ctx)
 	case !stopping && e.due():
 		return e.claim(ctx)
 	case e.quiet(): // a process that stops reads on too: its last requests need the leader
-		e.sleep(ctx, e.cfg.Timing.Look)
+		e.sleep(ctx, e.cfg.Timing.PollInterval)
 		return nil
 	default:
 		return e.watch(ctx)
@@ -166,7 +166,7 @@
 func (e *Elector) quiet() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return !e.suspected && e.state.Silence(time.Now()) < e.cfg.Timing.Fresh
+	return !e.suspected && e.state.SinceContact(time.Now()) < e.cfg.Timing.RenewalFreshness
 }
 
 // begin finds the partition's end by reading all that is kept of it.
@@ -213,21 +213,21 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	silence := e.state.Silence(now) - reserve
+	silence := e.state.SinceContact(now) - reserve
 	switch {
 	case e.state.Released():
 		return -silence, true
 	case e.suspected:
-		return e.state.Patience(now)*e.cfg.Timing.Suspected - silence, true
+		return e.state.SilenceFactor(now)*e.cfg.Timing.SuspectedSilence - silence, true
 	default:
-		usual := max(e.cfg.Timing.Takeover, time.Duration(e.cfg.Timing.Gaps)*e.state.Gap())
-		return e.state.Patience(now)*usual - silence, true
+		usual := max(e.cfg.Timing.MinTakeoverSilence, time.Duration(e.cfg.Timing.TakeoverGaps)*e.state.RenewalGap())
+		return e.state.SilenceFactor(now)*usual - silence, true
 	}
 }
 
 // renewOrRelease renews unless the process was asked to stop meanwhile.
 func (e *Elector) renewOrRelease(ctx context.Context) error {
-	standing := e.cfg.Standing()
+	standing := e.cfg.Suitability()
 	e.mu.Lock()
 	stopping, yields := e.stopping, e.shouldYield(standing, time.Now())
 	e.mu.Unlock()
@@ -245,7 +245,7 @@
 // yield begins to hand leadership to a machine that could lead much better;
 // the next step makes the append.
 func (e *Elector) yield() {
-	e.cfg.Events.Info("this process hands leadership to a machine with more processors")
+	e.cfg.Logger.Info("this process hands leadership to a machine with more processors")
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.yielding = true
@@ -284,7 +284,7 @@
 	e.mu.Lock()
 	e.waits = cancel
 	e.mu.Unlock()
-	wait := e.cfg.Timing.Watch
+	wait := e.cfg.Timing.WatchTimeout
 	if left, may := e.untilDue(); may && left > 0 {
 		wait = min(wait, left.Truncate(time.Millisecond)+time.Millisecond)
 	}
@@ -328,8 +328,8 @@
 	by, own := e.state.Current(), e.state.isOwnClaim()
 	e.mu.Unlock()
 	if lost {
-		e.cfg.Events.WithFields(logrus.Fields{"by": by.Node, "epoch": by.Epoch}).Warn("this process was replaced as leader")
-		e.cfg.Lost()
+		e.cfg.Logger.WithFields(logrus.Fields{"by": by.Node, "epoch": by.Epoch}).Warn("this process was replaced as leader")
+		e.cfg.OnLost()
 	}
 	if own {
 		e.found()
@@ -343,7 +343,7 @@
 	for _, r := range batch.Records {
 		rec, err := decode(r.Value)
 		if err != nil {
-			e.cfg.Events.WithError(err).WithField("offset", r.Offset).Error("unreadable record in the leader partition is skipped")
+			e.cfg.Logger.WithError(err).WithField("offset", r.Offset).Error("unreadable record in the leader partition is skipped")
 			e.state.end = r.Offset + 1
 			continue
 		}
--- a/internal/leader/elector_test.go
+++ b/internal/leader/elector_test.go
@@ -75,20 +75,20 @@
 			Log:    log,
 			Self:   Leader{Node: api.NodeID(rune('a' + i)), Incarnation: api.Incarnation(i + 1)},
 			Timing: DefaultTiming(),
-			Events: logging.Silent(),
-			Standing: func() Standing {
+			Logger: logging.Silent(),
+			Suitability: func() Suitability {
 				if time.Since(start) < time.Second {
-					return Compare(p, 0)
+					return AssessSuitability(p, 0)
 				}
-				return Compare(p, fittest)
+				return AssessSuitability(p, fittest)
 			},
-			Gained: func(api.Epoch) {
+			OnElected: func(api.Epoch) {
 				c.mu.Lock()
 				defer c.mu.Unlock()
 				c.leads = true
 				c.gained = append(c.gained, time.Since(start))
 			},
-			Lost: func() {
+			OnLost: func() {
 				c.mu.Lock()
 				defer c.mu.Unlock()
 				c.leads = false
@@ -182,11 +182,11 @@
 		const readAfter = 20 * time.Second
 		start := time.Now()
 		c := election(t, 0.8)[0]
-		c.cfg.Standing = func() Standing {
+		c.cfg.Suitability = func() Suitability {
 			if time.Since(start) < readAfter {
-				return Unread
+				return Unsynced
 			}
-			return Fit
+			return Suitable
 		}
 		defer run(c)()
 		time.Sleep(readAfter - time.Millisecond)
@@ -203,15 +203,15 @@
 func TestCompare(t *testing.T) {
 	for _, c := range []struct {
 		own, fittest float64
-		want         Standing
+		want         Suitability
 	}{
-		{0, 0.8, Fit}, // it isn't told what it has
-		{0.4, 8, Fit},
-		{0.2, 0, Weak},
-		{0.2, 0.25, Fit},
-		{0.2, 0.8, Surpassed},
+		{0, 0.8, Suitable}, // it isn't told what it has
+		{0.4, 8, Suitable},
+		{0.2, 0, Underpowered},
+		{0.2, 0.25, Suitable},
+		{0.2, 0.8, Outclassed},
 	} {
-		if got := Compare(c.own, c.fittest); got != c.want {
+		if got := AssessSuitability(c.own, c.fittest); got != c.want {
 			t.Errorf("Compare(%v, %v) = %v, want %v", c.own, c.fittest, got, c.want)
 		}
 	}
--- a/internal/leader/late_answer_test.go
+++ b/internal/leader/late_answer_test.go
@@ -104,7 +104,7 @@
 func TestClaimWhoseAnswerIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		took, claimed := succession(t, func(l *lateLog) { l.lose.Store(1) })
-		if timing := DefaultTiming(); claimed != 1 || took > timing.Append+timing.Spread+300*time.Millisecond {
+		if timing := DefaultTiming(); claimed != 1 || took > timing.MinAppendTimeout+timing.ClaimJitter+300*time.Millisecond {
 			t.Errorf("leads after %v and %d claims, want one", took, claimed)
 		}
 	})
@@ -117,11 +117,11 @@
 		log := &lateLog{memoryLog: &memoryLog{}}
 		log.lose.Store(1)
 		c.cfg.Log = log
-		c.cfg.Standing = func() Standing {
+		c.cfg.Suitability = func() Suitability {
 			if log.claims.Load() > 0 {
-				return Unread
+				return Unsynced
 			}
-			return Fit
+			return Suitable
 		}
 		defer run(c)()
 		time.Sleep(5 * time.Second)
@@ -140,7 +140,7 @@
 		log := &lateLog{memoryLog: &memoryLog{}}
 		log.late.Store(int64(call))
 		all[0].cfg.Log, all[1].cfg.Log = log, log
-		all[0].cfg.Released = func(i Invitation) {
+		all[0].cfg.OnReleased = func(i Invitation) {
 			all[0].Current() // what is told may ask the elector
 			go all[1].Invite(i)
 		}
@@ -170,7 +170,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		all := election(t, 0.8, 0.8, 0.8)
 		var late Invitation
-		all[0].cfg.Released = func(i Invitation) { late = i }
+		all[0].cfg.OnReleased = func(i Invitation) { late = i }
 		for _, c := range all {
 			defer run(c)()
 			time.Sleep(time.Second)
--- a/internal/leader/lock_test.go
+++ b/internal/leader/lock_test.go
@@ -21,9 +21,9 @@
 func TestStandingIsAskedWithoutTheLock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := election(t, 1)[0]
-		ask := c.cfg.Standing
+		ask := c.cfg.Suitability
 		asked := map[bool]int{} // by whether the process leads
-		c.cfg.Standing = func() Standing {
+		c.cfg.Suitability = func() Suitability {
 			leads, _ := c.state()
 			if c.Elector.mu.TryLock() { // nobody else takes it here
 				c.Elector.mu.Unlock()
--- a/internal/leader/lost_test.go
+++ b/internal/leader/lost_test.go
@@ -42,15 +42,15 @@
 	time.Sleep(time.Second)
 	defer run(other)()
 	deliver := func() {
-		other.Learn(first.Current())
-		other.Assured(first.Current().Epoch, first.Confirmed())
+		other.ObserveLeader(first.Current())
+		other.ObserveRenewal(first.Current().Epoch, first.LastRenewal())
 	}
 	for range 60 { // the other process reads nothing: it is told of fresh renewals
 		deliver()
 		time.Sleep(told)
 	}
-	renewed := first.Confirmed().UpTo
-	for first.Confirmed().UpTo == renewed {
+	renewed := first.LastRenewal().End
+	for first.LastRenewal().End == renewed {
 		time.Sleep(time.Millisecond)
 	}
 	deliver()
@@ -61,7 +61,7 @@
 	end()
 	lost := time.Now()
 	time.Sleep(overdue + unanswers)
-	other.Suspect(epoch)
+	other.SuspectLeader(epoch)
 	for {
 		if leads, _ := other.state(); leads {
 			return time.Since(lost)
@@ -95,7 +95,7 @@
 		time.Sleep(time.Second)
 		defer run(all[1])()
 		for range 30 {
-			all[1].Suspect(all[0].Current().Epoch)
+			all[1].SuspectLeader(all[0].Current().Epoch)
 			time.Sleep(100 * time.Millisecond)
 		}
 		if leads, gained := all[0].state(); !leads || gained != 1 {
--- a/internal/leader/patience_test.go
+++ b/internal/leader/patience_test.go
@@ -15,7 +15,7 @@
 	claim := func(after time.Duration, node string) time.Duration {
 		now := start.Add(after)
 		s.read(s.End(), record{Kind: claims, Node: api.NodeID(node), Incarnation: 7}, now)
-		return s.Patience(now)
+		return s.SilenceFactor(now)
 	}
 	release := func(after time.Duration, node string) {
 		s.read(s.End(), record{Kind: releases, Node: api.NodeID(node), Incarnation: 7}, start.Add(after))
@@ -36,15 +36,15 @@
 	for i := range 6 {
 		claim(time.Duration(4+i)*time.Second, string(rune('f'+i)))
 	}
-	if p := s.Patience(start.Add(9 * time.Second)); p != mostPatience {
+	if p := s.SilenceFactor(start.Add(9 * time.Second)); p != mostPatience {
 		t.Errorf("after many: %d", p)
 	}
-	if p := s.Patience(start.Add(9*time.Second + unsettled)); p != 1 {
+	if p := s.SilenceFactor(start.Add(9*time.Second + unsettled)); p != 1 {
 		t.Errorf("after a quiet time: %d", p)
 	}
 	s.learn(Leader{Epoch: 100, Node: "x"}, start.Add(30*time.Second))
 	s.learn(Leader{Epoch: 101, Node: "y"}, start.Add(31*time.Second))
-	if p := s.Patience(start.Add(31 * time.Second)); p != 2 {
+	if p := s.SilenceFactor(start.Add(31 * time.Second)); p != 2 {
 		t.Errorf("after two that were heard of: %d", p)
 	}
 }
--- a/internal/leader/race_test.go
+++ b/internal/leader/race_test.go
@@ -50,7 +50,7 @@
 		}
 		defer run(all[1])()
 		time.Sleep(time.Second)
-		all[0].GiveUp()
+		all[0].Resign()
 		time.Sleep(time.Second)
 		now := all[1].Current()
 		first, _ := all[0].state()
--- a/internal/leader/signals.go
+++ b/internal/leader/signals.go
@@ -9,9 +9,9 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// Learn takes in from another process who leads: one that can't read the
+// ObserveLeader takes in from another process who leads: one that can't read the
 // store learns it only so. It returns the highest epoch known.
-func (e *Elector) Learn(l Leader) api.Epoch {
+func (e *Elector) ObserveLeader(l Leader) api.Epoch {
 	e.mu.Lock()
 	if e.state == nil {
 		e.state = NewState(e.cfg.Self, 0, time.Now())
@@ -25,56 +25,56 @@
 	highest := e.state.highest
 	e.mu.Unlock()
 	if lost {
-		e.cfg.Events.WithFields(logrus.Fields{"by": l.Node, "epoch": l.Epoch}).Warn("this process hears that it was replaced as leader")
-		e.cfg.Lost()
+		e.cfg.Logger.WithFields(logrus.Fields{"by": l.Node, "epoch": l.Epoch}).Warn("this process hears that it was replaced as leader")
+		e.cfg.OnLost()
 	}
 	return highest
 }
 
 // Renewal tells of a leader's newest renewal that is known to be stored.
 type Renewal struct {
-	_    struct{}        `cbor:",toarray"`
-	Age  time.Duration   // since it was sent
-	UpTo platform.Offset // the partition's end after it
+	_   struct{}        `cbor:",toarray"`
+	Age time.Duration   // since it was sent
+	End platform.Offset // the partition's end after it
 }
 
-// Assured takes in from the leader of an epoch its last confirmed renewal: while
+// ObserveRenewal takes in from the leader of an epoch its last confirmed renewal: while
 // that is fresh the store need not be read.
-func (e *Elector) Assured(epoch api.Epoch, r Renewal) {
+func (e *Elector) ObserveRenewal(epoch api.Epoch, r Renewal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.state != nil {
-		e.state.assured(epoch, time.Now().Add(-r.Age), r.UpTo)
+		e.state.assured(epoch, time.Now().Add(-r.Age), r.End)
 	}
 }
 
-// Silence returns for how long nothing was heard of the leader, and whether it has
+// SinceContact returns for how long nothing was heard of the leader, and whether it has
 // stepped down.
-func (e *Elector) Silence(now time.Time) (time.Duration, bool) {
+func (e *Elector) SinceContact(now time.Time) (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.state == nil {
 		return 0, false // the partition has not been read yet
 	}
-	return e.state.Silence(now), e.state.Released()
+	return e.state.SinceContact(now), e.state.Released()
 }
 
-// Confirmed returns the last confirmed renewal of this process as leader.
-func (e *Elector) Confirmed() Renewal {
+// LastRenewal returns the last confirmed renewal of this process as leader.
+func (e *Elector) LastRenewal() Renewal {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.state == nil || !e.state.Leads() {
 		return Renewal{Age: time.Hour}
 	}
-	return Renewal{Age: time.Duration(uptime() - e.state.confirmed), UpTo: e.state.lasts}
+	return Renewal{Age: time.Duration(uptime() - e.state.confirmed), End: e.state.lasts}
 }
 
 // Invitation asks a process to claim the cell after a leader that has stepped down.
 type Invitation struct {
-	_     struct{}        `cbor:",toarray"`
-	Epoch api.Epoch       // of that leader
-	End   platform.Offset // of the partition after its last record
-	Took  time.Duration   // what its last append took
+	_                  struct{}        `cbor:",toarray"`
+	Epoch              api.Epoch       // of that leader
+	End                platform.Offset // of the partition after its last record
+	LastAppendDuration time.Duration   // what its last append took
 }
 
 // Invite has this process claim the cell at once, at the end of the partition that it is
@@ -87,16 +87,16 @@
 		return
 	}
 	e.invited = true
-	e.usual = max(e.usual, i.Took)
+	e.usual = max(e.usual, i.LastAppendDuration)
 	if e.waits != nil {
 		e.waits(errInvited)
 	}
-	e.Replaced() // wakes the loop
+	e.Wake() // wakes the loop
 }
 
-// Suspect notes that the process of the given leader answers no call, so that
+// SuspectLeader notes that the process of the given leader answers no call, so that
 // less silence is waited for.
-func (e *Elector) Suspect(epoch api.Epoch) {
+func (e *Elector) SuspectLeader(epoch api.Epoch) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.state == nil || e.state.Current().Epoch != epoch {
@@ -109,21 +109,21 @@
 	if e.waits != nil {
 		e.waits(errSuspected)
 	}
-	e.Replaced() // wakes the loop
+	e.Wake() // wakes the loop
 }
 
-// Abandoned notes that the process at the address of the given leader says
+// LeaderDenied notes that the process at the address of the given leader says
 // that it doesn't lead, as after a restart: no silence has to be waited for.
-func (e *Elector) Abandoned(epoch api.Epoch) {
+func (e *Elector) LeaderDenied(epoch api.Epoch) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.state != nil && e.state.Current().Epoch == epoch && e.state.Silence(time.Now()) > e.cfg.Timing.Abandoned {
+	if e.state != nil && e.state.Current().Epoch == epoch && e.state.SinceContact(time.Now()) > e.cfg.Timing.AbandonedSilence {
 		e.state.released = true
 	}
 }
 
-// Trust takes back a suspicion.
-func (e *Elector) Trust() {
+// ClearSuspicion takes back a suspicion.
+func (e *Elector) ClearSuspicion() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.suspected = false
--- a/internal/leader/standing.go
+++ b/internal/leader/standing.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Standing says how a machine compares with others as a leader.
-type Standing int
+// Suitability says how a machine compares with others as a leader.
+type Suitability int
 
 // Standings.
 const (
-	// Fit: as far as is known no machine could lead much better.
-	Fit Standing = iota
-	// Surpassed: a machine that is there now could lead much better.
-	Surpassed
-	// Weak: nothing is known of others, and this machine would be too weak to
+	// Suitable: as far as is known no machine could lead much better.
+	Suitable Suitability = iota
+	// Outclassed: a machine that is there now could lead much better.
+	Outclassed
+	// Underpowered: nothing is known of others, and this machine would be too weak to
 	// lead a large cell.
-	Weak
-	// Unread: this machine has not read the cell's jobs yet, as after a
+	Underpowered
+	// Unsynced: this machine has not read the cell's jobs yet, as after a
 	// restart, and could plan nothing until then. It doesn't claim.
-	Unread
+	Unsynced
 )
 
 // Processors with which a machine can lead.
@@ -28,18 +28,18 @@
 	muchBetter = 1.5
 )
 
-// Compare returns the standing of a machine with its processors and the most
+// AssessSuitability returns the standing of a machine with its processors and the most
 // that any other machine has that could lead now; 0: none is known.
-func Compare(own, fittest float64) Standing {
+func AssessSuitability(own, fittest float64) Suitability {
 	switch {
 	case own == 0 || own >= enoughProcessors:
-		return Fit
+		return Suitable
 	case fittest == 0:
-		return Weak
+		return Underpowered
 	case fittest > muchBetter*own:
-		return Surpassed
+		return Outclassed
 	default:
-		return Fit
+		return Suitable
 	}
 }
 
@@ -48,20 +48,20 @@
 // could plan nothing, and its renewals would keep those from claiming that
 // have read them.
 func (e *Elector) reserve() (time.Duration, bool) {
-	switch e.cfg.Standing() {
-	case Unread:
+	switch e.cfg.Suitability() {
+	case Unsynced:
 		return 0, false
-	case Fit:
+	case Suitable:
 		return 0, true
 	default:
-		return e.cfg.Timing.Modest, true
+		return e.cfg.Timing.UnsuitableClaimDelay, true
 	}
 }
 
 // shouldYield reports whether leadership should be handed to a machine that
 // could lead much better; e.mu is held.
-func (e *Elector) shouldYield(standing Standing, now time.Time) bool {
-	return standing == Surpassed &&
-		now.Sub(e.ledSince) > e.cfg.Timing.Settled &&
-		(e.yielded.IsZero() || now.Sub(e.yielded) > e.cfg.Timing.Cooling)
+func (e *Elector) shouldYield(standing Suitability, now time.Time) bool {
+	return standing == Outclassed &&
+		now.Sub(e.ledSince) > e.cfg.Timing.MinTenure &&
+		(e.yielded.IsZero() || now.Sub(e.yielded) > e.cfg.Timing.HandoverCooldown)
 }
--- a/internal/leader/state.go
+++ b/internal/leader/state.go
@@ -65,8 +65,8 @@
 // Released reports whether the last leader stepped down.
 func (s *State) Released() bool { return s.released }
 
-// Silence returns how long no record has been read.
-func (s *State) Silence(now time.Time) time.Duration { return now.Sub(s.heard) }
+// SinceContact returns how long no record has been read.
+func (s *State) SinceContact(now time.Time) time.Duration { return now.Sub(s.heard) }
 
 // MayRenewLeases reports whether the leader may extend executors' leases. It
 // stops some time after its last confirmed renewal, since a successor counts
@@ -78,8 +78,8 @@
 // gapShare is the weight of a new gap in the moving mean.
 const gapShare = 0.3
 
-// Gap returns the usual time between two records of the leader.
-func (s *State) Gap() time.Duration { return s.gap }
+// RenewalGap returns the usual time between two records of the leader.
+func (s *State) RenewalGap() time.Duration { return s.gap }
 
 // read takes in a record at an offset.
 func (s *State) read(at platform.Offset, r record, now time.Time) {
@@ -136,10 +136,10 @@
 	return s.seized[i:]
 }
 
-// Patience returns how many times the usual silence should be waited for. Each
+// SilenceFactor returns how many times the usual silence should be waited for. Each
 // new leader has to read and ask much at once, and its renewals may be late for
 // it: of several seizures in a row each made the next more likely.
-func (s *State) Patience(now time.Time) time.Duration {
+func (s *State) SilenceFactor(now time.Time) time.Duration {
 	return time.Duration(min(max(1, len(s.recent(now))), mostPatience))
 }
 
--- a/internal/leader/state_test.go
+++ b/internal/leader/state_test.go
@@ -19,7 +19,7 @@
 		Convey("a claim's place is its epoch", func() {
 			s.read(0, other, at(time.Second))
 			So(s.Current().Epoch, ShouldEqual, 1)
-			So(s.Silence(at(3*time.Second)), ShouldEqual, 2*time.Second)
+			So(s.SinceContact(at(3*time.Second)), ShouldEqual, 2*time.Second)
 		})
 		Convey("a release leaves nobody leading", func() {
 			s.read(0, other, start)
@@ -30,7 +30,7 @@
 		Convey("what other processes say of a leader that is known is no sign of its life", func() {
 			s.read(0, other, start)
 			So(s.learn(Leader{Epoch: 1, Node: "b"}, at(time.Second)), ShouldBeFalse)
-			So(s.Silence(at(2*time.Second)), ShouldEqual, 2*time.Second)
+			So(s.SinceContact(at(2*time.Second)), ShouldEqual, 2*time.Second)
 		})
 		Convey("a later leader is learned from other processes, an earlier one is not", func() {
 			So(s.learn(Leader{Epoch: 7, Node: "b"}, at(time.Second)), ShouldBeTrue)
@@ -46,7 +46,7 @@
 				s.read(2, renewal, now)
 				_ = i
 			}
-			So(s.Gap(), ShouldBeBetween, 390*time.Millisecond, 410*time.Millisecond)
+			So(s.RenewalGap(), ShouldBeBetween, 390*time.Millisecond, 410*time.Millisecond)
 		})
 	})
 	Convey("Given a process that leads", t, func() {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -40,13 +40,13 @@
 	over        bool                // certainly neither runs there nor will
 }
 
-// Exchange numbers the exchanges with one VM, from 1.
-type Exchange uint64
+// ExchangeID numbers the exchanges with one VM, from 1.
+type ExchangeID uint64
 
 // Grant is what an exchange carries to the worker. A zero Expiry renews
 // nothing; such an exchange must not carry starts.
 type Grant struct {
-	Exchange    Exchange
+	ExchangeID  ExchangeID
 	Incarnation uint64
 	Expiry      platform.WorkerTime
 }
@@ -57,9 +57,9 @@
 	params   Params
 	takeover time.Time // when the claim was read back
 
-	built        Exchange  // latest built
-	answered     Exchange  // latest answered
-	reportedAt   time.Time // arrival of the latest report, zero before the first
+	built        ExchangeID // latest built
+	answered     ExchangeID // latest answered
+	reportedAt   time.Time  // arrival of the latest report, zero before the first
 	incarnation  uint64
 	clock        platform.WorkerTime // of the latest report; meaningless without incarnation
 	inheritUntil platform.WorkerTime // starts of earlier holders are invalid from here on
@@ -79,13 +79,13 @@
 	}
 }
 
-// Build makes the grant of an exchange that tells starts. It is called
+// BuildGrant makes the grant of an exchange that tells starts. It is called
 // before the holder checks its hold and sends: a message that was built and
 // then delayed carries an expiry from before the check. Without a report to
 // work from nothing may be started, and Build reports false.
-func (t *Tracker) Build(starts []Attempt) (Grant, bool) {
+func (t *Tracker) BuildGrant(starts []Attempt) (Grant, bool) {
 	t.built++
-	g := Grant{Exchange: t.built, Incarnation: t.incarnation}
+	g := Grant{ExchangeID: t.built, Incarnation: t.incarnation}
 	if t.incarnation == 0 {
 		return g, len(starts) == 0
 	}
@@ -97,9 +97,9 @@
 	return g, true
 }
 
-// Report takes the answer to exchange x, which arrived at now. It returns false for an answer that
+// ApplyReport takes the answer to exchange x, which arrived at now. It returns false for an answer that
 // is older than one already taken; such an answer is to be dropped.
-func (t *Tracker) Report(now time.Time, x Exchange, r platform.WorkerReport) bool {
+func (t *Tracker) ApplyReport(now time.Time, x ExchangeID, r platform.WorkerReport) bool {
 	if x <= t.answered || x > t.built || r.Incarnation == 0 {
 		return false
 	}
@@ -122,16 +122,16 @@
 	return t.incarnation
 }
 
-// Missing tells whether an attempt that the latest report does not show is
+// ConfirmMissing tells whether an attempt that the latest report does not show is
 // certainly not running on the VM and never will. Once it is, the attempt
 // counts as told until Prune, so that it is never told again while the word
 // of its loss is on the way to the log.
-func (t *Tracker) Missing(a Attempt) bool {
+func (t *Tracker) ConfirmMissing(a Attempt) bool {
 	what := t.told[a]
 	if what.over || !t.over(a) {
 		return what.over
 	}
-	t.GiveUp(a)
+	t.MarkEnded(a)
 	return true
 }
 
@@ -149,23 +149,23 @@
 	return what.incarnation != t.incarnation || t.clock >= what.until
 }
 
-// GiveUp marks an attempt as over: it is not to be told any more.
-func (t *Tracker) GiveUp(a Attempt) {
+// MarkEnded marks an attempt as over: it is not to be told any more.
+func (t *Tracker) MarkEnded(a Attempt) {
 	what := t.told[a]
 	what.over = true
 	t.told[a] = what
 }
 
-// Told reports whether the VM may have been told to start a, in this tenure
+// Known reports whether the VM may have been told to start a, in this tenure
 // or before, or a was given up.
-func (t *Tracker) Told(a Attempt) bool {
+func (t *Tracker) Known(a Attempt) bool {
 	_, ok := t.told[a]
 	return ok
 }
 
-// Undelivered takes back the starts of an exchange that certainly did not
+// RevertStarts takes back the starts of an exchange that certainly did not
 // reach the VM. None of them may have been told before.
-func (t *Tracker) Undelivered(starts []Attempt) {
+func (t *Tracker) RevertStarts(starts []Attempt) {
 	for _, a := range starts {
 		delete(t.told, a)
 	}
@@ -180,12 +180,12 @@
 	}
 }
 
-// LapsesAt is the time from which every lease given to the VM so far, by
+// ExpiresAt is the time from which every lease given to the VM so far, by
 // this holder or earlier ones, has certainly lapsed. All expiries since the
 // latest report are the same point on the worker's clock, a lease after a
 // reading that was taken before the report arrived: exchanges without an
 // answer don't move it.
-func (t *Tracker) LapsesAt() time.Time {
+func (t *Tracker) ExpiresAt() time.Time {
 	at := t.takeover.Add(t.params.stretch(t.params.Hold + t.params.Lease))
 	if t.reportedAt.IsZero() {
 		return at
@@ -196,14 +196,14 @@
 	return at
 }
 
-// Lapsed tells whether every lease has certainly lapsed at now. Everything
+// Expired tells whether every lease has certainly lapsed at now. Everything
 // that the VM was told before is then over.
-func (t *Tracker) Lapsed(now time.Time) bool {
-	if now.Before(t.LapsesAt()) {
+func (t *Tracker) Expired(now time.Time) bool {
+	if now.Before(t.ExpiresAt()) {
 		return false
 	}
 	for a := range t.told {
-		t.GiveUp(a)
+		t.MarkEnded(a)
 	}
 	return true
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -111,7 +111,7 @@
 			h.trackers[i].Inherit(s.current())
 		}
 		if s.vm == i && s.plant == noTakeoverWait {
-			h.trackers[i].GiveUp(s.current())
+			h.trackers[i].MarkEnded(s.current())
 		}
 		s.after(time.Duration(float64(simHold)*(1+simDrift)), func() { h.step(i) })
 	}
@@ -137,11 +137,11 @@
 	a := s.current()
 	msg := platform.WorkerSync{Epoch: h.epoch}
 	var starts []lease.Attempt
-	if s.vm == i && !t.Told(a) && t.Incarnation() != 0 {
+	if s.vm == i && !t.Known(a) && t.Incarnation() != 0 {
 		starts = []lease.Attempt{a}
 		msg.Starts = []platform.TaskStart{{Task: a.Task, Attempt: a.Attempt, Resources: api.Resources{MilliCPU: 1000}}}
 	}
-	grant, ok := t.Build(starts)
+	grant, ok := t.BuildGrant(starts)
 	if !ok {
 		return
 	}
@@ -152,10 +152,10 @@
 	}
 	for copies := 1 + s.rng.IntN(2); copies > 0; copies-- {
 		if !s.chance(25) {
-			s.after(pause+s.delay(), func() { h.deliver(i, grant.Exchange, a, msg) })
+			s.after(pause+s.delay(), func() { h.deliver(i, grant.ExchangeID, a, msg) })
 		}
 	}
-	if s.vm == i && t.Lapsed(s.scaled(h.rate)) {
+	if s.vm == i && t.Expired(s.scaled(h.rate)) {
 		h.lose(i, a)
 	}
 }
@@ -167,7 +167,7 @@
 	return s.upTo(200 * time.Millisecond)
 }
 
-func (h *holder) deliver(i int, x lease.Exchange, asked lease.Attempt, msg platform.WorkerSync) {
+func (h *holder) deliver(i int, x lease.ExchangeID, asked lease.Attempt, msg platform.WorkerSync) {
 	report, err := h.s.vms[i].Sync(msg)
 	if err != nil || h.s.chance(20) {
 		return
@@ -177,10 +177,10 @@
 
 // reported judges a report on the attempt that the log showed when the
 // exchange was built.
-func (h *holder) reported(i int, x lease.Exchange, a lease.Attempt, report platform.WorkerReport) {
+func (h *holder) reported(i int, x lease.ExchangeID, a lease.Attempt, report platform.WorkerReport) {
 	s := h.s
 	t := h.trackers[i]
-	if s.now > h.until || !t.Report(s.scaled(h.rate), x, report) || s.vm != i || a != s.current() {
+	if s.now > h.until || !t.ApplyReport(s.scaled(h.rate), x, report) || s.vm != i || a != s.current() {
 		return
 	}
 	for _, r := range report.Tasks {
@@ -191,14 +191,14 @@
 			return
 		}
 	}
-	if s.plant == missingAtOnce || (t.Told(a) && t.Missing(a)) {
+	if s.plant == missingAtOnce || (t.Known(a) && t.ConfirmMissing(a)) {
 		h.lose(i, a)
 	}
 }
 
 // lose proposes that an attempt is over; the log decides a little later.
 func (h *holder) lose(i int, a lease.Attempt) {
-	h.trackers[i].GiveUp(a)
+	h.trackers[i].MarkEnded(a)
 	h.s.after(h.s.upTo(500*time.Millisecond), func() {
 		if h.epoch == h.s.epoch && h.s.vm == i && h.s.current() == a {
 			h.s.vm = -1
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -17,14 +17,14 @@
 var (
 	// ErrUnknownVM: the VM was never put, or has been removed.
 	ErrUnknownVM = errors.New("ledger: unknown VM")
-	// ErrNoRoom: the claim would exceed the VM's capacity.
-	ErrNoRoom = errors.New("ledger: no room on the VM")
-	// ErrHeld: the same attempt already has a claim on the VM.
-	ErrHeld = errors.New("ledger: claim exists")
-	// ErrNotHeld: no such claim on the VM.
-	ErrNotHeld = errors.New("ledger: no such claim")
-	// ErrBadAmount: negative, zero in every field, or beyond 32 bits.
-	ErrBadAmount = errors.New("ledger: amount out of range")
+	// ErrInsufficientCapacity: the claim would exceed the VM's capacity.
+	ErrInsufficientCapacity = errors.New("ledger: no room on the VM")
+	// ErrAllocationExists: the same attempt already has a claim on the VM.
+	ErrAllocationExists = errors.New("ledger: claim exists")
+	// ErrNoAllocation: no such claim on the VM.
+	ErrNoAllocation = errors.New("ledger: no such claim")
+	// ErrInvalidAmount: negative, zero in every field, or beyond 32 bits.
+	ErrInvalidAmount = errors.New("ledger: amount out of range")
 )
 
 // Key identifies one attempt of a task.
@@ -34,8 +34,8 @@
 	Attempt uint32
 }
 
-// Claim is a key and what it holds.
-type Claim struct {
+// Allocation is a key and what it holds.
+type Allocation struct {
 	Key       Key
 	Resources api.Resources
 }
@@ -63,9 +63,9 @@
 	accounts []*account
 }
 
-// Put sets the capacity of a VM. Claims it holds stay, even where a smaller
+// SetCapacity sets the capacity of a VM. Claims it holds stay, even where a smaller
 // capacity no longer covers them; until they do, nothing more is accepted.
-func (l *Ledger) Put(vm uint32, capacity api.Resources) {
+func (l *Ledger) SetCapacity(vm uint32, capacity api.Resources) {
 	for uint32(len(l.accounts)) <= vm {
 		l.accounts = append(l.accounts, nil)
 	}
@@ -75,8 +75,8 @@
 	l.accounts[vm].capacity = capacity
 }
 
-// Remove forgets a VM and all its claims.
-func (l *Ledger) Remove(vm uint32) {
+// RemoveVM forgets a VM and all its claims.
+func (l *Ledger) RemoveVM(vm uint32) {
 	if l.account(vm) != nil {
 		l.accounts[vm] = nil
 	}
@@ -89,20 +89,20 @@
 		return ErrUnknownVM
 	}
 	if !inRange(amount) {
-		return ErrBadAmount
+		return ErrInvalidAmount
 	}
 	if a.find(key) >= 0 {
-		return ErrHeld
+		return ErrAllocationExists
 	}
 	if !amount.Fits(a.capacity.Sub(a.used)) {
-		return ErrNoRoom
+		return ErrInsufficientCapacity
 	}
 	return nil
 }
 
-// Claim records that key holds amount on vm. It fails with one of the
+// Allocate records that key holds amount on vm. It fails with one of the
 // package's errors and then changes nothing.
-func (l *Ledger) Claim(vm uint32, key Key, amount api.Resources) error {
+func (l *Ledger) Allocate(vm uint32, key Key, amount api.Resources) error {
 	if err := l.Check(vm, key, amount); err != nil {
 		return err
 	}
@@ -118,7 +118,7 @@
 	}
 	i := a.find(key)
 	if i < 0 {
-		return api.Resources{}, ErrNotHeld
+		return api.Resources{}, ErrNoAllocation
 	}
 	amount := a.entries[i].resources()
 	last := len(a.entries) - 1
@@ -128,8 +128,8 @@
 	return amount, nil
 }
 
-// Held returns what key holds on vm.
-func (l *Ledger) Held(vm uint32, key Key) (api.Resources, bool) {
+// Allocated returns what key holds on vm.
+func (l *Ledger) Allocated(vm uint32, key Key) (api.Resources, bool) {
 	a := l.account(vm)
 	if a == nil {
 		return api.Resources{}, false
@@ -150,15 +150,15 @@
 	return a.capacity, a.used, true
 }
 
-// Claims returns a copy of the claims on vm, in no particular order.
-func (l *Ledger) Claims(vm uint32) []Claim {
+// Allocations returns a copy of the claims on vm, in no particular order.
+func (l *Ledger) Allocations(vm uint32) []Allocation {
 	a := l.account(vm)
 	if a == nil {
 		return nil
 	}
-	claims := make([]Claim, len(a.entries))
+	claims := make([]Allocation, len(a.entries))
 	for i, e := range a.entries {
-		claims[i] = Claim{Key: e.key, Resources: e.resources()}
+		claims[i] = Allocation{Key: e.key, Resources: e.resources()}
 	}
 	return claims
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -14,7 +14,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var l Ledger
 		capacity := api.Resources{MilliCPU: 8000, MemoryMB: 64, Accelerators: 2}
-		l.Put(0, capacity)
+		l.SetCapacity(0, capacity)
 		held := map[Key]api.Resources{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			key := Key{Job: rapid.Uint32Range(0, 3).Draw(t, "job"), Index: rapid.Uint32Range(0, 3).Draw(t, "index")}
@@ -30,7 +30,7 @@
 					MemoryMB:     rapid.Int64Range(0, 40).Draw(t, "memory"),
 					Accelerators: rapid.Int64Range(0, 2).Draw(t, "accelerators"),
 				}
-				if l.Claim(0, key, amount) == nil {
+				if l.Allocate(0, key, amount) == nil {
 					held[key] = amount
 				}
 			}
@@ -48,22 +48,22 @@
 
 func TestRejectsByCause(t *testing.T) {
 	var l Ledger
-	l.Put(2, api.Resources{MilliCPU: 1000})
+	l.SetCapacity(2, api.Resources{MilliCPU: 1000})
 	key := Key{Job: 1, Index: 1, Attempt: 1}
 	one := api.Resources{MilliCPU: 1000}
-	if err := l.Claim(1, key, one); !errors.Is(err, ErrUnknownVM) {
+	if err := l.Allocate(1, key, one); !errors.Is(err, ErrUnknownVM) {
 		t.Error(err)
 	}
-	if err := l.Claim(2, key, api.Resources{}); !errors.Is(err, ErrBadAmount) {
+	if err := l.Allocate(2, key, api.Resources{}); !errors.Is(err, ErrInvalidAmount) {
 		t.Error(err)
 	}
-	if err := l.Claim(2, key, one); err != nil {
+	if err := l.Allocate(2, key, one); err != nil {
 		t.Error(err)
 	}
-	if err := l.Claim(2, key, one); !errors.Is(err, ErrHeld) {
+	if err := l.Allocate(2, key, one); !errors.Is(err, ErrAllocationExists) {
 		t.Error(err)
 	}
-	if err := l.Claim(2, Key{Job: 2}, one); !errors.Is(err, ErrNoRoom) {
+	if err := l.Allocate(2, Key{Job: 2}, one); !errors.Is(err, ErrInsufficientCapacity) {
 		t.Error(err)
 	}
 }
--- a/internal/member/handler.go
+++ b/internal/member/handler.go
@@ -16,7 +16,7 @@
 	now := s.cfg.Now()
 	asker := request.Digest.Ask
 	s.mu.Lock()
-	s.liveness.Heard(request.Digest, now)
+	s.liveness.ObserveDigest(request.Digest, now)
 	s.mu.Unlock()
 	reply.Exchange = request.Exchange
 	if request.Digest.Flags&flagAsks != 0 {
--- a/internal/member/liveness.go
+++ b/internal/member/liveness.go
@@ -12,16 +12,16 @@
 
 // Timing holds the heartbeat's times and sizes.
 type Timing struct {
-	Heartbeat time.Duration // time between two rounds
-	Fanout    int           // peers talked to in each round
-	Missed    int           // rounds of silence that make a member suspected, in a small roster
+	Heartbeat    time.Duration // time between two rounds
+	Fanout       int           // peers talked to in each round
+	MissedRounds int           // rounds of silence that make a member suspected, in a small roster
 }
 
 // Defaults of Timing.
 const (
-	DefaultHeartbeat = 250 * time.Millisecond
-	DefaultFanout    = 2
-	DefaultMissed    = 4
+	DefaultHeartbeat    = 250 * time.Millisecond
+	DefaultFanout       = 2
+	DefaultMissedRounds = 4
 )
 
 // withDefaults fills what is zero.
@@ -32,8 +32,8 @@
 	if t.Fanout == 0 {
 		t.Fanout = DefaultFanout
 	}
-	if t.Missed == 0 {
-		t.Missed = DefaultMissed
+	if t.MissedRounds == 0 {
+		t.MissedRounds = DefaultMissedRounds
 	}
 	return t
 }
@@ -43,7 +43,7 @@
 // logarithm of the roster.
 func (t Timing) SuspectAfter(members int) time.Duration {
 	spread := bits.Len(uint(members / (8 * t.Fanout)))
-	return time.Duration(t.Missed+2*spread) * t.Heartbeat
+	return time.Duration(t.MissedRounds+2*spread) * t.Heartbeat
 }
 
 // peer is what is known of one other member.
@@ -116,9 +116,9 @@
 	return now.Sub(p.heard) >= l.timing.SuspectAfter(len(l.roster))
 }
 
-// Heard takes a member's own digest. A digest of another incarnation than
+// ObserveDigest takes a member's own digest. A digest of another incarnation than
 // the roster's says nothing of the member.
-func (l *Liveness) Heard(d Digest, now time.Time) {
+func (l *Liveness) ObserveDigest(d Digest, now time.Time) {
 	p := l.peers[d.Ask.Who.Node]
 	if p == nil || p.member.Who != d.Ask.Who {
 		return
@@ -212,9 +212,9 @@
 	return peers
 }
 
-// Granted notes that a member granted in an exchange started at the given
+// RecordGrant notes that a member granted in an exchange started at the given
 // time.
-func (l *Liveness) Granted(who ownership.Identity, started time.Time) {
+func (l *Liveness) RecordGrant(who ownership.Identity, started time.Time) {
 	p := l.peers[who.Node]
 	if p != nil && p.member.Who == who && started.After(p.granted) {
 		p.granted = started
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -37,9 +37,9 @@
 	other := fresh
 	other.Roster++
 	other.Ages = []byte{0, 0, 0}
-	l.Heard(fresh, start.Add(at(600)))
-	l.Heard(stranger, start.Add(at(900)))
-	l.Heard(other, start.Add(at(800)))
+	l.ObserveDigest(fresh, start.Add(at(600)))
+	l.ObserveDigest(stranger, start.Add(at(900)))
+	l.ObserveDigest(other, start.Add(at(800)))
 	if got := suspects(at(1499)); got != [2]bool{false, false} {
 		t.Fatalf("suspected %v", got)
 	}
--- a/internal/member/service.go
+++ b/internal/member/service.go
@@ -57,11 +57,11 @@
 	Timing     Timing   // zero fields take their defaults
 	Hold       time.Duration
 
-	Caller  Caller
-	Roster  func() []ownership.Member // ordered by node
-	Applied func() platform.Offset
-	Load    func() []ServiceFree // nil: none
-	Drains  func() bool          // nil: never
+	Caller     Caller
+	Roster     func() []ownership.Member // ordered by node
+	Applied    func() platform.Offset
+	FreeSlots  func() []ServiceFree // nil: none
+	IsDraining func() bool          // nil: never
 
 	Random *rand.Rand       // used under the service's lock only
 	Now    func() time.Time // nil means time.Now
@@ -71,11 +71,11 @@
 func (c Config) withDefaults() Config {
 	c.Timing = c.Timing.withDefaults()
 	defaults.Set(&c.Hold, ownership.DefaultHold)
-	if c.Load == nil {
-		c.Load = func() []ServiceFree { return nil }
+	if c.FreeSlots == nil {
+		c.FreeSlots = func() []ServiceFree { return nil }
 	}
-	if c.Drains == nil {
-		c.Drains = func() bool { return false }
+	if c.IsDraining == nil {
+		c.IsDraining = func() bool { return false }
 	}
 	if c.Now == nil {
 		c.Now = time.Now
@@ -200,9 +200,9 @@
 func (s *Service) take(request Request, reply Reply, started time.Time) {
 	granted := reply.Granted && request.Digest.Flags&flagAsks != 0
 	s.mu.Lock()
-	s.liveness.Heard(reply.Digest, s.cfg.Now())
+	s.liveness.ObserveDigest(reply.Digest, s.cfg.Now())
 	if granted {
-		s.liveness.Granted(reply.Digest.Ask.Who, started)
+		s.liveness.RecordGrant(reply.Digest.Ask.Who, started)
 	}
 	s.mu.Unlock()
 	if granted {
@@ -221,9 +221,9 @@
 
 // digest returns what this process says of itself at now.
 func (s *Service) digest(now time.Time) Digest {
-	d := Digest{Ask: s.granter.Ask(), Applied: s.cfg.Applied(), Free: s.cfg.Load()}
+	d := Digest{Ask: s.granter.Ask(), Applied: s.cfg.Applied(), Free: s.cfg.FreeSlots()}
 	d.Free = d.Free[:min(len(d.Free), MaxServices)]
-	if s.cfg.Drains() {
+	if s.cfg.IsDraining() {
 		d.Flags |= flagDraining
 	}
 	if s.granter.NeedsGrants(now) {
@@ -252,10 +252,10 @@
 	return s.liveness.Candidates(service, now)
 }
 
-// Entries returns the peer addresses known in a data centre, the latest
+// EntryAddresses returns the peer addresses known in a data centre, the latest
 // heard of first. For the own data centre they include entry VMs that the
 // roster may lack.
-func (s *Service) Entries(dc api.DataCentre) []string {
+func (s *Service) EntryAddresses(dc api.DataCentre) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	addresses := s.contacts.of(dc)
--- a/internal/node/attach.go
+++ b/internal/node/attach.go
@@ -31,10 +31,10 @@
 	alone := succession{processors: n.settings.Processors}
 	for {
 		now := time.Now()
-		if silence, released := n.elector.Silence(now); alone.due(n.reader.IsFed(now), silence, released) {
-			n.replica.Keep() // nobody has claimed the cell who could have at once
+		if silence, released := n.elector.SinceContact(now); alone.due(n.reader.ReceivesDeliveries(now), silence, released) {
+			n.replica.KeepContent() // nobody has claimed the cell who could have at once
 		}
-		if now.Sub(offered) >= attachEvery || (n.epoch.Load() == 0 && n.reader.Overdue(now)) {
+		if now.Sub(offered) >= attachEvery || (n.epoch.Load() == 0 && n.reader.DeliveryOverdue(now)) {
 			n.attachOnce(ctx)
 			offered = now
 		}
@@ -53,21 +53,21 @@
 	}
 	// A machine that stops tells so by its fitness: it answers deliveries up
 	// to its end, which would keep its last offer to lead valid.
-	ctx, cancel := context.WithTimeout(ctx, min(max(attachLeast, n.reader.Patience()/2), attachTimeout))
+	ctx, cancel := context.WithTimeout(ctx, min(max(attachLeast, n.reader.DeliveryTimeout()/2), attachTimeout))
 	defer cancel()
 	offer := assist.Attachment{
 		Node: n.settings.Node, Address: n.settings.Peer, DataCentre: n.settings.DataCentre,
-		Fitness: n.fitness(), Whole: n.replica.Whole(),
+		Fitness: n.fitness(), Whole: n.replica.HasContent(),
 	}
 	epoch, err := assist.Attach(ctx, n.caller, current.Address, offer)
 	switch {
 	case err != nil:
 		n.log.WithError(err).WithField("leader", current.Node).Debug("leader gives no answer")
-		n.elector.Suspect(current.Epoch)
+		n.elector.SuspectLeader(current.Epoch)
 	case epoch != current.Epoch:
 		n.log.WithFields(logrus.Fields{"leader": current.Node, "epoch": current.Epoch, "answered_epoch": epoch}).Info("process at the leader's address doesn't lead")
-		n.elector.Abandoned(current.Epoch)
+		n.elector.LeaderDenied(current.Epoch)
 	default:
-		n.elector.Trust()
+		n.elector.ClearSuspicion()
 	}
 }
--- a/internal/node/fitness_test.go
+++ b/internal/node/fitness_test.go
@@ -44,7 +44,7 @@
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(server.Close)
 	n := New(&platform.Settings{Node: "a", Peer: address(t), Store: address(t), Processors: 0.8}, logging.Silent())
-	n.elector.Learn(leader.Leader{Node: "b", Incarnation: 1, Address: listener.Addr().String(), Epoch: silentEpoch})
+	n.elector.ObserveLeader(leader.Leader{Node: "b", Incarnation: 1, Address: listener.Addr().String(), Epoch: silentEpoch})
 	n.draining.Store(true)
 	n.attachOnce(context.Background())
 	o.mu.Lock()
--- a/internal/node/followers_test.go
+++ b/internal/node/followers_test.go
@@ -21,7 +21,7 @@
 	}
 	followers := func() (out []*process) {
 		for _, p := range all {
-			if !p.node.replica.Whole() {
+			if !p.node.replica.HasContent() {
 				out = append(out, p)
 			}
 		}
@@ -46,7 +46,7 @@
 
 	stopped := time.Now()
 	for _, p := range all {
-		if p.node.replica.Whole() {
+		if p.node.replica.HasContent() {
 			p.stop()
 		}
 	}
--- a/internal/node/leading.go
+++ b/internal/node/leading.go
@@ -71,11 +71,11 @@
 		Full:      n.linkFull.Load,
 		Table:     n.table,
 		MayRenew:  n.elector.MayRenewLeases,
-		Replaced:  n.elector.Replaced,
+		Replaced:  n.elector.Wake,
 		CutOff:    n.cutOff,
-		Renewed:   n.elector.Confirmed,
+		Renewed:   n.elector.LastRenewal,
 		HeardOf:   n.heardOf,
-		Append:    n.elector.Usual(),
+		Append:    n.elector.LastAppendDuration(),
 		Events:    n.log.WithField("epoch", epoch),
 	})
 	n.runner.Store(runner)
@@ -83,7 +83,7 @@
 	n.runner.Store(nil)
 	n.log.WithError(err).WithField("epoch", epoch).Info("this process no longer plans for the cell")
 	if ctx.Err() == nil && n.epoch.Load() == uint64(epoch) {
-		n.elector.GiveUp()
+		n.elector.Resign()
 	}
 }
 
@@ -93,14 +93,14 @@
 const farBehind = 10 * time.Second
 
 // standing compares this machine with those that are known, as a leader.
-func (n *Node) standing() leader.Standing {
-	if !n.replica.Synced() || !n.replica.Whole() || n.replica.Behind(time.Now()) > farBehind {
-		return leader.Unread
+func (n *Node) standing() leader.Suitability {
+	if !n.replica.Synced() || !n.replica.HasContent() || n.replica.Lag(time.Now()) > farBehind {
+		return leader.Unsynced
 	}
 	if n.watch.Configuration() == nil { // nothing is known of the queues: how often to try, where, how late
-		return leader.Unread
+		return leader.Unsynced
 	}
-	return leader.Compare(n.settings.Processors, n.helpers.Fittest(time.Now()))
+	return leader.AssessSuitability(n.settings.Processors, n.helpers.Fittest(time.Now()))
 }
 
 // fitness returns the processors with which this machine could lead now.
@@ -139,6 +139,6 @@
 // heardOf ends leading when another machine has heard of a higher epoch.
 func (n *Node) heardOf(epoch api.Epoch) {
 	n.log.WithField("higher_epoch", epoch).Warn("another machine has heard of a later leader")
-	n.elector.Replaced()
+	n.elector.Wake()
 	n.lost()
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -99,20 +99,20 @@
 		Timing:    replica.DefaultTiming(),
 		Leads:     func() bool { return n.epoch.Load() != 0 },
 	}
-	n.intake = intake.New(intake.DefaultConfig(), n.store, jobs, n.relay, n.store.Down, n.replica.Holds, log)
+	n.intake = intake.New(intake.DefaultConfig(), n.store, jobs, n.relay, n.store.Down, n.replica.HasRequest, log)
 	n.helpers = assist.NewHelpers(s.Node, n.adviser, n.caller)
 	n.self = leader.Leader{Node: s.Node, Incarnation: api.Incarnation(rand.Uint64() | 1), Address: s.Peer}
 	n.elector = leader.New(leader.Config{
 		// On connections of its own: a renewal never waits for a read of jobs.
-		Log:       n.store.Also(platform.NewStore(s.Store, account)),
-		Partition: product.Partition{Topic: topicLeader, Number: cellNumber},
-		Self:      n.self,
-		Timing:    leader.DefaultTiming(),
-		Events:    log,
-		Standing:  n.standing,
-		Gained:    n.gained,
-		Lost:      n.lost,
-		Released:  n.invite,
+		Log:         n.store.WithClient(platform.NewStore(s.Store, account)),
+		Partition:   product.Partition{Topic: topicLeader, Number: cellNumber},
+		Self:        n.self,
+		Timing:      leader.DefaultTiming(),
+		Logger:      log,
+		Suitability: n.standing,
+		OnElected:   n.gained,
+		OnLost:      n.lost,
+		OnReleased:  n.invite,
 	})
 	return n
 }
@@ -158,7 +158,7 @@
 	cfg.Lease = min(cfg.Lease, n.settings.LongestLease)
 	cfg.MaxLease = n.settings.LongestLease
 	cfg.DrainMargin = min(cfg.DrainMargin, n.settings.DrainAfter/4)
-	cfg.FormerLeaderRenewal = leader.DefaultTiming().LeaseRenewal
+	cfg.FormerLeaderRenewal = leader.DefaultTiming().LeaseRenewalWindow
 	cfg.MaxExecutorsPerCall = platform.MostAdvised
 	if n.settings.RemoteFactor > 0 {
 		cfg.RemoteFactor = n.settings.RemoteFactor
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -34,7 +34,7 @@
 		}
 		results, epoch = n.handOver(ctx, records)
 	}
-	lives := n.storer() != nil || n.reader.IsFed(time.Now())
+	lives := n.storer() != nil || n.reader.ReceivesDeliveries(time.Now())
 	errs := make([]error, len(results))
 	for i, r := range results {
 		errs[i] = relayError(r, lives)
@@ -101,7 +101,7 @@
 		now := time.Now()
 		switch {
 		case ctx.Err() != nil:
-		case n.elector.Current().Epoch == epoch && (now.Before(patient) || n.reader.IsFed(now)):
+		case n.elector.Current().Epoch == epoch && (now.Before(patient) || n.reader.ReceivesDeliveries(now)):
 			time.AfterFunc(tieLook, look)
 		default:
 			cancel()
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -43,12 +43,12 @@
 		caller := &peers{stores: "next"}
 		n := &Node{
 			settings: &platform.Settings{Peer: "self"},
-			elector:  leader.New(leader.Config{Events: logging.Silent(), Lost: func() {}}),
+			elector:  leader.New(leader.Config{Logger: logging.Silent(), OnLost: func() {}}),
 			reader:   &replica.Reader{Replica: replica.New(time.Minute, logging.Silent()), Timing: replica.DefaultTiming()},
 			caller:   caller,
 		}
 		lead := func(epoch api.Epoch, address string) {
-			n.elector.Learn(leader.Leader{Epoch: epoch, Node: "m", Address: address})
+			n.elector.ObserveLeader(leader.Leader{Epoch: epoch, Node: "m", Address: address})
 			n.reader.Deliver(replica.Span{}, nil, 0)
 		}
 		lead(5, "lost")
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -133,7 +133,7 @@
 	return !n.draining.Load() &&
 		n.watch.Configuration() != nil &&
 		n.replica.Synced() &&
-		n.replica.Age(time.Now()) < storeSilence &&
+		n.replica.SinceContact(time.Now()) < storeSilence &&
 		!n.cutOff()
 }
 
@@ -141,12 +141,12 @@
 func (n *Node) cutOff() bool {
 	now := time.Now()
 	beyond, spread := n.helpers.Beyond(n.settings.DataCentre, now)
-	return reach.Signs{
-		Store:     n.store.Silence(now),
-		Leads:     n.epoch.Load() != 0,
-		Spread:    spread,
-		Beyond:    beyond,
-		Fed:       n.reader.IsFed(now),
-		LeaderCut: n.leaderCut.Load(),
+	return reach.Connectivity{
+		SinceStore:      n.store.SinceSuccess(now),
+		Leads:           n.epoch.Load() != 0,
+		HasRemotePeers:  spread,
+		SinceRemotePeer: beyond,
+		LeaderDelivers:  n.reader.ReceivesDeliveries(now),
+		LeaderCutOff:    n.leaderCut.Load(),
 	}.CutOff()
 }
--- a/internal/node/standing_test.go
+++ b/internal/node/standing_test.go
@@ -33,7 +33,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(30 * time.Second)
-		if behind := n.replica.Behind(time.Now()); behind < 30*time.Second {
+		if behind := n.replica.Lag(time.Now()); behind < 30*time.Second {
 			t.Fatalf("it is behind by %v", behind)
 		}
 		defer func() {
@@ -41,7 +41,7 @@
 				t.Error("it went on to compare processors")
 			}
 		}()
-		if got := n.standing(); got != leader.Unread {
+		if got := n.standing(); got != leader.Unsynced {
 			t.Errorf("standing %d, want that it doesn't claim", got)
 		}
 	})
@@ -65,7 +65,7 @@
 		if err := r.Restore(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if got := n.standing(); got != leader.Unread {
+		if got := n.standing(); got != leader.Unsynced {
 			t.Errorf("standing %d, want that it doesn't claim", got)
 		}
 	})
--- a/internal/node/succession.go
+++ b/internal/node/succession.go
@@ -44,7 +44,7 @@
 	if released {
 		after = releasedAfter + s.spread
 	}
-	if s.processors > 0 && leader.Compare(s.processors, 0) != leader.Fit {
+	if s.processors > 0 && leader.AssessSuitability(s.processors, 0) != leader.Suitable {
 		after += weakAfter
 	}
 	return silence > after
--- a/internal/ownership/failover_test.go
+++ b/internal/ownership/failover_test.go
@@ -143,10 +143,10 @@
 	n.client = peer.NewClient(peer.Limits{}, w.dial)
 	n.service = member.New(member.Config{
 		Self: n.id, DataCentre: "bne-1", Address: n.address, Caller: n, Applied: n.Applied,
-		Roster: func() []ownership.Member { r, _ := n.machine.Roster(); return r },
-		Load:   func() []member.ServiceFree { return []member.ServiceFree{{Service: "torquebench", Free: i}} },
-		Drains: func() bool { return n.controller.Draining() },
-		Random: rand.New(rand.NewPCG(uint64(i), 1)),
+		Roster:     func() []ownership.Member { r, _ := n.machine.Roster(); return r },
+		FreeSlots:  func() []member.ServiceFree { return []member.ServiceFree{{Service: "torquebench", Free: i}} },
+		IsDraining: func() bool { return n.controller.Draining() },
+		Random:     rand.New(rand.NewPCG(uint64(i), 1)),
 	})
 	n.controller = ownership.NewController(ownership.Config{
 		Self: n.id, Address: n.address, Machine: n.machine, Proposer: n, Follower: n,
--- a/internal/plan/advice_test.go
+++ b/internal/plan/advice_test.go
@@ -31,7 +31,7 @@
 		w.pass(2 * time.Second)
 		w.report("e0", nil, nil)
 		w.report("e1", nil, nil)
-		w.job(1, testAdvised, work.Step{Tasks: 1, Need: cpus(4), Estimate: time.Second})
+		w.job(1, testAdvised, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Second})
 		So(w.cycle(), ShouldBeEmpty)
 		asks := w.cell.AdviceCalls(w.now, anybody{})
 		So(asks, ShouldHaveLength, 1)
--- a/internal/plan/avoid_test.go
+++ b/internal/plan/avoid_test.go
@@ -14,7 +14,7 @@
 	Convey("Given an executor on which tasks of two jobs failed in a row", t, func() {
 		w := newWorld(t, 1)
 		for n := byte(1); n <= 2; n++ {
-			w.job(n, testQueue, work.Step{Tasks: 1, Need: cpus(4), Estimate: time.Second})
+			w.job(n, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Second})
 		}
 		orders := w.cycle()
 		So(orders, ShouldHaveLength, 2)
@@ -51,7 +51,7 @@
 	})
 	Convey("A task that failed goes to another executor", t, func() {
 		w := newWorld(t, 2)
-		w.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(4), Estimate: time.Second})
+		w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Second})
 		orders := w.cycle()
 		w.startAll(orders)
 		at := orders[0].Start.To.ID
@@ -66,7 +66,7 @@
 	w := newWorld(t, 1)
 	var failed []platform.EndedRun
 	for n := byte(1); n <= 2; n++ {
-		w.job(n, testQueue, work.Step{Tasks: 1, Need: cpus(4), Estimate: time.Second})
+		w.job(n, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Second})
 	}
 	orders := w.cycle()
 	w.startAll(orders)
@@ -77,7 +77,7 @@
 	for n := byte(1); n <= 2; n++ {
 		w.cell.Cancel(work.ID{n})
 	}
-	w.job(3, testQueue, work.Step{Tasks: 2, Need: cpus(4), Estimate: time.Second, Gang: true})
+	w.job(3, testQueue, work.Step{TaskCount: 2, TaskResources: cpus(4), Estimate: time.Second, Gang: true})
 	for range 40 {
 		w.pass(500 * time.Millisecond)
 		w.report("e0", nil, nil)
--- a/internal/plan/backlog.go
+++ b/internal/plan/backlog.go
@@ -44,7 +44,7 @@
 // AheadOf returns the part of the backlog that would start before a new job: steps that can
 // be in time and whose latest start is not after that of the job.
 func (b Backlog) AheadOf(j *work.Job, q *queue.Queue, now time.Time) Backlog {
-	latestStart := now.Add(objectiveFor(j, q) - j.Chain())
+	latestStart := now.Add(objectiveFor(j, q) - j.CriticalPath())
 	ahead := Backlog{milliCPU: b.milliCPU}
 	for _, w := range b.steps {
 		if w.rank.lateness == inTime && !w.rank.latestStart.After(latestStart) {
@@ -80,7 +80,7 @@
 	total := 0.0
 	for i := range j.Steps {
 		s := &j.Steps[i]
-		total += milliCPUSecondsOf(s, s.Tasks)
+		total += milliCPUSecondsOf(s, s.TaskCount)
 	}
 	return b.timeOnFleet(total)
 }
@@ -88,7 +88,7 @@
 // milliCPUSecondsOf returns the work of a number of tasks of a step, in thousandths of a
 // processor times seconds.
 func milliCPUSecondsOf(step *work.Step, tasks int) float64 {
-	return float64(tasks) * float64(step.Need.MilliCPU) * step.Estimate.Seconds()
+	return float64(tasks) * float64(step.TaskResources.MilliCPU) * step.Estimate.Seconds()
 }
 
 // timeOnFleet returns how long all executors together need for an amount of work, or 0 if
@@ -155,5 +155,5 @@
 	if j.LongRunning() || j.Repetitions > 0 {
 		return admission.BacklogThreshold
 	}
-	return min(admission.BacklogThreshold, overdueFactor*objectiveFor(j, q)-j.Chain())
+	return min(admission.BacklogThreshold, overdueFactor*objectiveFor(j, q)-j.CriticalPath())
 }
--- a/internal/plan/begun_test.go
+++ b/internal/plan/begun_test.go
@@ -12,7 +12,7 @@
 func TestJobIsPendingUntilARunIsKnown(t *testing.T) {
 	Convey("Given a job whose start has been sent", t, func() {
 		w := newWorld(t, 1)
-		j := w.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(1), Estimate: time.Minute})
+		j := w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(1), Estimate: time.Minute})
 		orders := w.cycle()
 		So(orders, ShouldHaveLength, 1)
 		state := func() work.State {
--- a/internal/plan/bench_test.go
+++ b/internal/plan/bench_test.go
@@ -44,7 +44,7 @@
 	}
 	c.UpdateExecutors(listed, now)
 	c.AddJob(&work.Job{ID: work.ID{3}, Queue: testQueue, Service: testService, Steps: []work.Step{{
-		Tasks: 6 * executors, Need: api.Resources{MilliCPU: 5500, MemoryMB: 7900}, Estimate: 3 * time.Second, Checkpoints: true,
+		TaskCount: 6 * executors, TaskResources: api.Resources{MilliCPU: 5500, MemoryMB: 7900}, Estimate: 3 * time.Second, SavesCheckpoints: true,
 	}}}, nil, now.UnixMilli(), now)
 	rosters := c.jobs[work.ID{3}].activeOccurrences[0].steps[0]
 	c.waitingSteps = nil // all of it is at work
@@ -61,7 +61,7 @@
 	}
 	for i := range executors {
 		j := &work.Job{ID: work.ID{2, byte(i), byte(i >> 8)}, Queue: testAdvised, Service: testService, Steps: []work.Step{{
-			Tasks: 16, Need: api.Resources{MilliCPU: 5500, MemoryMB: 7900}, Estimate: 3 * time.Second, Gang: i%3 == 0,
+			TaskCount: 16, TaskResources: api.Resources{MilliCPU: 5500, MemoryMB: 7900}, Estimate: 3 * time.Second, Gang: i%3 == 0,
 		}}}
 		c.AddJob(j, nil, now.UnixMilli(), now)
 		var named []string
--- a/internal/plan/canary.go
+++ b/internal/plan/canary.go
@@ -30,7 +30,7 @@
 
 // canary holds what the tasks of a step have lost since one of them last did well.
 type canary struct {
-	lostExecutors map[work.Life]struct{}
+	lostExecutors map[work.ExecutorIncarnation]struct{}
 	longestRun    time.Duration // longest time from the order of a lost run to the loss of its executor
 	active        bool          // the step starts one task at a time
 }
@@ -49,7 +49,7 @@
 	}
 	k := j.canaries[step]
 	if k == nil {
-		k = &canary{lostExecutors: make(map[work.Life]struct{})}
+		k = &canary{lostExecutors: make(map[work.ExecutorIncarnation]struct{})}
 		j.canaries[step] = k
 	}
 	return k
--- a/internal/plan/canary_test.go
+++ b/internal/plan/canary_test.go
@@ -27,7 +27,7 @@
 	p := newCrashPlay(t, executors, crashingJobs(1))
 	p.crowd(10, 58)
 	p.runFor(5 * time.Second)
-	bad := p.job(1, testQueue, work.Step{Tasks: tasks, Need: cpus(2), Estimate: time.Second})
+	bad := p.job(1, testQueue, work.Step{TaskCount: tasks, TaskResources: cpus(2), Estimate: time.Second})
 	p.runFor(90 * time.Second)
 	p.checkBudget()
 	if p.lost > firstWave+afterwards {
@@ -40,7 +40,7 @@
 
 func TestJobsOfAnImageThatWasGivenUpAreTriedOneTaskAtATime(t *testing.T) {
 	p := newCrashPlay(t, 48, crashingJobs(1, 2))
-	image := work.Step{Tasks: 100, Need: cpus(2), Estimate: time.Second, Image: "crashing"}
+	image := work.Step{TaskCount: 100, TaskResources: cpus(2), Estimate: time.Second, Image: "crashing"}
 	p.job(1, testQueue, image)
 	p.runFor(30 * time.Second)
 	before := p.lost
@@ -59,7 +59,7 @@
 
 func TestTrialOfAHealthyStepEndsWithItsFirstGoodRun(t *testing.T) {
 	p := newCrashPlay(t, 12, crashers())
-	j := p.job(1, testQueue, work.Step{Tasks: 150, Need: cpus(2), Estimate: time.Second})
+	j := p.job(1, testQueue, work.Step{TaskCount: 150, TaskResources: cpus(2), Estimate: time.Second})
 	p.runFor(300 * time.Millisecond)
 	for _, id := range p.ids()[:4] {
 		p.crash(id)
@@ -79,7 +79,7 @@
 // task that has lost one before.
 func TestCrashWithWhichCanariesBeginBlamesNobody(t *testing.T) {
 	w := newWorld(t, 3)
-	j := w.job(1, testQueue, work.Step{Tasks: 3, Need: cpus(30), Estimate: time.Minute})
+	j := w.job(1, testQueue, work.Step{TaskCount: 3, TaskResources: cpus(30), Estimate: time.Minute})
 	w.startAll(w.cycle())
 	tasks := w.cell.jobs[j.ID].activeOccurrences[0].steps[0].tasks
 	tasks[2].losses.crashes = 1
--- a/internal/plan/candidates.go
+++ b/internal/plan/candidates.go
@@ -106,7 +106,7 @@
 		freedByPreemption = f.preemptible(q)
 	}
 	for i, v := range f.vms {
-		if v.closedTo(s, f.now) || v.Service != q.Service || (s.spec.Label != "" && !v.HasLabel(s.spec.Label)) {
+		if v.closedTo(s, f.now) || v.Service != q.Service || (s.spec.RequiredLabel != "" && !v.HasLabel(s.spec.RequiredLabel)) {
 			continue
 		}
 		available := free[i].Sub(v.tentative).Sub(v.nominated)
@@ -138,7 +138,7 @@
 // fills, by the score that also decides its placement.
 func (c *Cell) chooseCandidates(cands []candidate, s *step, q *queue.Queue, tasks, limit int) []candidate {
 	for i := range cands {
-		cands[i].placementScore = c.score(s, cands[i].vm, cands[i].vm.free().Sub(s.spec.Need))
+		cands[i].placementScore = c.score(s, cands[i].vm, cands[i].vm.free().Sub(s.spec.TaskResources))
 	}
 	slices.SortStableFunc(cands, func(x, y candidate) int {
 		switch {
--- a/internal/plan/candidates_test.go
+++ b/internal/plan/candidates_test.go
@@ -28,7 +28,7 @@
 		// On the test's queue naming 5 executors takes half of a call's fixed time.
 
 		Convey("a call about a small step names few, and only with room", func() {
-			w.job(1, testAdvised, work.Step{Tasks: 2, Need: cpus(16), Estimate: time.Second})
+			w.job(1, testAdvised, work.Step{TaskCount: 2, TaskResources: cpus(16), Estimate: time.Second})
 			w.cycle()
 			asks := w.cell.AdviceCalls(w.now, anybody{})
 			So(asks, ShouldHaveLength, 1)
@@ -38,7 +38,7 @@
 			}
 		})
 		Convey("a call about a wide one names as many as promise it room", func() {
-			w.job(1, testAdvised, work.Step{Tasks: 20, Need: cpus(9), Estimate: time.Second, Gang: true})
+			w.job(1, testAdvised, work.Step{TaskCount: 20, TaskResources: cpus(9), Estimate: time.Second, Gang: true})
 			w.cycle()
 			asks := w.cell.AdviceCalls(w.now, anybody{})
 			So(asks, ShouldHaveLength, 1)
@@ -63,7 +63,7 @@
 			})
 		})
 		Convey("a gang of which half the tickets have lapsed renews just these", func() {
-			w.job(1, testAdvised, work.Step{Tasks: 20, Need: cpus(9), Estimate: time.Second, Gang: true})
+			w.job(1, testAdvised, work.Step{TaskCount: 20, TaskResources: cpus(9), Estimate: time.Second, Gang: true})
 			w.cycle()
 			first := w.cell.AdviceCalls(w.now, anybody{})
 			w.cell.HandleGrants(first[0], grants(first[0].Executors[:4]...), 2*time.Second, w.now)
@@ -82,10 +82,10 @@
 			So(renewal[0].Executors, ShouldResemble, first[0].Executors[:4])
 		})
 		Convey("room that is expected and doesn't come is waited for once", func() {
-			w.job(1, testQueue, work.Step{Tasks: 12, Need: cpus(32), Estimate: time.Second})
+			w.job(1, testQueue, work.Step{TaskCount: 12, TaskResources: cpus(32), Estimate: time.Second})
 			w.startAll(w.cycle()) // on executors 100 to 111, which are the only ones with room
 			w.fill(112, 150)
-			w.job(2, testAdvised, work.Step{Tasks: 20, Need: cpus(9), Estimate: time.Second, Gang: true})
+			w.job(2, testAdvised, work.Step{TaskCount: 20, TaskResources: cpus(9), Estimate: time.Second, Gang: true})
 			w.cycle()
 			asks := w.cell.AdviceCalls(w.now, anybody{})
 			So(asks, ShouldHaveLength, 1)
@@ -114,7 +114,7 @@
 		})
 		Convey("where none has room, none is asked about twice", func() {
 			w.fill(100, 150)
-			w.job(1, testAdvised, work.Step{Tasks: 20, Need: cpus(9), Estimate: time.Second, Gang: true})
+			w.job(1, testAdvised, work.Step{TaskCount: 20, TaskResources: cpus(9), Estimate: time.Second, Gang: true})
 			w.cycle()
 			asks := w.cell.AdviceCalls(w.now, anybody{})
 			So(asks, ShouldHaveLength, 1)
--- a/internal/plan/cell.go
+++ b/internal/plan/cell.go
@@ -126,7 +126,7 @@
 	if c.Knows(spec.ID) {
 		return false
 	}
-	age := time.Duration(max(0, wallMillis-spec.Accepted)) * time.Millisecond
+	age := time.Duration(max(0, wallMillis-spec.AcceptedMs)) * time.Millisecond
 	j := &job{spec: spec, arrivedAt: now.Add(-min(age, maxAge))}
 	c.jobs[spec.ID] = j
 	c.enableCanaries(j, now)
@@ -202,7 +202,7 @@
 func (c *Cell) StartDueOccurrences(wallMillis int64, now time.Time) {
 	remaining := c.recurringJobs[:0]
 	for _, j := range c.recurringJobs {
-		for j.nextOccurrence < j.spec.Occurrences() && j.spec.Due(j.nextOccurrence) <= wallMillis && !j.state.Final() {
+		for j.nextOccurrence < j.spec.Occurrences() && j.spec.DueMs(j.nextOccurrence) <= wallMillis && !j.state.Final() {
 			c.startOccurrence(j, now)
 		}
 		if j.nextOccurrence < j.spec.Occurrences() && !j.state.Final() {
--- a/internal/plan/config.go
+++ b/internal/plan/config.go
@@ -33,7 +33,7 @@
 	// MaxOrderDelay is how long after it was sent an unconfirmed order may be carried out.
 	MaxOrderDelay time.Duration
 	// FormerLeaderRenewal is how long after a takeover the former leader may have extended
-	// leases (leader.Timing.LeaseRenewal).
+	// leases (leader.Timing.LeaseRenewalWindow).
 	FormerLeaderRenewal time.Duration
 	// MaxReportAge is the age of an executor's last report above which it is given no new
 	// work. A report comes at least every hold wait (1 s).
--- a/internal/plan/crash_random_test.go
+++ b/internal/plan/crash_random_test.go
@@ -42,7 +42,7 @@
 
 func (r *randomCrashes) submit(n byte) {
 	job := r.job(n, testQueue, work.Step{
-		Tasks: 1 + r.rand.IntN(8), Need: cpus(1 + r.rand.Int64N(8)), Estimate: time.Second, Gang: r.rand.IntN(4) == 0,
+		TaskCount: 1 + r.rand.IntN(8), TaskResources: cpus(1 + r.rand.Int64N(8)), Estimate: time.Second, Gang: r.rand.IntN(4) == 0,
 	})
 	r.bad[job.ID] = r.rand.IntN(crashBad) == 0
 }
--- a/internal/plan/crash_test.go
+++ b/internal/plan/crash_test.go
@@ -13,7 +13,7 @@
 	var crowd []*work.Job
 	for i := range jobs {
 		p.after(time.Duration(i)*time.Second, func() {
-			crowd = append(crowd, p.job(first+byte(i), testQueue, work.Step{Tasks: 6, Need: cpus(4), Estimate: time.Second}))
+			crowd = append(crowd, p.job(first+byte(i), testQueue, work.Step{TaskCount: 6, TaskResources: cpus(4), Estimate: time.Second}))
 		})
 	}
 	p.t.Cleanup(func() {
@@ -44,8 +44,8 @@
 	p.crowd(10, 58)
 	p.runFor(5 * time.Second)
 	bad := []*work.Job{
-		p.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(2), Estimate: time.Second}),
-		p.job(2, testQueue, work.Step{Tasks: 1, Need: cpus(2), Estimate: time.Second}),
+		p.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(2), Estimate: time.Second}),
+		p.job(2, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(2), Estimate: time.Second}),
 	}
 	p.runFor(115 * time.Second)
 	p.checkBudget()
@@ -61,7 +61,7 @@
 	p.runFor(time.Second)
 	p.crash("e0")
 	p.runFor(100 * time.Millisecond)
-	j := p.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(2), Estimate: time.Second})
+	j := p.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(2), Estimate: time.Second})
 	p.runFor(crashedFor)
 	if state := p.state(j.ID); state != work.Completed {
 		t.Errorf("the job is %v", state)
@@ -75,10 +75,10 @@
 func TestCrashesOfAThirdOfTheExecutorsFailNoHealthyJob(t *testing.T) {
 	p := newCrashPlay(t, 12, crashers(1, 2, 3, 4, 5, 6))
 	p.crowd(10, 58)
-	gang := p.job(7, testQueue, work.Step{Tasks: 24, Need: cpus(9), Estimate: time.Second, Gang: true})
+	gang := p.job(7, testQueue, work.Step{TaskCount: 24, TaskResources: cpus(9), Estimate: time.Second, Gang: true})
 	for n := byte(1); n <= 6; n++ {
 		p.after(time.Duration(n)*3*time.Second, func() {
-			p.job(n, testQueue, work.Step{Tasks: 4, Need: cpus(2), Estimate: time.Second})
+			p.job(n, testQueue, work.Step{TaskCount: 4, TaskResources: cpus(2), Estimate: time.Second})
 		})
 	}
 	for i := range 3 {
@@ -108,7 +108,7 @@
 func TestLeadersInTurnKeepTheCountOfCrashes(t *testing.T) {
 	p := newCrashPlay(t, 12, crashers(1))
 	p.crowd(10, 20)
-	bad := p.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(2), Estimate: time.Second})
+	bad := p.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(2), Estimate: time.Second})
 	for range 12 {
 		p.runFor(3300 * time.Millisecond)
 		p.lead()
@@ -122,7 +122,7 @@
 
 func TestExecutorsThatAreCutOffOrLeaveAccuseNobody(t *testing.T) {
 	p := newCrashPlay(t, 4, func(work.TaskKey) behaviour { return behaviour{takes: 40 * time.Second} })
-	j := p.job(1, testQueue, work.Step{Tasks: 8, Need: cpus(4), Estimate: 40 * time.Second})
+	j := p.job(1, testQueue, work.Step{TaskCount: 8, TaskResources: cpus(4), Estimate: 40 * time.Second})
 	p.runFor(time.Second)
 	for range 3 {
 		for _, id := range p.ids() {
@@ -155,7 +155,7 @@
 
 func TestServiceThatRunsWellIsNotBlamedForLaterCrashes(t *testing.T) {
 	p := newCrashPlay(t, 4, func(work.TaskKey) behaviour { return behaviour{takes: time.Hour} })
-	j := p.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(2), Estimate: time.Second, LongRunning: true})
+	j := p.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(2), Estimate: time.Second, LongRunning: true})
 	for range 8 {
 		p.runFor(lossForgetTime + 2*time.Second)
 		p.crash(p.cell.jobs[j.ID].activeOccurrences[0].steps[0].tasks[0].incarnation.ID)
@@ -180,10 +180,10 @@
 
 func TestServiceThatCrashesItsExecutorsIsNotStartedForEver(t *testing.T) {
 	p := newCrashPlay(t, 6, crashers(1))
-	p.checkFails(30, work.Step{Tasks: 3, Need: cpus(2), Estimate: time.Second, LongRunning: true}, 60*time.Second)
+	p.checkFails(30, work.Step{TaskCount: 3, TaskResources: cpus(2), Estimate: time.Second, LongRunning: true}, 60*time.Second)
 }
 
 func TestGangWithATaskThatCrashesItsExecutorsIsNotStartedForEver(t *testing.T) {
 	p := newCrashPlay(t, 12, crashers(1))
-	p.checkFails(50, work.Step{Tasks: 10, Need: cpus(9), Estimate: time.Second, Gang: true}, 90*time.Second)
+	p.checkFails(50, work.Step{TaskCount: 10, TaskResources: cpus(9), Estimate: time.Second, Gang: true}, 90*time.Second)
 }
--- a/internal/plan/end_test.go
+++ b/internal/plan/end_test.go
@@ -13,7 +13,7 @@
 func TestEnds(t *testing.T) {
 	Convey("Given a job of one task that runs", t, func() {
 		w := newWorld(t, 1)
-		j := w.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(4), Estimate: time.Second})
+		j := w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Second})
 		orders := w.cycle()
 		So(orders, ShouldHaveLength, 1)
 		w.startAll(orders)
--- a/internal/plan/foreign_test.go
+++ b/internal/plan/foreign_test.go
@@ -47,7 +47,7 @@
 }
 
 func oneTask(cpu int64) work.Step {
-	return work.Step{Tasks: 1, Need: cpus(cpu), Estimate: time.Minute}
+	return work.Step{TaskCount: 1, TaskResources: cpus(cpu), Estimate: time.Minute}
 }
 
 func TestExecutorsOfServicesThatAreNotConfigured(t *testing.T) {
@@ -80,7 +80,7 @@
 			w.list("f", "e0", testService)
 			So(w.called(), ShouldResemble, []string{"e0", "f"})
 			w.report("f", nil, nil)
-			w.job(1, testQueue, work.Step{Tasks: 2, Need: cpus(32), Estimate: time.Minute})
+			w.job(1, testQueue, work.Step{TaskCount: 2, TaskResources: cpus(32), Estimate: time.Minute})
 			So(w.cycle(), ShouldHaveLength, 2)
 		})
 		Convey("without a configuration nothing is called", func() {
--- a/internal/plan/gang_test.go
+++ b/internal/plan/gang_test.go
@@ -12,7 +12,7 @@
 
 func TestGang(t *testing.T) {
 	gang := func(tasks int) work.Step {
-		return work.Step{Tasks: tasks, Need: cpus(12), Estimate: time.Second, Gang: true}
+		return work.Step{TaskCount: tasks, TaskResources: cpus(12), Estimate: time.Second, Gang: true}
 	}
 	Convey("Given two executors with room for two tasks of twelve processors each", t, func() {
 		w := newWorld(t, 2)
@@ -90,7 +90,7 @@
 		w := newWorld(t, 1)
 		w.listed["e0"].Draining = true
 		w.cell.UpdateExecutors(w.listed, w.now)
-		w.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(1), Estimate: time.Second})
+		w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(1), Estimate: time.Second})
 		So(w.cycle(), ShouldBeEmpty)
 	})
 }
@@ -98,7 +98,7 @@
 func TestUnknownRunsAreStoppedAndHoldTheirRoom(t *testing.T) {
 	Convey("Given a run of a job that ended under a former leader", t, func() {
 		w := newWorld(t, 1)
-		j := w.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(30), Estimate: time.Minute})
+		j := w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(30), Estimate: time.Minute})
 		orders := w.cycle()
 		w.startAll(orders)
 		w.cell.Cancel(j.ID)
@@ -108,7 +108,7 @@
 
 		Convey("it is stopped, and nothing takes its room before its end is listed", func() {
 			So(w.cell.TakeStops(w.now), ShouldHaveLength, 1)
-			w.job(2, testQueue, work.Step{Tasks: 1, Need: cpus(10), Estimate: time.Second})
+			w.job(2, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(10), Estimate: time.Second})
 			So(w.cycle(), ShouldBeEmpty)
 			w.report("e0", nil, ended(1, orders[0].Start.Run, platform.EndStopped))
 			So(w.cycle(), ShouldHaveLength, 1)
--- a/internal/plan/harness_test.go
+++ b/internal/plan/harness_test.go
@@ -125,7 +125,7 @@
 
 // job hands in a job of one step.
 func (w *world) job(n byte, queueName string, s work.Step) *work.Job {
-	j := &work.Job{ID: work.ID{n}, Queue: queueName, Service: testService, Accepted: w.now.UnixMilli(), Steps: []work.Step{s}}
+	j := &work.Job{ID: work.ID{n}, Queue: queueName, Service: testService, AcceptedMs: w.now.UnixMilli(), Steps: []work.Step{s}}
 	w.add(j)
 	return j
 }
--- a/internal/plan/incarnation.go
+++ b/internal/plan/incarnation.go
@@ -25,14 +25,14 @@
 	if !v.hasReported {
 		return false
 	}
-	return !v.Ref.Life().Same(work.Life{ID: v.Ref.ID, Born: r.Born}) || r.Clock < v.clock
+	return !v.Ref.Life().Matches(work.ExecutorIncarnation{ID: v.Ref.ID, StartTimeMs: r.Born}) || r.Clock < v.clock
 }
 
 // holdAddress returns the address for a hold that opens a connection. If the newest record
 // is of another incarnation, which may run elsewhere, holds alternate between its address
 // and the known one.
 func (v *vm) holdAddress() string {
-	if v.registryRecord == nil || v.registryRecord.Ref.Life().Same(v.Ref.Life()) {
+	if v.registryRecord == nil || v.registryRecord.Ref.Life().Matches(v.Ref.Life()) {
 		return v.Ref.Address
 	}
 	v.useRegisteredAddress = !v.useRegisteredAddress
@@ -48,7 +48,7 @@
 		return
 	}
 	v.Ref.Born = startedMillis
-	v.hasOwnRecord = v.registryRecord != nil && v.registryRecord.Ref.Life().Same(v.Ref.Life())
+	v.hasOwnRecord = v.registryRecord != nil && v.registryRecord.Ref.Life().Matches(v.Ref.Life())
 }
 
 // replaceIncarnation replaces an executor by its next incarnation, which has just answered.
@@ -62,7 +62,7 @@
 	next.Executor = v.Executor // until its own record is read
 	next.Ref = ref
 	next.registered, next.registeredAddress, next.registryRecord, next.formerIncarnations = v.registered, v.registeredAddress, v.registryRecord, v.formerIncarnations+1
-	if next.registryRecord != nil && next.registryRecord.Ref.Life().Same(ref.Life()) {
+	if next.registryRecord != nil && next.registryRecord.Ref.Life().Matches(ref.Life()) {
 		next.describe(next.registryRecord, now)
 	}
 	next.inheritedLeaseExpiry = now.Add(c.cfg.maxLeaseDuration())
@@ -153,7 +153,7 @@
 // removed or another incarnation has answered since.
 func (c *Cell) currentVM(ref platform.ExecutorRef, token uint64) *vm {
 	v := c.vms[ref.ID]
-	if v == nil || !v.Ref.Life().Same(ref.Life()) || token != c.fencingToken(v) {
+	if v == nil || !v.Ref.Life().Matches(ref.Life()) || token != c.fencingToken(v) {
 		return nil
 	}
 	return v
--- a/internal/plan/job.go
+++ b/internal/plan/job.go
@@ -65,14 +65,14 @@
 	lastRun      uint32 // number of the newest run
 	failures     int
 	losses       losses
-	lastLostOn   work.Life // executor incarnation with which the newest lost run was lost
+	lastLostOn   work.ExecutorIncarnation // executor incarnation with which the newest lost run was lost
 	checkpoint   string
-	allocations  int            // number of runs that may exist
-	incarnation  work.Life      // executor incarnation of the newest run
-	deferral     *startDeferral // nil if the task is not deferred
-	lastFailedOn *vm            // executor of the newest failed run
-	preemptions  int            // how often a run was preempted
-	moves        int            // how often a run was stopped because its executor was slow
+	allocations  int                      // number of runs that may exist
+	incarnation  work.ExecutorIncarnation // executor incarnation of the newest run
+	deferral     *startDeferral           // nil if the task is not deferred
+	lastFailedOn *vm                      // executor of the newest failed run
+	preemptions  int                      // how often a run was preempted
+	moves        int                      // how often a run was stopped because its executor was slow
 }
 
 func (s *step) key() work.StepKey {
@@ -111,8 +111,8 @@
 func newOccurrence(j *job, number int, due time.Time) *occurrence {
 	o := &occurrence{number: number, due: due, stepsLeft: len(j.spec.Steps)}
 	for i := range j.spec.Steps {
-		s := &step{job: j, occ: o, index: i, spec: &j.spec.Steps[i], remainingTime: j.spec.Remaining(i)}
-		s.tasks = make([]*task, s.spec.Tasks)
+		s := &step{job: j, occ: o, index: i, spec: &j.spec.Steps[i], remainingTime: j.spec.CriticalPathFrom(i)}
+		s.tasks = make([]*task, s.spec.TaskCount)
 		for k := range s.tasks {
 			s.tasks[k] = &task{step: s, index: k}
 		}
@@ -123,7 +123,7 @@
 
 // dependenciesComplete reports whether all steps that s depends on have ended.
 func (o *occurrence) dependenciesComplete(s *step) bool {
-	for _, dependency := range s.spec.After {
+	for _, dependency := range s.spec.DependsOn {
 		if !o.steps[dependency].complete() {
 			return false
 		}
@@ -135,9 +135,9 @@
 // should end.
 func objectiveFor(j *work.Job, q *queue.Queue) time.Duration {
 	if q == nil {
-		return j.Chain()
+		return j.CriticalPath()
 	}
-	return q.LatencyObjective(j.Chain())
+	return q.LatencyObjective(j.CriticalPath())
 }
 
 // latencyStart returns the time from which the occurrence's latency counts.
@@ -163,22 +163,22 @@
 
 // progressRecord returns the durable record of the job.
 func (j *job) progressRecord() *work.Progress {
-	p := &work.Progress{State: j.state, Finished: j.endedBelow}
+	p := &work.Progress{State: j.state, FinishedBelow: j.endedBelow}
 	if j.state.Final() {
 		return p
 	}
 	for number := range j.endedOccurrences {
-		p.Ended = append(p.Ended, number)
+		p.FinishedOutOfOrder = append(p.FinishedOutOfOrder, number)
 	}
-	slices.Sort(p.Ended)
-	indexes := make(map[work.Life]int)
+	slices.Sort(p.FinishedOutOfOrder)
+	indexes := make(map[work.ExecutorIncarnation]int)
 	for _, o := range j.activeOccurrences {
 		p.Occurrences = append(p.Occurrences, o.progressRecord(p, indexes))
 	}
 	return p
 }
 
-func (o *occurrence) progressRecord(p *work.Progress, indexes map[work.Life]int) work.Occurrence {
+func (o *occurrence) progressRecord(p *work.Progress, indexes map[work.ExecutorIncarnation]int) work.Occurrence {
 	out := work.Occurrence{Number: o.number}
 	for _, s := range o.steps {
 		row := make([]work.TaskProgress, len(s.tasks))
@@ -187,7 +187,7 @@
 			row[i].Crashes, row[i].Losses = t.losses.counters()
 			if t.phase == work.Started || (t.phase == work.Pending && (t.allocations > 0 || t.deferral != nil)) {
 				row[i].Phase = work.Started
-				row[i].VM = incarnationIndex(p, indexes, t.incarnation)
+				row[i].ExecutorIndex = incarnationIndex(p, indexes, t.incarnation)
 			}
 		}
 		out.Steps = append(out.Steps, row)
@@ -197,12 +197,12 @@
 
 // incarnationIndex returns the index of an executor incarnation in the record's list, and
 // adds it if it is missing.
-func incarnationIndex(p *work.Progress, indexes map[work.Life]int, incarnation work.Life) int {
+func incarnationIndex(p *work.Progress, indexes map[work.ExecutorIncarnation]int, incarnation work.ExecutorIncarnation) int {
 	i, ok := indexes[incarnation]
 	if !ok {
-		i = len(p.VMs)
+		i = len(p.Executors)
 		indexes[incarnation] = i
-		p.VMs = append(p.VMs, incarnation)
+		p.Executors = append(p.Executors, incarnation)
 	}
 	return i
 }
--- a/internal/plan/lease_test.go
+++ b/internal/plan/lease_test.go
@@ -14,7 +14,7 @@
 func TestLeases(t *testing.T) {
 	Convey("Given a task on an executor that falls silent", t, func() {
 		w := newWorld(t, 2)
-		w.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(4), Estimate: 20 * time.Second})
+		w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: 20 * time.Second})
 		orders := w.cycle()
 		So(orders, ShouldHaveLength, 1)
 		w.startAll(orders)
@@ -68,7 +68,7 @@
 	})
 	Convey("Given a start without an answer", t, func() {
 		w := newWorld(t, 1)
-		w.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(4), Estimate: time.Second})
+		w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Second})
 		orders := w.cycle()
 		w.cell.HandleStartAnswer(orders[0].Start, platform.ErrNoAnswer, w.now)
 		stops := w.cell.TakeStops(w.now)
@@ -107,7 +107,7 @@
 	for name, known := range map[string]bool{"a run that it took over": true, "a run of a job that had ended": false} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, 1)
-			job := w.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(4), Estimate: 20 * time.Second})
+			job := w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: 20 * time.Second})
 			orders := w.cycle()
 			w.startAll(orders)
 			run := orders[0].Start.Run
--- a/internal/plan/life_test.go
+++ b/internal/plan/life_test.go
@@ -64,7 +64,7 @@
 	p.reuseIDs(shortlyAway)
 	p.runFor(5 * time.Minute) // by which the clocks are ahead of those of later lives
 	p.startFate = fate{late: time.Hour}
-	j := p.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(2), Estimate: time.Second})
+	j := p.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(2), Estimate: time.Second})
 	p.runFor(playCycle + 10*time.Millisecond)
 	p.startFate = fate{}
 	for _, id := range p.ids() {
@@ -78,7 +78,7 @@
 
 func TestTaskIsNotPlacedOnAnExecutorWhoseLifeIsOver(t *testing.T) {
 	w := newWorld(t, 2)
-	w.job(1, testAdvised, work.Step{Tasks: 2, Need: cpus(20), Estimate: time.Second})
+	w.job(1, testAdvised, work.Step{TaskCount: 2, TaskResources: cpus(20), Estimate: time.Second})
 	asks := w.cell.AdviceCalls(w.now, anybody{})
 	w.cell.HandleGrants(asks[0], []platform.Grant{{Executor: "e0", Ticket: "t0"}, {Executor: "e1", Ticket: "t1"}}, 2*time.Second, w.now)
 	orders := w.cycle()
@@ -97,7 +97,7 @@
 
 func TestHoldThatOpensAConnectionAcknowledgesNothing(t *testing.T) {
 	w := newWorld(t, 1)
-	w.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(2), Estimate: time.Second})
+	w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(2), Estimate: time.Second})
 	orders := w.cycle()
 	w.startAll(orders)
 	w.report("e0", nil, ended(3, orders[0].Start.Run, platform.EndDone))
@@ -167,7 +167,7 @@
 
 func TestClockThatWentBackIsANewLife(t *testing.T) {
 	w := newWorldOfLives(t, 1)
-	w.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(4), Estimate: time.Minute})
+	w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Minute})
 	orders := w.cycle()
 	w.startAll(orders)
 	for range 2 {
@@ -183,7 +183,7 @@
 	next := platform.ExecutorReport{Born: bornNext, Clock: 10}
 	w.answer("e0", next)
 	w.answer("e0", next)
-	w.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(4), Estimate: time.Second})
+	w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Second})
 	if orders := w.cycle(); len(orders) != 0 {
 		t.Fatal("a task is started on a life of which no record was read")
 	}
@@ -208,7 +208,7 @@
 	for name, reached := range map[string]bool{"the order has reached the next life": true, "it has not": false} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorldOfLives(t, 2)
-			w.job(1, testAdvised, work.Step{Tasks: 1, Need: cpus(4), Estimate: time.Minute})
+			w.job(1, testAdvised, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Minute})
 			orders := w.advisedCycle()
 			w.startAll(orders)
 			run := orders[0].Start.Run
@@ -231,7 +231,7 @@
 
 func TestTicketOfAFormerLifeIsNotUsed(t *testing.T) {
 	w := newWorldOfLives(t, 1)
-	w.job(1, testAdvised, work.Step{Tasks: 1, Need: cpus(4), Estimate: time.Second})
+	w.job(1, testAdvised, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Second})
 	w.cycle()
 	asks := w.cell.AdviceCalls(w.now, anybody{})
 	next := platform.ExecutorReport{Born: bornNext, Clock: 10}
@@ -298,7 +298,7 @@
 				w.answer("e0", platform.ExecutorReport{Born: c.born, Clock: w.clock})
 				w.answer("e1", platform.ExecutorReport{Born: c.born, Clock: w.clock})
 			}
-			w.job(1, c.queue, work.Step{Tasks: 1, Need: cpus(4), Estimate: time.Second})
+			w.job(1, c.queue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Second})
 			orders := w.advisedCycle()
 			w.cell.HandleStartAnswer(orders[0].Start, platform.ErrNoAnswer, w.now)
 			silent := orders[0].Start.To.ID
@@ -313,7 +313,7 @@
 func TestLeaseOfALifeThatMayHaveGotOrdersForAFormerOneIsTheLongest(t *testing.T) {
 	cfg := DefaultConfig()
 	w := newWorldOfLives(t, 2)
-	w.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(4), Estimate: time.Minute})
+	w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Minute})
 	orders := w.cycle()
 	w.startAll(orders)
 	silent := orders[0].Start.To.ID
@@ -330,7 +330,7 @@
 // startedByFormerLeader has a task started on a life of an executor, and another leader take
 // over.
 func (w *world) startedByFormerLeader() (*task, string) {
-	job := w.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(4), Estimate: time.Minute})
+	job := w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Minute})
 	orders := w.cycle()
 	w.startAll(orders)
 	w.takeOver()
@@ -355,7 +355,7 @@
 		w.answer(id, platform.ExecutorReport{Born: bornNext, Clock: w.clock})
 		w.answer(id, platform.ExecutorReport{Born: bornNext, Clock: w.clock})
 	}
-	job := w.job(1, testAdvised, work.Step{Tasks: 1, Need: cpus(4), Estimate: time.Minute})
+	job := w.job(1, testAdvised, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Minute})
 	orders := w.advisedCycle()
 	w.startAll(orders)
 	id := orders[0].Start.To.ID
@@ -374,7 +374,7 @@
 	p := newCrashPlay(t, 2, crashers(1))
 	p.reuseIDs(shortlyAway)
 	p.runFor(time.Second)
-	j := p.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(2), Estimate: time.Second})
+	j := p.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(2), Estimate: time.Second})
 	p.runFor(20 * time.Second)
 	if state := p.state(j.ID); state != work.Failed {
 		t.Fatalf("the job, whose task crashes its executors, is %v", state)
@@ -386,7 +386,7 @@
 
 func TestFailedEndThatIsListedAgainAfterATakeoverCountsOnce(t *testing.T) {
 	w := newWorld(t, 1)
-	job := w.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(4), Estimate: time.Second})
+	job := w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Second})
 	orders := w.cycle()
 	w.startAll(orders)
 	failed := ended(1, orders[0].Start.Run, platform.EndFailed)
@@ -402,7 +402,7 @@
 
 func TestNextLifeAtAnotherAddressIsFound(t *testing.T) {
 	w := newWorldOfLives(t, 1)
-	w.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(4), Estimate: time.Minute})
+	w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Minute})
 	w.startAll(w.cycle())
 	const elsewhere = "10.0.0.2:e0"
 	w.listed["e0"].Ref.Address = elsewhere
--- a/internal/plan/longrunning_test.go
+++ b/internal/plan/longrunning_test.go
@@ -13,7 +13,7 @@
 func TestLongRunningTaskIsRestarted(t *testing.T) {
 	Convey("Given a task that runs until its job is cancelled", t, func() {
 		w := newWorld(t, 3)
-		j := w.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(1), Estimate: time.Second, LongRunning: true})
+		j := w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(1), Estimate: time.Second, LongRunning: true})
 		orders := w.cycle()
 		So(orders, ShouldHaveLength, 1)
 
--- a/internal/plan/losses.go
+++ b/internal/plan/losses.go
@@ -41,7 +41,7 @@
 
 // loss is what is known of the end of an executor incarnation.
 type loss struct {
-	executor          work.Life
+	executor          work.ExecutorIncarnation
 	unresponsiveSince time.Time // when the executor became unresponsive
 	evidence          Evidence
 	leaving           bool // the executor had announced that it leaves
--- a/internal/plan/move.go
+++ b/internal/plan/move.go
@@ -38,7 +38,7 @@
 	alloc.vm.markSlow(slowness, now)
 	s := alloc.task.step
 	remainingPercent := 100.0
-	if s.spec.Checkpoints {
+	if s.spec.SavesCheckpoints {
 		remainingPercent -= float64(alloc.progress.last.percent)
 	}
 	timeHere := seconds((100 - float64(alloc.progress.last.percent)) * slowness / usual)
--- a/internal/plan/move_test.go
+++ b/internal/plan/move_test.go
@@ -38,7 +38,7 @@
 	} {
 		w := newWorld(t, 2)
 		step := c.step
-		step.Tasks, step.Need, step.Estimate = 1, cpus(20), 3*time.Second
+		step.TaskCount, step.TaskResources, step.Estimate = 1, cpus(20), 3*time.Second
 		w.job(1, testQueue, step)
 		orders := w.cycle()
 		w.startAll(orders)
@@ -52,7 +52,7 @@
 // A run that was moved goes on where it is, however that does: it would never end.
 func TestRunsMoveOnce(t *testing.T) {
 	w := newWorld(t, 2)
-	w.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(20), Estimate: 3 * time.Second})
+	w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(20), Estimate: 3 * time.Second})
 	slow := []int{10, 20, 30, 30, 30}
 	for n := 1; n <= 2; n++ {
 		orders := w.cycle()
--- a/internal/plan/place.go
+++ b/internal/plan/place.go
@@ -111,7 +111,7 @@
 }
 
 func (u *placementUsage) add(v *vm, t *task) {
-	u.used[v] = u.used[v].Add(t.step.spec.Need)
+	u.used[v] = u.used[v].Add(t.step.spec.TaskResources)
 	u.runs[v]++
 	// The members of a gang start together, and there may be fewer executors than suspected
 	// members. A crash under several of them counts against their common job all the same.
@@ -124,7 +124,7 @@
 func (c *Cell) eligibleVMs(s *step, q *queue.Queue, reserved *reservations, now time.Time) []*vm {
 	var vms []*vm
 	for _, v := range c.permittedVMs(s, q) {
-		if !s.spec.Need.Fits(v.freeFor(s)) || !c.suitable(s, q, v, now) || !reserved.admits(v, s, now) {
+		if !s.spec.TaskResources.Fits(v.freeFor(s)) || !c.suitable(s, q, v, now) || !reserved.admits(v, s, now) {
 			continue
 		}
 		if q != nil && q.Advice != nil {
@@ -165,7 +165,7 @@
 	if v.Service != service || !v.usable(now, &c.cfg) || v.closedTo(s, now) {
 		return false
 	}
-	return s.spec.Label == "" || v.HasLabel(s.spec.Label)
+	return s.spec.RequiredLabel == "" || v.HasLabel(s.spec.RequiredLabel)
 }
 
 // bestVM returns the executor on which a task should start: near its data, not slow, not
@@ -176,7 +176,7 @@
 	var best *vm
 	var bestScore float64
 	for _, v := range vms {
-		remaining := v.freeFor(s).Sub(usage.used[v]).Sub(s.spec.Need)
+		remaining := v.freeFor(s).Sub(usage.used[v]).Sub(s.spec.TaskResources)
 		if remaining.MilliCPU < 0 || remaining.MemoryMB < 0 || remaining.Accelerators < 0 {
 			continue
 		}
@@ -250,7 +250,7 @@
 	alloc := &allocation{
 		run:         platform.Run{Task: t.key(), Number: t.lastRun},
 		task:        t,
-		resources:   s.spec.Need,
+		resources:   s.spec.TaskResources,
 		state:       statePlanned,
 		resumed:     t.checkpoint != "",
 		expectedEnd: now.Add(time.Duration(float64(s.spec.Estimate) * placed.vm.slowdown(now))),
--- a/internal/plan/preempt.go
+++ b/internal/plan/preempt.go
@@ -52,7 +52,7 @@
 	}
 	s := alloc.task.step
 	victimQueue := c.queueOf(s.job)
-	if victimQueue == nil || victimQueue.Priority <= q.Priority || !s.spec.Checkpoints || s.spec.Gang || s.spec.LongRunning {
+	if victimQueue == nil || victimQueue.Priority <= q.Priority || !s.spec.SavesCheckpoints || s.spec.Gang || s.spec.LongRunning {
 		return false
 	}
 	return c.rankOf(s, now).latestStart.Sub(now) > preemptionSlack
@@ -184,8 +184,8 @@
 
 // nominate nominates the capacity for one more task of a gang on an executor.
 func (c *Cell) nominate(s *step, v *vm) {
-	s.preemption.nominated[v] = s.preemption.nominated[v].Add(s.spec.Need)
-	v.nominated = v.nominated.Add(s.spec.Need)
+	s.preemption.nominated[v] = s.preemption.nominated[v].Add(s.spec.TaskResources)
+	v.nominated = v.nominated.Add(s.spec.TaskResources)
 }
 
 // releaseNominated releases the capacity that is nominated to a step.
--- a/internal/plan/progress_test.go
+++ b/internal/plan/progress_test.go
@@ -11,7 +11,7 @@
 // An estimate says a second; the executor's reports say four.
 func TestProgressForetellsTheEndOfARun(t *testing.T) {
 	w := newWorld(t, 1)
-	w.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(20), Estimate: time.Second})
+	w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(20), Estimate: time.Second})
 	orders := w.cycle()
 	w.startAll(orders)
 	run := orders[0].Start.Run
--- a/internal/plan/promise_test.go
+++ b/internal/plan/promise_test.go
@@ -24,7 +24,7 @@
 		w := newWorld(t, 12)
 		w.pass(2 * time.Second)
 		w.reportAll()
-		gang := work.Step{Tasks: 6, Need: cpus(16), Estimate: time.Second, Gang: true}
+		gang := work.Step{TaskCount: 6, TaskResources: cpus(16), Estimate: time.Second, Gang: true}
 		w.job(1, testAdvised, gang)
 		w.job(2, testAdvised, gang)
 		w.cycle()
@@ -52,7 +52,7 @@
 		w := newWorld(t, 12)
 		w.pass(2 * time.Second)
 		w.reportAll()
-		gang := work.Step{Tasks: 1, Need: cpus(32), Estimate: time.Second, Gang: true}
+		gang := work.Step{TaskCount: 1, TaskResources: cpus(32), Estimate: time.Second, Gang: true}
 		w.job(1, testAdvised, gang)
 		w.job(2, testAdvised, gang)
 		w.cycle()
@@ -74,7 +74,7 @@
 	w.reportAll()
 	known := []string{"e0", "e1", "e2", "e3", "e4", "e5", "e6", "e7"}
 	for n := byte(1); n <= 2; n++ {
-		j := w.job(n, testAdvised, work.Step{Tasks: 8, Need: cpus(18), Estimate: time.Second, Gang: true})
+		j := w.job(n, testAdvised, work.Step{TaskCount: 8, TaskResources: cpus(18), Estimate: time.Second, Gang: true})
 		w.cell.HandleGrants(AdviceCall{Step: work.StepKey{Job: j.ID}, Executors: known}, grants(known...), time.Millisecond, w.now)
 	}
 	for _, s := range w.cell.waitingSteps {
@@ -99,7 +99,7 @@
 	w := newWorld(t, 5)
 	w.pass(2 * time.Second)
 	w.reportAll()
-	gang := w.job(1, testAdvised, work.Step{Tasks: 4, Need: cpus(16), Estimate: time.Second, Gang: true})
+	gang := w.job(1, testAdvised, work.Step{TaskCount: 4, TaskResources: cpus(16), Estimate: time.Second, Gang: true})
 	w.cell.HandleGrants(AdviceCall{Step: work.StepKey{Job: gang.ID}, Executors: []string{"e0"}}, grants("e0"), time.Second, w.now)
 	w.cell.waitingSteps[0].advice.callsInFlight = 0
 	w.cell.vms["e0"].used = cpus(32) // by others, for as long as they last
--- a/internal/plan/random_test.go
+++ b/internal/plan/random_test.go
@@ -95,7 +95,7 @@
 		p.loseStore()
 	default:
 		tasks := 1 + p.rand.IntN(4)
-		job := p.job(n, testQueue, work.Step{Tasks: tasks, Need: cpus(4), Estimate: time.Minute, Gang: p.chance(0.3)})
+		job := p.job(n, testQueue, work.Step{TaskCount: tasks, TaskResources: cpus(4), Estimate: time.Minute, Gang: p.chance(0.3)})
 		p.after(p.between(0, 8*time.Second), func() { p.cancel(job.ID) })
 	}
 }
--- a/internal/plan/recall_test.go
+++ b/internal/plan/recall_test.go
@@ -19,7 +19,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := newCrashPlay(t, 3, crashers())
-			j := p.job(1, testQueue, work.Step{Tasks: 4, Need: cpus(2), Estimate: time.Second})
+			j := p.job(1, testQueue, work.Step{TaskCount: 4, TaskResources: cpus(2), Estimate: time.Second})
 			p.runFor(300 * time.Millisecond)
 			gone := p.cell.jobs[j.ID].activeOccurrences[0].steps[0].tasks[0].incarnation.ID
 			record := *p.listed[gone]
--- a/internal/plan/refused_test.go
+++ b/internal/plan/refused_test.go
@@ -12,7 +12,7 @@
 func refuseFor(t *testing.T, d time.Duration, reason platform.Refusal) int {
 	t.Helper()
 	w := newWorld(t, 3)
-	w.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(2), Estimate: time.Second})
+	w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(2), Estimate: time.Second})
 	const pace = 20 * time.Millisecond // of a leader's cycles
 	sent := 0
 	for at := time.Duration(0); at < d; at += pace {
--- a/internal/plan/removed_test.go
+++ b/internal/plan/removed_test.go
@@ -16,7 +16,7 @@
 		w := newWorld(t, 1)
 		q := w.cell.queueTable.QueueNamed(testQueue)
 		So(q.MaxAttempts, ShouldBeGreaterThan, 1)
-		j := w.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(1), Estimate: time.Second})
+		j := w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(1), Estimate: time.Second})
 		orders := w.cycle()
 		So(orders, ShouldHaveLength, 1)
 		w.startAll(orders)
--- a/internal/plan/report.go
+++ b/internal/plan/report.go
@@ -219,14 +219,14 @@
 	if spec == nil || t.Step >= len(spec.Steps) {
 		return v.Capacity
 	}
-	return spec.Steps[t.Step].Need
+	return spec.Steps[t.Step].TaskResources
 }
 
 // handleUnlisted handles an allocation whose run a report doesn't list as running.
 func (c *Cell) handleUnlisted(alloc *allocation, clock platform.ExecutorClock, sentAt time.Time) {
 	switch alloc.state {
 	case stateInherited:
-		if current := alloc.vm.Ref.Life(); alloc.task != nil && !alloc.task.incarnation.Same(current) {
+		if current := alloc.vm.Ref.Life(); alloc.task != nil && !alloc.task.incarnation.Matches(current) {
 			c.endIncarnation([]*allocation{alloc}, nil, loss{executor: alloc.task.incarnation, unresponsiveSince: alloc.vm.lostSince(), evidence: OtherIncarnation})
 			return
 		}
--- a/internal/plan/reserve.go
+++ b/internal/plan/reserve.go
@@ -109,7 +109,7 @@
 
 // slotsIn returns how many tasks of the step fit into some free capacity of the executor.
 func (v *vm) slotsIn(s *step, free api.Resources) int {
-	slots := fitCount(free, s.spec.Need)
+	slots := fitCount(free, s.spec.TaskResources)
 	if s.spec.MaxPerVM > 0 {
 		slots = min(slots, s.spec.MaxPerVM-v.runsOf(s))
 	}
--- a/internal/plan/restart_random_test.go
+++ b/internal/plan/restart_random_test.go
@@ -156,14 +156,14 @@
 }
 
 func (r *randomRestarts) submit(n byte) {
-	first := work.Step{Tasks: 1 + r.rand.IntN(8), Need: cpus(1 + r.rand.Int64N(8)), Estimate: time.Second, Gang: r.rand.IntN(4) == 0}
-	second := work.Step{Tasks: 1 + r.rand.IntN(3), Need: cpus(2), Estimate: time.Second, After: []int{0}}
+	first := work.Step{TaskCount: 1 + r.rand.IntN(8), TaskResources: cpus(1 + r.rand.Int64N(8)), Estimate: time.Second, Gang: r.rand.IntN(4) == 0}
+	second := work.Step{TaskCount: 1 + r.rand.IntN(3), TaskResources: cpus(2), Estimate: time.Second, DependsOn: []int{0}}
 	queue := testQueue
 	if r.rand.IntN(2) == 0 {
 		queue = testAdvised
 	}
 	r.add(&work.Job{
-		ID: work.ID{n}, Queue: queue, Service: testService, Accepted: r.now.UnixMilli(), Steps: []work.Step{first, second},
+		ID: work.ID{n}, Queue: queue, Service: testService, AcceptedMs: r.now.UnixMilli(), Steps: []work.Step{first, second},
 	})
 }
 
--- a/internal/plan/restore.go
+++ b/internal/plan/restore.go
@@ -14,9 +14,9 @@
 func (c *Cell) restoreJob(j *job, p *work.Progress, now time.Time) {
 	j.state = p.State
 	j.recordedRunning = p.State == work.Running
-	j.endedBelow = p.Finished
-	j.nextOccurrence = p.Finished
-	for _, number := range p.Ended {
+	j.endedBelow = p.FinishedBelow
+	j.nextOccurrence = p.FinishedBelow
+	for _, number := range p.FinishedOutOfOrder {
 		if j.endedOccurrences == nil {
 			j.endedOccurrences = make(map[int]bool)
 		}
@@ -26,13 +26,13 @@
 	for i := range p.Occurrences {
 		recorded := &p.Occurrences[i]
 		occ := newOccurrence(j, recorded.Number, j.arrivedAt)
-		if due := j.spec.Due(recorded.Number); due > 0 {
+		if due := j.spec.DueMs(recorded.Number); due > 0 {
 			occ.due = time.UnixMilli(due)
 		}
 		j.nextOccurrence = max(j.nextOccurrence, recorded.Number+1)
 		j.activeOccurrences = append(j.activeOccurrences, occ)
 		for k := range recorded.Steps {
-			c.restoreStep(occ.steps[k], recorded.Steps[k], p.VMs, now)
+			c.restoreStep(occ.steps[k], recorded.Steps[k], p.Executors, now)
 		}
 		for _, s := range occ.steps {
 			if s.complete() {
@@ -43,7 +43,7 @@
 	}
 }
 
-func (c *Cell) restoreStep(s *step, rows []work.TaskProgress, vms []work.Life, now time.Time) {
+func (c *Cell) restoreStep(s *step, rows []work.TaskProgress, vms []work.ExecutorIncarnation, now time.Time) {
 	for i, row := range rows {
 		t := s.tasks[i]
 		t.lastRun = row.Run
@@ -56,10 +56,10 @@
 		case work.Done:
 			s.doneTasks++
 		case work.Started:
-			t.incarnation = vms[row.VM]
+			t.incarnation = vms[row.ExecutorIndex]
 			v := c.inheritVM(t.incarnation, now)
 			run := platform.Run{Task: t.key(), Number: t.lastRun}
-			alloc := &allocation{run: run, task: t, resources: s.spec.Need, state: stateInherited, expectedEnd: now.Add(s.spec.Estimate)}
+			alloc := &allocation{run: run, task: t, resources: s.spec.TaskResources, state: stateInherited, expectedEnd: now.Add(s.spec.Estimate)}
 			c.setInheritedOrderExpiry(alloc, now)
 			v.addAllocation(alloc)
 		}
@@ -68,7 +68,7 @@
 
 // inheritVM returns the executor of a run that a former leader ordered. It may no longer be
 // registered.
-func (c *Cell) inheritVM(incarnation work.Life, now time.Time) *vm {
+func (c *Cell) inheritVM(incarnation work.ExecutorIncarnation, now time.Time) *vm {
 	v := c.vms[incarnation.ID]
 	if v == nil {
 		v = c.addVM(platform.ExecutorRef{ID: incarnation.ID})
@@ -77,7 +77,7 @@
 		return v
 	}
 	duration := c.cfg.maxOrderDuration()
-	if incarnation.Born != 0 {
+	if incarnation.StartTimeMs != 0 {
 		duration = c.cfg.maxLeaseDuration()
 	}
 	if expiry := now.Add(c.cfg.FormerLeaderRenewal + duration); expiry.After(v.inheritedLeaseExpiry) {
--- a/internal/plan/shrink_test.go
+++ b/internal/plan/shrink_test.go
@@ -27,7 +27,7 @@
 
 func TestPlannedStartIsNotSentToAnExecutorThatHasShrunk(t *testing.T) {
 	w := newWorld(t, 1)
-	w.job(1, testQueue, work.Step{Tasks: 3, Need: cpus(8), Estimate: time.Second})
+	w.job(1, testQueue, work.Step{TaskCount: 3, TaskResources: cpus(8), Estimate: time.Second})
 	starts := w.cell.Plan(w.now)
 	if len(starts) != 3 {
 		t.Fatalf("%d starts planned, want 3", len(starts))
@@ -41,7 +41,7 @@
 
 func TestGangIsNotSentInPartToAnExecutorThatHasShrunk(t *testing.T) {
 	w := newWorld(t, 1)
-	w.job(1, testQueue, work.Step{Tasks: 3, Need: cpus(8), Estimate: time.Second, Gang: true})
+	w.job(1, testQueue, work.Step{TaskCount: 3, TaskResources: cpus(8), Estimate: time.Second, Gang: true})
 	starts := w.cell.Plan(w.now)
 	w.save()
 	w.resize("e0", roomOfCPUs(17))
@@ -55,7 +55,7 @@
 	for _, id := range []string{"e0", "e1"} {
 		w.resize(id, roomOfCPUs(1))
 	}
-	w.job(1, testAdvised, work.Step{Tasks: 2, Need: cpus(8), Estimate: time.Second})
+	w.job(1, testAdvised, work.Step{TaskCount: 2, TaskResources: cpus(8), Estimate: time.Second})
 	w.cycle()
 	askers := anybody{}
 	first := w.cell.AdviceCalls(w.now, askers)
@@ -78,7 +78,7 @@
 	for _, id := range p.ids() {
 		p.resize(id, roomOfCPUs(4))
 	}
-	j := p.job(1, testQueue, work.Step{Tasks: 2, Need: cpus(9), Estimate: time.Second})
+	j := p.job(1, testQueue, work.Step{TaskCount: 2, TaskResources: cpus(9), Estimate: time.Second})
 	p.runFor(20 * time.Second)
 	if state := p.state(j.ID); state.Final() {
 		t.Fatalf("the job is %v while no executor has room for it", state)
@@ -144,7 +144,7 @@
 	for _, id := range r.ids() {
 		used, fresh := int64(0), false
 		for run := range r.executors[id].running {
-			used += r.stored[run.Task.Job].Steps[run.Task.Step].Need.MilliCPU
+			used += r.stored[run.Task.Job].Steps[run.Task.Step].TaskResources.MilliCPU
 			fresh = fresh || !r.checked[run]
 			r.checked[run] = true
 		}
@@ -175,7 +175,7 @@
 			for r.now.Sub(began) < 40*time.Second {
 				if !r.now.Before(next) && r.now.Sub(began) < 25*time.Second {
 					n++
-					r.job(n, testQueue, work.Step{Tasks: 1 + r.rand.IntN(12), Need: cpus(1 + r.rand.Int64N(9)), Estimate: time.Second, Gang: r.rand.IntN(4) == 0})
+					r.job(n, testQueue, work.Step{TaskCount: 1 + r.rand.IntN(12), TaskResources: cpus(1 + r.rand.Int64N(9)), Estimate: time.Second, Gang: r.rand.IntN(4) == 0})
 					r.change(r.ids()[r.rand.IntN(len(r.ids()))])
 					next = r.now.Add(time.Duration(100+r.rand.Int64N(400)) * time.Millisecond)
 				}
--- a/internal/plan/speed_test.go
+++ b/internal/plan/speed_test.go
@@ -14,7 +14,7 @@
 	Convey("Given two executors with a task each", t, func() {
 		w := newWorld(t, 2)
 		for n := byte(1); n <= 2; n++ {
-			w.job(n, testQueue, work.Step{Tasks: 1, Need: cpus(20), Estimate: time.Second})
+			w.job(n, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(20), Estimate: time.Second})
 		}
 		orders := w.cycle()
 		So(orders, ShouldHaveLength, 2)
@@ -27,7 +27,7 @@
 			w.pass(2 * time.Second)
 			w.report(slow.To.ID, running(slow.Run), nil)
 			w.report(fast.To.ID, nil, nil)
-			w.job(3, testQueue, work.Step{Tasks: 1, Need: cpus(10), Estimate: time.Second})
+			w.job(3, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(10), Estimate: time.Second})
 			next := w.cycle()
 			So(next, ShouldHaveLength, 1)
 			So(next[0].Start.To.ID, ShouldEqual, fast.To.ID)
--- a/internal/plan/suspect.go
+++ b/internal/plan/suspect.go
@@ -167,7 +167,7 @@
 	}
 	fewest := 0
 	for _, v := range c.permittedVMs(s, q) {
-		if v.isolatedFor != nil || !c.suitable(s, q, v, now) || fitCount(v.Capacity, s.spec.Need) == 0 {
+		if v.isolatedFor != nil || !c.suitable(s, q, v, now) || fitCount(v.Capacity, s.spec.TaskResources) == 0 {
 			continue
 		}
 		remaining := 0
@@ -203,7 +203,7 @@
 // runsLostWith returns how many runs on the executor belong to tasks that were last lost
 // together with t.
 func (v *vm) runsLostWith(t *task) int {
-	if t.lastLostOn == (work.Life{}) {
+	if t.lastLostOn == (work.ExecutorIncarnation{}) {
 		return 0
 	}
 	n := 0
--- a/internal/plan/suspect_test.go
+++ b/internal/plan/suspect_test.go
@@ -18,16 +18,16 @@
 
 func TestExecutorIsNotKeptForeverForATaskThatNeverStarts(t *testing.T) {
 	w := newWorld(t, 1)
-	w.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(8), Estimate: time.Minute})
+	w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(8), Estimate: time.Minute})
 	w.startAll(w.cycle())
-	w.job(2, testQueue, work.Step{Tasks: 1, Need: cpus(30), Estimate: time.Second})
+	w.job(2, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(30), Estimate: time.Second})
 	w.suspect(work.ID{2})
 	for range 30 {
 		w.cycle()
 		w.pass(200 * time.Millisecond)
 		w.reportAll()
 	}
-	w.job(3, testQueue, work.Step{Tasks: 1, Need: cpus(8), Estimate: time.Second})
+	w.job(3, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(8), Estimate: time.Second})
 	if orders := w.cycle(); len(orders) != 1 {
 		t.Errorf("%d starts on an executor that has room, 6 s after it was first kept", len(orders))
 	}
@@ -35,13 +35,13 @@
 
 func TestSuspectedRunOfAFormerLeaderKeepsOthersOffForAWhileOnly(t *testing.T) {
 	w := newWorld(t, 1)
-	w.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(8), Estimate: time.Minute})
+	w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(8), Estimate: time.Minute})
 	w.suspect(work.ID{1})
 	orders := w.cycle()
 	w.startAll(orders)
 	w.takeOver()
 	w.report("e0", running(orders[0].Start.Run), nil)
-	w.job(2, testQueue, work.Step{Tasks: 1, Need: cpus(8), Estimate: time.Second})
+	w.job(2, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(8), Estimate: time.Second})
 	if orders := w.cycle(); len(orders) != 0 {
 		t.Errorf("%d starts beside a suspected run", len(orders))
 	}
@@ -56,10 +56,10 @@
 
 func TestSuspectedTaskStartsAloneThoughTheCellIsFull(t *testing.T) {
 	w := newWorld(t, 2)
-	w.job(1, testQueue, work.Step{Tasks: 16, Need: cpus(4), Estimate: time.Minute})
+	w.job(1, testQueue, work.Step{TaskCount: 16, TaskResources: cpus(4), Estimate: time.Minute})
 	first := w.cycle()
 	w.startAll(first)
-	w.job(2, testQueue, work.Step{Tasks: 1, Need: cpus(4), Estimate: time.Second})
+	w.job(2, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Second})
 	s := w.suspect(work.ID{2})
 	w.cycle()
 	kept := s.isolation.vm
@@ -71,7 +71,7 @@
 		if o.Start.To.ID == kept.Ref.ID {
 			last++
 			w.report(kept.Ref.ID, nil, ended(last, o.Start.Run, platform.EndDone))
-			w.job(byte(10+last), testQueue, work.Step{Tasks: 1, Need: cpus(4), Estimate: time.Second})
+			w.job(byte(10+last), testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Second})
 			for _, next := range w.cycle() {
 				if next.Start.Run.Task.Job != (work.ID{2}) {
 					t.Errorf("%v starts on the executor that is kept", next.Start.Run.Task)
@@ -89,7 +89,7 @@
 func TestGangOfSuspectedTasksStartsWhereExecutorsAreFewerThanTasks(t *testing.T) {
 	p := newCrashPlay(t, 3, crashers())
 	p.runFor(time.Second)
-	gang := p.job(1, testQueue, work.Step{Tasks: 8, Need: cpus(4), Estimate: time.Second, Gang: true})
+	gang := p.job(1, testQueue, work.Step{TaskCount: 8, TaskResources: cpus(4), Estimate: time.Second, Gang: true})
 	for _, s := range p.cell.jobs[gang.ID].activeOccurrences[0].steps {
 		for _, task := range s.tasks {
 			task.losses.unproven = suspectLosses
--- a/internal/plan/tentative.go
+++ b/internal/plan/tentative.go
@@ -26,7 +26,7 @@
 		if cand.slots == 0 {
 			continue
 		}
-		resources := scale(s.spec.Need, share*float64(cand.slots))
+		resources := scale(s.spec.TaskResources, share*float64(cand.slots))
 		cand.vm.tentative = cand.vm.tentative.Add(resources)
 		s.advice.tentativeAllocations = append(s.advice.tentativeAllocations, tentativeAllocation{vm: cand.vm, resources: resources})
 	}
--- a/internal/plan/unwanted_test.go
+++ b/internal/plan/unwanted_test.go
@@ -85,7 +85,7 @@
 					t.Run(name, func(t *testing.T) {
 						p := newPlay(t, 1)
 						p.startFate = fate{late: order.started}
-						job := p.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(4), Estimate: time.Minute})
+						job := p.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Minute})
 						p.loseStops = true // those that follow a start without an answer
 						p.cycleOnce()
 						stand(p)
@@ -125,7 +125,7 @@
 				t.Run(name, func(t *testing.T) {
 					p := newPlay(t, 1)
 					p.startFate = fate{late: order.started}
-					job := p.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(4), Estimate: time.Minute})
+					job := p.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Minute})
 					p.loseStops = true
 					p.cycleOnce()
 					p.startFate = fate{}
@@ -169,7 +169,7 @@
 			} {
 				t.Run(fmt.Sprintf("%s/%s/ended after %v, led after %v", standing, stops, order.ended, order.led), func(t *testing.T) {
 					p := newPlay(t, 1)
-					job := p.job(1, testQueue, work.Step{Tasks: 3, Need: cpus(4), Estimate: time.Minute})
+					job := p.job(1, testQueue, work.Step{TaskCount: 3, TaskResources: cpus(4), Estimate: time.Minute})
 					p.cycleOnce()
 					p.run(3 * time.Second)
 					if n := len(p.executors["e0"].running); n != 3 {
@@ -203,7 +203,7 @@
 				p := newPlay(t, 1)
 				p.run(2 * time.Second) // its lease runs
 				p.startFate = fate{late: order.started}
-				job := p.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(4), Estimate: time.Minute})
+				job := p.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Minute})
 				p.cycleOnce()
 				stand(p)
 				p.executors["e0"].cut = true
@@ -227,7 +227,7 @@
 		for _, c := range []struct{ stops, holds int }{{1, 1}, {4, 0}, {4, 1}} {
 			t.Run(fmt.Sprintf("%s/%d stops and %d holds without effect", name, c.stops, c.holds), func(t *testing.T) {
 				p := newPlay(t, 1)
-				job := p.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(4), Estimate: time.Minute})
+				job := p.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Minute})
 				p.cycleOnce()
 				p.run(3 * time.Second)
 				for range c.stops {
@@ -247,7 +247,7 @@
 // asked for one first.
 func TestStopsWaitForASilentExecutor(t *testing.T) {
 	p := newPlay(t, 1)
-	job := p.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(4), Estimate: time.Minute})
+	job := p.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Minute})
 	p.cycleOnce()
 	p.run(3 * time.Second)
 	p.executors["e0"].cut = true
@@ -301,7 +301,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, 1)
-			job := w.job(1, testQueue, work.Step{Tasks: 1, Need: cpus(4), Estimate: time.Minute})
+			job := w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Minute})
 			sent = 0
 			starts := w.cell.Plan(w.now)
 			w.save()
@@ -335,12 +335,12 @@
 // as at work all the same is stopped.
 func TestGangMemberThatGoesOnIsStopped(t *testing.T) {
 	for name, steps := range map[string][]work.Step{
-		"the job has ended":  {{Tasks: 2, Need: cpus(20), Estimate: time.Second, Gang: true}},
-		"another step comes": {{Tasks: 2, Need: cpus(20), Estimate: time.Second, Gang: true}, {Tasks: 1, Need: cpus(40), After: []int{0}}},
+		"the job has ended":  {{TaskCount: 2, TaskResources: cpus(20), Estimate: time.Second, Gang: true}},
+		"another step comes": {{TaskCount: 2, TaskResources: cpus(20), Estimate: time.Second, Gang: true}, {TaskCount: 1, TaskResources: cpus(40), DependsOn: []int{0}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newPlay(t, 2)
-			job := &work.Job{ID: work.ID{1}, Queue: testQueue, Service: testService, Accepted: p.now.UnixMilli(), Steps: steps}
+			job := &work.Job{ID: work.ID{1}, Queue: testQueue, Service: testService, AcceptedMs: p.now.UnixMilli(), Steps: steps}
 			p.add(job)
 			p.cycleOnce()
 			p.run(2 * time.Second)
--- a/internal/plan/vm.go
+++ b/internal/plan/vm.go
@@ -98,7 +98,7 @@
 	v.registeredAddress = e.Ref.Address
 	v.registered = true
 	v.registryRecord = e
-	if !v.hasReported || v.Ref.Life().Same(e.Ref.Life()) {
+	if !v.hasReported || v.Ref.Life().Matches(e.Ref.Life()) {
 		v.describe(e, now)
 	}
 }
--- a/internal/plan/yield_test.go
+++ b/internal/plan/yield_test.go
@@ -40,7 +40,7 @@
 
 // roster fills the executors with tasks of a job that can wait.
 func (w *world) roster(n byte, tasks int, saves bool) *work.Job {
-	return w.job(n, rostersQueue, work.Step{Tasks: tasks, Need: cpus(8), Estimate: 4 * time.Second, Checkpoints: saves})
+	return w.job(n, rostersQueue, work.Step{TaskCount: tasks, TaskResources: cpus(8), Estimate: 4 * time.Second, SavesCheckpoints: saves})
 }
 
 // stopped has executors report that stopped runs have ended, with their progress saved.
@@ -63,7 +63,7 @@
 	w := newCrowd(t, 4)
 	roster := w.roster(1, 16, true)
 	w.startAndSettle()
-	w.job(2, gangsQueue, work.Step{Tasks: 4, Need: cpus(18), Estimate: 4 * time.Second, Gang: true})
+	w.job(2, gangsQueue, work.Step{TaskCount: 4, TaskResources: cpus(18), Estimate: 4 * time.Second, Gang: true})
 	if starts := w.cycle(); len(starts) > 0 {
 		t.Fatalf("%d tasks started without room", len(starts))
 	}
@@ -99,10 +99,10 @@
 		{"it has no time left", func(w *world) { w.roster(1, tasks, true) }, 14 * time.Second, gangsQueue, false},
 		{"the gang's own kind", func(w *world) { w.roster(1, tasks, true) }, 0, rostersQueue, false},
 		{"it is more urgent", func(w *world) {
-			w.job(1, checksQueue, work.Step{Tasks: tasks, Need: cpus(8), Estimate: 20 * time.Second, Checkpoints: true})
+			w.job(1, checksQueue, work.Step{TaskCount: tasks, TaskResources: cpus(8), Estimate: 20 * time.Second, SavesCheckpoints: true})
 		}, 0, gangsQueue, false},
 		{"it is a gang itself", func(w *world) {
-			w.job(1, rostersQueue, work.Step{Tasks: tasks, Need: cpus(8), Estimate: 4 * time.Second, Checkpoints: true, Gang: true})
+			w.job(1, rostersQueue, work.Step{TaskCount: tasks, TaskResources: cpus(8), Estimate: 4 * time.Second, SavesCheckpoints: true, Gang: true})
 		}, 0, gangsQueue, false},
 	} {
 		w := newCrowd(t, 4)
@@ -110,7 +110,7 @@
 		w.startAndSettle()
 		w.pass(c.age)
 		w.reportAll()
-		w.job(2, c.queue, work.Step{Tasks: 4, Need: cpus(18), Estimate: 4 * time.Second, Gang: true})
+		w.job(2, c.queue, work.Step{TaskCount: 4, TaskResources: cpus(18), Estimate: 4 * time.Second, Gang: true})
 		w.cycle()
 		if stops := w.cell.TakeStops(w.now); (len(stops) > 0) != c.stops {
 			t.Errorf("%s: %d runs stopped", c.name, len(stops))
@@ -123,7 +123,7 @@
 	w := newCrowd(t, 4)
 	w.roster(1, 16, true)
 	w.startAndSettle()
-	w.job(2, gangsQueue, work.Step{Tasks: 5, Need: cpus(18), Estimate: 4 * time.Second, Gang: true})
+	w.job(2, gangsQueue, work.Step{TaskCount: 5, TaskResources: cpus(18), Estimate: 4 * time.Second, Gang: true})
 	w.cycle()
 	if stops := w.cell.TakeStops(w.now); len(stops) > 0 {
 		t.Errorf("%d runs stopped, and there is no room for five tasks on four executors", len(stops))
@@ -195,7 +195,7 @@
 			}
 			if i%60 == 30 && i < 500 { // up to three at a time, which have room by themselves
 				n++
-				j := p.job(n, gangsQueue, work.Step{Tasks: 1 + p.rand.IntN(2), Need: cpus(18), Estimate: 3 * time.Second, Gang: true})
+				j := p.job(n, gangsQueue, work.Step{TaskCount: 1 + p.rand.IntN(2), TaskResources: cpus(18), Estimate: 3 * time.Second, Gang: true})
 				p.waiting[j.ID] = p.now
 			}
 			p.step()
--- a/internal/platform/executor.go
+++ b/internal/platform/executor.go
@@ -31,7 +31,9 @@
 }
 
 // Life returns the name of the life.
-func (r ExecutorRef) Life() work.Life { return work.Life{ID: r.ID, Born: r.Born} }
+func (r ExecutorRef) Life() work.ExecutorIncarnation {
+	return work.ExecutorIncarnation{ID: r.ID, StartTimeMs: r.Born}
+}
 
 // livesOfEpoch is how many lives of one executor a leader's fencing tokens tell apart.
 const livesOfEpoch = 1 << 20
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -19,27 +19,27 @@
 	beyondSilence = 600 * time.Millisecond
 )
 
-// Signs are what a machine hears at a moment.
-type Signs struct {
-	Store     time.Duration // since the store last answered this machine
-	Leads     bool          // this machine leads
-	Spread    bool          // Leads: machines of other data centres have been heard at all
-	Beyond    time.Duration // Spread: since the last of them was heard
-	Fed       bool          // the leader delivers to this machine
-	LeaderCut bool          // Fed: with the word that it is cut off itself
+// Connectivity are what a machine hears at a moment.
+type Connectivity struct {
+	SinceStore      time.Duration // since the store last answered this machine
+	Leads           bool          // this machine leads
+	HasRemotePeers  bool          // Leads: machines of other data centres have been heard at all
+	SinceRemotePeer time.Duration // Spread: since the last of them was heard
+	LeaderDelivers  bool          // the leader delivers to this machine
+	LeaderCutOff    bool          // Fed: with the word that it is cut off itself
 }
 
 // CutOff reports whether the machine reaches nobody who could have a job stored. While
 // the store is silent for all data centres, which still reach each other, none is cut
 // off: others could do no better.
-func (s Signs) CutOff() bool {
+func (s Connectivity) CutOff() bool {
 	switch {
-	case s.Store < storeSilence:
+	case s.SinceStore < storeSilence:
 		return false
 	case s.Leads:
-		return s.Spread && s.Beyond > beyondSilence
-	case s.Fed:
-		return s.LeaderCut
+		return s.HasRemotePeers && s.SinceRemotePeer > beyondSilence
+	case s.LeaderDelivers:
+		return s.LeaderCutOff
 	default:
 		return true
 	}
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -15,18 +15,18 @@
 
 // at returns the signs some time after the beginning. The store's last answer came up to
 // 0.8 s before, a delivery up to 0.2 s.
-func (m machine) at(t time.Duration) Signs {
-	s := Signs{Store: t + 400*time.Millisecond, Leads: m.leads, Spread: true}
+func (m machine) at(t time.Duration) Connectivity {
+	s := Connectivity{SinceStore: t + 400*time.Millisecond, Leads: m.leads, HasRemotePeers: true}
 	switch {
 	case m.outage:
-		s.Fed = !m.leads
+		s.LeaderDelivers = !m.leads
 	case m.inside:
-		s.Beyond = t + 100*time.Millisecond
-		s.Fed = !m.leads
+		s.SinceRemotePeer = t + 100*time.Millisecond
+		s.LeaderDelivers = !m.leads
 		leader := machine{leads: true, inside: true}
-		s.LeaderCut = !m.leads && leader.at(t-200*time.Millisecond).CutOff()
+		s.LeaderCutOff = !m.leads && leader.at(t-200*time.Millisecond).CutOff()
 	default:
-		s.Fed = t < 500*time.Millisecond
+		s.LeaderDelivers = t < 500*time.Millisecond
 	}
 	return s
 }
@@ -78,18 +78,18 @@
 	const long = 10 * time.Second
 	for _, c := range []struct {
 		name  string
-		signs Signs
+		signs Connectivity
 		want  bool
 	}{
-		{"the store answers", Signs{Store: 300 * time.Millisecond}, false},
-		{"the store answers a leader that hears nobody", Signs{Leads: true, Spread: true, Beyond: long}, false},
-		{"a leader without machines in other data centres", Signs{Store: long, Leads: true, Beyond: long}, false},
-		{"a leader that hears another data centre", Signs{Store: long, Leads: true, Spread: true, Beyond: 100 * time.Millisecond}, false},
-		{"a leader that hears none any more", Signs{Store: long, Leads: true, Spread: true, Beyond: long}, true},
-		{"fed by a leader that waits for the store", Signs{Store: long, Fed: true}, false},
-		{"fed by a leader that is cut off", Signs{Store: long, Fed: true, LeaderCut: true}, true},
-		{"fed by a leader that is cut off, and the store answers here", Signs{Fed: true, LeaderCut: true}, false},
-		{"neither store nor leader", Signs{Store: long}, true},
+		{"the store answers", Connectivity{SinceStore: 300 * time.Millisecond}, false},
+		{"the store answers a leader that hears nobody", Connectivity{Leads: true, HasRemotePeers: true, SinceRemotePeer: long}, false},
+		{"a leader without machines in other data centres", Connectivity{SinceStore: long, Leads: true, SinceRemotePeer: long}, false},
+		{"a leader that hears another data centre", Connectivity{SinceStore: long, Leads: true, HasRemotePeers: true, SinceRemotePeer: 100 * time.Millisecond}, false},
+		{"a leader that hears none any more", Connectivity{SinceStore: long, Leads: true, HasRemotePeers: true, SinceRemotePeer: long}, true},
+		{"fed by a leader that waits for the store", Connectivity{SinceStore: long, LeaderDelivers: true}, false},
+		{"fed by a leader that is cut off", Connectivity{SinceStore: long, LeaderDelivers: true, LeaderCutOff: true}, true},
+		{"fed by a leader that is cut off, and the store answers here", Connectivity{LeaderDelivers: true, LeaderCutOff: true}, false},
+		{"neither store nor leader", Connectivity{SinceStore: long}, true},
 	} {
 		if got := c.signs.CutOff(); got != c.want {
 			t.Errorf("%s: cut off is %t", c.name, got)
--- a/internal/replica/anew_test.go
+++ b/internal/replica/anew_test.go
@@ -35,7 +35,7 @@
 		s := &trimmedStore{keyedStore: newKeyedStore(pages*pageKeys, 1300*time.Millisecond)}
 		f := newReader(s.keyedStore)
 		f.Log = s
-		f.Timing.Call = 4 * time.Second // the growth of timeouts is not the matter here
+		f.Timing.MinReadTimeout = 4 * time.Second // the growth of timeouts is not the matter here
 		f.Replica.restored(0)
 		s.first = platform.Offset(len(s.keys))
 		for range 3 {
--- a/internal/replica/behind_test.go
+++ b/internal/replica/behind_test.go
@@ -15,7 +15,7 @@
 		if err := f.Restore(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if behind := f.Replica.Behind(time.Now()); behind < pages*perPage {
+		if behind := f.Replica.Lag(time.Now()); behind < pages*perPage {
 			t.Errorf("behind by %v, want %v", behind, pages*perPage)
 		}
 	})
--- a/internal/replica/content.go
+++ b/internal/replica/content.go
@@ -28,16 +28,16 @@
 	}
 }
 
-// Keep has the content of records kept from now on. What was written before is
+// KeepContent has the content of records kept from now on. What was written before is
 // then to be read (Wants).
-func (r *Replica) Keep() {
+func (r *Replica) KeepContent() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.content.kept = true
 }
 
-// Shed drops the content of records, unless the replica is followed.
-func (r *Replica) Shed() {
+// DropContent drops the content of records, unless the replica is followed.
+func (r *Replica) DropContent() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.listener != nil || !r.content.kept || !r.Synced() {
@@ -57,17 +57,17 @@
 	}
 }
 
-// Whole reports whether the content of all records is kept here, so that this
+// HasContent reports whether the content of all records is kept here, so that this
 // machine could plan.
-func (r *Replica) Whole() bool {
+func (r *Replica) HasContent() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.content.kept && r.content.whole
 }
 
-// Wants reports whether the content of records is to be kept and the store has
+// NeedsContent reports whether the content of records is to be kept and the store has
 // to be read for it.
-func (r *Replica) Wants() bool {
+func (r *Replica) NeedsContent() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.content.kept && !r.content.whole
@@ -94,10 +94,10 @@
 	From, To platform.Offset
 }
 
-// Summarise takes in the summaries of all jobs that records of a span have
+// ApplySummaries takes in the summaries of all jobs that records of a span have
 // changed, if the span follows on what is known. It returns up to where the
 // states of jobs are known.
-func (r *Replica) Summarise(span Span, summaries []work.Summary, now time.Time) platform.Offset {
+func (r *Replica) ApplySummaries(span Span, summaries []work.Summary, now time.Time) platform.Offset {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.Synced() || span.From > r.next || span.To <= r.next {
@@ -117,7 +117,7 @@
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	e := sh.jobs[s.ID]
-	if s.Gone {
+	if s.Deleted {
 		if e != nil && e.last <= at {
 			delete(sh.jobs, s.ID)
 		}
@@ -140,19 +140,19 @@
 	}
 }
 
-// OfferContent takes in the newest record of each key that was written in a
+// ApplyContent takes in the newest record of each key that was written in a
 // span, in the order of their offsets, if the span follows on the content that is
 // kept.
-func (r *Replica) OfferContent(span Span, records []platform.Record, now time.Time) {
+func (r *Replica) ApplyContent(span Span, records []platform.Record, now time.Time) {
 	from := r.readFrom()
-	if r.Synced() && r.Whole() && span.From <= from && span.To > from {
+	if r.Synced() && r.HasContent() && span.From <= from && span.To > from {
 		r.apply(records, span.To, now)
 	}
 }
 
-// Content returns up to where the content of records is kept, and whether it is
+// ContentPosition returns up to where the content of records is kept, and whether it is
 // kept at all.
-func (r *Replica) Content() (platform.Offset, bool) {
+func (r *Replica) ContentPosition() (platform.Offset, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.content.upTo, r.content.kept && r.content.whole
--- a/internal/replica/follow.go
+++ b/internal/replica/follow.go
@@ -16,15 +16,15 @@
 
 // Timing holds the intervals of the reader.
 type Timing struct {
-	Wait     time.Duration // how long a read waits for a record
-	Pace     time.Duration // least time between two reads
-	Leading  time.Duration // between two reads on the machine that leads
-	Fed      time.Duration // between two reads while the leader delivers
-	FedFor   time.Duration // how long a delivery counts
-	Call     time.Duration // longest read beside its wait
-	CallMost time.Duration // up to which that doubles after reads that took longer
-	PageMost time.Duration // the same for a page of the newest records
-	Retry    time.Duration // pause after a read that failed
+	ReadWait             time.Duration // how long a read waits for a record
+	ReadInterval         time.Duration // least time between two reads
+	LeaderReadInterval   time.Duration // between two reads on the machine that leads
+	DeliveryReadInterval time.Duration // between two reads while the leader delivers
+	DeliveryValidity     time.Duration // how long a delivery counts
+	MinReadTimeout       time.Duration // longest read beside its wait
+	MaxReadTimeout       time.Duration // up to which that doubles after reads that took longer
+	MaxPageTimeout       time.Duration // the same for a page of the newest records
+	RetryDelay           time.Duration // pause after a read that failed
 }
 
 // DefaultTiming returns the timing in use. The leader writes nearly all
@@ -36,15 +36,15 @@
 // on each call that a silent store leaves unanswered.
 func DefaultTiming() Timing {
 	return Timing{
-		Wait:     time.Second,
-		Pace:     100 * time.Millisecond,
-		Leading:  500 * time.Millisecond,
-		Fed:      5 * time.Second,
-		FedFor:   500 * time.Millisecond,
-		Call:     time.Second,
-		CallMost: 2 * time.Second,
-		PageMost: 4 * time.Second,
-		Retry:    100 * time.Millisecond,
+		ReadWait:             time.Second,
+		ReadInterval:         100 * time.Millisecond,
+		LeaderReadInterval:   500 * time.Millisecond,
+		DeliveryReadInterval: 5 * time.Second,
+		DeliveryValidity:     500 * time.Millisecond,
+		MinReadTimeout:       time.Second,
+		MaxReadTimeout:       2 * time.Second,
+		MaxPageTimeout:       4 * time.Second,
+		RetryDelay:           100 * time.Millisecond,
 	}
 }
 
@@ -60,7 +60,7 @@
 	restores  atomic.Uint64             // that have ended well
 	fed       atomic.Pointer[time.Time] // when the leader last delivered everything
 	pulse     pulse                     // of the leader's deliveries
-	timeout   atomic.Int64              // of a read beside its wait, in nanoseconds; 0: Timing.Call
+	timeout   atomic.Int64              // of a read beside its wait, in nanoseconds; 0: Timing.MinReadTimeout
 	syncs     syncs
 }
 
@@ -70,9 +70,9 @@
 func (f *Reader) Deliver(span Span, jobs []work.Summary, end platform.Offset) platform.Offset {
 	now := time.Now()
 	f.pulse.beat(now)
-	position := f.Replica.Summarise(span, jobs, now)
+	position := f.Replica.ApplySummaries(span, jobs, now)
 	if position >= end {
-		f.Replica.Heard(now)
+		f.Replica.MarkCurrent(now)
 		f.fed.Store(&now)
 	}
 	return position
@@ -81,34 +81,36 @@
 // DeliverContent takes in from the leader the newest record of each key that was
 // written in a span.
 func (f *Reader) DeliverContent(span Span, records []platform.Record) {
-	f.Replica.OfferContent(span, records, time.Now())
+	f.Replica.ApplyContent(span, records, time.Now())
 }
 
-// Content returns up to where the content of records is kept, and whether it is
+// ContentPosition returns up to where the content of records is kept, and whether it is
 // kept at all.
-func (f *Reader) Content() (platform.Offset, bool) { return f.Replica.Content() }
+func (f *Reader) ContentPosition() (platform.Offset, bool) { return f.Replica.ContentPosition() }
 
-// Keep has the content of records kept from now on.
-func (f *Reader) Keep() { f.Replica.Keep() }
+// KeepContent has the content of records kept from now on.
+func (f *Reader) KeepContent() { f.Replica.KeepContent() }
 
-// Shed drops the content of records: this machine needn't be able to plan.
-func (f *Reader) Shed() { f.Replica.Shed() }
+// DropContent drops the content of records: this machine needn't be able to plan.
+func (f *Reader) DropContent() { f.Replica.DropContent() }
 
 // Position returns up to where the states of jobs are known.
 func (f *Reader) Position() platform.Offset { return f.Replica.Position() }
 
-// IsFed reports whether the leader has lately delivered everything.
-func (f *Reader) IsFed(now time.Time) bool {
+// ReceivesDeliveries reports whether the leader has lately delivered everything.
+func (f *Reader) ReceivesDeliveries(now time.Time) bool {
 	last := f.fed.Load()
-	return last != nil && now.Sub(*last) < f.Timing.FedFor
+	return last != nil && now.Sub(*last) < f.Timing.DeliveryValidity
 }
 
-// Overdue reports whether no delivery has come for longer than the leader's gaps of
+// DeliveryOverdue reports whether no delivery has come for longer than the leader's gaps of
 // late explain.
-func (f *Reader) Overdue(now time.Time) bool { return f.pulse.silence(now) > f.Patience() }
+func (f *Reader) DeliveryOverdue(now time.Time) bool {
+	return f.pulse.silence(now) > f.DeliveryTimeout()
+}
 
-// Patience returns the silence of the leader after which a delivery is overdue.
-func (f *Reader) Patience() time.Duration { return f.pulse.patience(f.Timing.FedFor) }
+// DeliveryTimeout returns the silence of the leader after which a delivery is overdue.
+func (f *Reader) DeliveryTimeout() time.Duration { return f.pulse.patience(f.Timing.DeliveryValidity) }
 
 // Run reads until ctx ends.
 func (f *Reader) Run(ctx context.Context) error {
@@ -116,7 +118,7 @@
 		started := time.Now()
 		if err := f.step(ctx); err != nil {
 			f.Replica.events.WithError(err).Debug("jobs not read")
-			pause.For(ctx, f.Timing.Retry)
+			pause.For(ctx, f.Timing.RetryDelay)
 			continue
 		}
 		f.rest(ctx, started)
@@ -144,24 +146,24 @@
 func (f *Reader) pace(now time.Time) time.Duration {
 	switch {
 	case f.Leads():
-		return f.Timing.Leading
-	case f.IsFed(now):
-		return f.Timing.Fed
+		return f.Timing.LeaderReadInterval
+	case f.ReceivesDeliveries(now):
+		return f.Timing.DeliveryReadInterval
 	default:
-		return f.Timing.Pace
+		return f.Timing.ReadInterval
 	}
 }
 
 // wait returns how long a read waits for a record.
 func (f *Reader) wait(now time.Time) time.Duration {
-	if f.Leads() || f.IsFed(now) {
+	if f.Leads() || f.ReceivesDeliveries(now) {
 		return 0
 	}
-	return f.Timing.Wait
+	return f.Timing.ReadWait
 }
 
 func (f *Reader) step(ctx context.Context) error {
-	if !f.Replica.Synced() || f.Replica.Wants() {
+	if !f.Replica.Synced() || f.Replica.NeedsContent() {
 		return f.Restore(ctx)
 	}
 	err := f.read(ctx, f.wait(time.Now()))
@@ -232,7 +234,7 @@
 		}
 		f.Replica.apply(batch.Records, batch.Next, time.Now())
 		if batch.Next >= until || len(batch.Records) == 0 {
-			f.Replica.Heard(told)
+			f.Replica.MarkCurrent(told)
 			return nil
 		}
 		wait = 0
@@ -240,7 +242,7 @@
 }
 
 func (f *Reader) readOnce(ctx context.Context, wait time.Duration) (platform.RecordBatch, error) {
-	timeout := max(f.Timing.Call, time.Duration(f.timeout.Load()))
+	timeout := max(f.Timing.MinReadTimeout, time.Duration(f.timeout.Load()))
 	ctx, cancel := context.WithTimeout(ctx, timeout+wait)
 	defer cancel()
 	sent := time.Now()
@@ -249,7 +251,7 @@
 	case err == nil && time.Since(sent) < timeout/2: // or the next slow read would fail again
 		f.timeout.Store(int64(timeout / 2))
 	case err != nil && ctx.Err() != nil:
-		f.timeout.Store(int64(min(2*timeout, f.Timing.CallMost)))
+		f.timeout.Store(int64(min(2*timeout, f.Timing.MaxReadTimeout)))
 	}
 	return batch, err
 }
@@ -266,7 +268,7 @@
 	}
 	began, read, size := time.Now(), 0, 0
 	kept := f.Replica.restoring()
-	next, err := platform.ReadNewest(ctx, f.Log, f.Partition, platform.PageTimeout{Least: f.Timing.Call, Most: f.Timing.PageMost}, func(records []platform.Record) {
+	next, err := platform.ReadNewest(ctx, f.Log, f.Partition, platform.PageTimeout{Least: f.Timing.MinReadTimeout, Most: f.Timing.MaxPageTimeout}, func(records []platform.Record) {
 		f.Replica.apply(records, 0, time.Now())
 		read += len(records)
 		for i := range records {
@@ -285,7 +287,7 @@
 	told.Info("newest record of each job read")
 	f.Replica.restored(next)
 	f.Replica.gathered(next, kept)
-	f.Replica.Heard(began)
+	f.Replica.MarkCurrent(began)
 	f.restores.Add(1)
 	return nil
 }
--- a/internal/replica/foreign_test.go
+++ b/internal/replica/foreign_test.go
@@ -96,7 +96,7 @@
 	id := work.ID{1}
 	r, logged := loggedReplica(t, id)
 	var published []platform.Record
-	r.Publish(func(a Applied) { published = append(published, a.Records...) })
+	r.SetPublisher(func(a AppliedBatch) { published = append(published, a.Records...) })
 	malformed := []platform.Record{
 		{Offset: 1, Err: platform.ErrMalformed},
 		{Offset: 2, Key: work.Key(work.KindJob, id), Err: platform.ErrMalformed},
--- a/internal/replica/moving_test.go
+++ b/internal/replica/moving_test.go
@@ -20,7 +20,7 @@
 	case <-ctx.Done():
 		return platform.RecordBatch{}, ctx.Err()
 	}
-	r := platform.Record{Offset: from, Key: work.Key(work.KindCancel, work.ID{byte(from)}), Value: work.CancelValue}
+	r := platform.Record{Offset: from, Key: work.Key(work.KindCancellation, work.ID{byte(from)}), Value: work.CancellationValue}
 	return platform.RecordBatch{Records: []platform.Record{r}, Next: from + 1, End: from + 3}, nil
 }
 
--- a/internal/replica/record.go
+++ b/internal/replica/record.go
@@ -39,7 +39,7 @@
 		// that its outcome stands for.
 		if e != nil && (e.Outcome == nil || kind == work.KindOutcome) {
 			delete(s.jobs, id)
-			return Change{}, &work.Summary{ID: id, Queue: e.Queue(), Gone: true}, false, nil
+			return Change{}, &work.Summary{ID: id, Queue: e.Queue(), Deleted: true}, false, nil
 		}
 		return Change{}, nil, false, nil
 	}
@@ -117,7 +117,7 @@
 			e.tell(progress.State, rec.Offset)
 		}
 		return true, nil
-	case work.KindCancel:
+	case work.KindCancellation:
 		news := !e.Cancelled
 		e.Cancelled = true
 		return news, nil
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -30,17 +30,17 @@
 	whole    time.Time     // when nothing that it held was missing here
 	faults   *platform.UnreadableLog
 	listener func([]Change)
-	publish  func(Applied) // what was applied in order, on the machine that leads
+	publish  func(AppliedBatch) // what was applied in order, on the machine that leads
 }
 
-// Applied is what was applied in order.
-type Applied struct {
+// AppliedBatch is what was applied in order.
+type AppliedBatch struct {
 	Records []platform.Record
-	News    []News // what these say to clients
+	Updates []SummaryUpdate // what these say to clients
 }
 
-// News is a change of what clients may ask of a job.
-type News struct {
+// SummaryUpdate is a change of what clients may ask of a job.
+type SummaryUpdate struct {
 	Offset  platform.Offset // of the record that brought it
 	Summary work.Summary
 }
@@ -79,15 +79,15 @@
 	return *e, true
 }
 
-// Holds reports whether the record of a client's request, by its key, has been
+// HasRequest reports whether the record of a client's request, by its key, has been
 // applied.
-func (r *Replica) Holds(key string) bool {
+func (r *Replica) HasRequest(key string) bool {
 	kind, id, err := work.ParseKey(key)
 	if err != nil {
 		return false
 	}
 	e, known := r.Get(id)
-	if kind == work.KindCancel { // which changes nothing of a job that has ended
+	if kind == work.KindCancellation { // which changes nothing of a job that has ended
 		return known && (e.Cancelled || e.State().Final())
 	}
 	return known && e.Submitted()
@@ -107,8 +107,8 @@
 // its end.
 func (r *Replica) complete() <-chan struct{} { return r.synced }
 
-// Age returns how long ago the store last answered.
-func (r *Replica) Age(now time.Time) time.Duration {
+// SinceContact returns how long ago the store last answered.
+func (r *Replica) SinceContact(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return now.Sub(r.current)
@@ -121,8 +121,8 @@
 	return r.next
 }
 
-// Pending returns how many jobs of a queue have not begun.
-func (r *Replica) Pending(queue string) int {
+// PendingJobs returns how many jobs of a queue have not begun.
+func (r *Replica) PendingJobs(queue string) int {
 	n := 0
 	r.each(func(_ work.ID, e *Entry) bool {
 		if e.submitted && e.queue == queue && e.State() == work.Queued {
@@ -133,11 +133,11 @@
 	return n
 }
 
-// Follow calls listener with every job that is known and, from then on, with
+// SetListener calls listener with every job that is known and, from then on, with
 // each batch of changes, in order and one call at a time. It replaces the
 // former listener; nil ends it. It returns false, and has nothing called, where
 // the content of records isn't complete.
-func (r *Replica) Follow(listener func([]Change)) bool {
+func (r *Replica) SetListener(listener func([]Change)) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if listener != nil && !r.content.complete(r.next) {
@@ -156,19 +156,19 @@
 	return true
 }
 
-// Publish has publish called with all records that are applied from now on, in
+// SetPublisher has publish called with all records that are applied from now on, in
 // order, and returns from where. Nil ends it.
-func (r *Replica) Publish(publish func(Applied)) platform.Offset {
+func (r *Replica) SetPublisher(publish func(AppliedBatch)) platform.Offset {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.publish = publish
 	return r.next
 }
 
-// Offer takes in records whose first has the given offset, if they follow on
+// ApplyRecords takes in records whose first has the given offset, if they follow on
 // what is known. Those that are known already are passed over. It returns up
 // to where the replica is complete.
-func (r *Replica) Offer(first platform.Offset, records []platform.Record, now time.Time) platform.Offset {
+func (r *Replica) ApplyRecords(first platform.Offset, records []platform.Record, now time.Time) platform.Offset {
 	next := r.readFrom()
 	end := first + platform.Offset(len(records))
 	if !r.Synced() || first > next || end <= next {
@@ -181,9 +181,9 @@
 	return r.readFrom()
 }
 
-// Heard notes that the store, or the leader, has told at a time that it holds
+// MarkCurrent notes that the store, or the leader, has told at a time that it holds
 // nothing more than was applied since.
-func (r *Replica) Heard(now time.Time) {
+func (r *Replica) MarkCurrent(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.current = latest(r.current, now)
@@ -197,10 +197,10 @@
 	return b
 }
 
-// Behind returns for how long the replica may have missed something. A machine
+// Lag returns for how long the replica may have missed something. A machine
 // that takes in less than is written hears of the store all the time (Age) and
 // is behind all the same.
-func (r *Replica) Behind(now time.Time) time.Duration {
+func (r *Replica) Lag(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return now.Sub(r.whole)
@@ -215,18 +215,18 @@
 		records = beyond(records, r.from())
 	}
 	var changes []Change
-	var news []News
+	var news []SummaryUpdate
 	for _, rec := range records {
 		c, summary, changed := r.applyOne(rec, now)
 		if changed {
 			changes = append(changes, c)
 		}
 		if summary != nil {
-			news = append(news, News{Offset: rec.Offset, Summary: *summary})
+			news = append(news, SummaryUpdate{Offset: rec.Offset, Summary: *summary})
 		}
 	}
 	if r.publish != nil && next > 0 && len(records) > 0 {
-		r.publish(Applied{Records: records, News: news})
+		r.publish(AppliedBatch{Records: records, Updates: news})
 	}
 	r.next = max(r.next, next)
 	r.content.read(next)
@@ -246,30 +246,30 @@
 	return nil
 }
 
-// Ended is a job whose records its outcome can stand for.
-type Ended struct {
+// EndedJob is a job whose records its outcome can stand for.
+type EndedJob struct {
 	ID        work.ID
 	Outcome   work.Outcome
 	Cancelled bool // a client has cancelled it
 }
 
-// Ended returns up to limit jobs that ended some time ago, or longer, and whose
+// EndedJobs returns up to limit jobs that ended some time ago, or longer, and whose
 // records are still whole.
-func (r *Replica) Ended(now time.Time, ago time.Duration, limit int) []Ended {
-	var ended []Ended
+func (r *Replica) EndedJobs(now time.Time, ago time.Duration, limit int) []EndedJob {
+	var ended []EndedJob
 	r.each(func(id work.ID, e *Entry) bool {
 		if e.Job != nil && !e.ended.IsZero() && now.Sub(e.ended) > ago {
 			outcome := work.Outcome{State: e.State(), Queue: e.Job.Queue}
-			ended = append(ended, Ended{ID: id, Outcome: outcome, Cancelled: e.Cancelled})
+			ended = append(ended, EndedJob{ID: id, Outcome: outcome, Cancelled: e.Cancelled})
 		}
 		return len(ended) < limit
 	})
 	return ended
 }
 
-// Expired returns up to limit jobs that ended long enough ago to be
+// ExpiredJobs returns up to limit jobs that ended long enough ago to be
 // forgotten.
-func (r *Replica) Expired(now time.Time, limit int) []work.ID {
+func (r *Replica) ExpiredJobs(now time.Time, limit int) []work.ID {
 	var ids []work.ID
 	r.each(func(id work.ID, e *Entry) bool {
 		if !e.ended.IsZero() && now.Sub(e.ended) > r.kept {
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -29,14 +29,14 @@
 	Convey("Given a replica that is followed", t, func() {
 		r := New(time.Minute, logging.Silent())
 		var seen []Change
-		r.Follow(func(changes []Change) { seen = append(seen, changes...) })
+		r.SetListener(func(changes []Change) { seen = append(seen, changes...) })
 		first := &work.Job{ID: id, Queue: "q", Specification: "first"}
 		r.apply([]platform.Record{jobRecord(0, first)}, 1, now)
 
 		Convey("a job counts as pending until it has begun", func() {
-			So(r.Pending("q"), ShouldEqual, 1)
+			So(r.PendingJobs("q"), ShouldEqual, 1)
 			r.apply([]platform.Record{progressRecord(1, id, work.Running)}, 2, now)
-			So(r.Pending("q"), ShouldEqual, 0)
+			So(r.PendingJobs("q"), ShouldEqual, 0)
 		})
 		Convey("a second submission of the ID changes nothing and tells the follower nothing", func() {
 			second := &work.Job{ID: id, Queue: "q", Specification: "second"}
@@ -53,7 +53,7 @@
 			So(e.State(), ShouldEqual, work.Completed)
 		})
 		Convey("a cancelled job stays completed if the leader had it completed", func() {
-			r.apply([]platform.Record{{Offset: 1, Key: work.Key(work.KindCancel, id), Value: work.CancelValue}}, 2, now)
+			r.apply([]platform.Record{{Offset: 1, Key: work.Key(work.KindCancellation, id), Value: work.CancellationValue}}, 2, now)
 			e, _ := r.Get(id)
 			So(e.State(), ShouldEqual, work.Cancelled)
 			r.apply([]platform.Record{progressRecord(2, id, work.Completed)}, 3, now)
@@ -70,29 +70,29 @@
 			So(err, ShouldBeNil)
 			r.apply([]platform.Record{progressRecord(1, id, work.Completed)}, 2, now)
 			later := now.Add(6 * time.Second)
-			So(r.Ended(later, 5*time.Second, 10), ShouldResemble, []Ended{{ID: id, Outcome: work.Outcome{State: work.Completed, Queue: "q"}}})
+			So(r.EndedJobs(later, 5*time.Second, 10), ShouldResemble, []EndedJob{{ID: id, Outcome: work.Outcome{State: work.Completed, Queue: "q"}}})
 			r.apply([]platform.Record{
 				{Offset: 2, Key: work.Key(work.KindOutcome, id), Value: outcome},
 				{Offset: 3, Key: work.Key(work.KindJob, id)},
 				{Offset: 4, Key: work.Key(work.KindProgress, id)},
 				jobRecord(5, first),
-				{Offset: 6, Key: work.Key(work.KindCancel, id), Value: work.CancelValue},
+				{Offset: 6, Key: work.Key(work.KindCancellation, id), Value: work.CancellationValue},
 			}, 7, later)
 			e, known := r.Get(id)
 			So(known, ShouldBeTrue)
 			So(e.State(), ShouldEqual, work.Completed)
 			So(e.Queue(), ShouldEqual, "q")
 			So(e.Job, ShouldBeNil)
-			So(r.Ended(later.Add(time.Hour), 5*time.Second, 10), ShouldBeEmpty)
-			So(r.Expired(now.Add(time.Minute+time.Second), 10), ShouldHaveLength, 1)
+			So(r.EndedJobs(later.Add(time.Hour), 5*time.Second, 10), ShouldBeEmpty)
+			So(r.ExpiredJobs(now.Add(time.Minute+time.Second), 10), ShouldHaveLength, 1)
 			r.apply([]platform.Record{{Offset: 7, Key: work.Key(work.KindOutcome, id)}}, 8, later)
 			_, known = r.Get(id)
 			So(known, ShouldBeFalse)
 		})
 		Convey("a job expires some time after its end", func() {
 			r.apply([]platform.Record{progressRecord(1, id, work.Failed)}, 2, now)
-			So(r.Expired(now.Add(time.Minute), 10), ShouldBeEmpty)
-			So(r.Expired(now.Add(time.Minute+time.Second), 10), ShouldHaveLength, 1)
+			So(r.ExpiredJobs(now.Add(time.Minute), 10), ShouldBeEmpty)
+			So(r.ExpiredJobs(now.Add(time.Minute+time.Second), 10), ShouldHaveLength, 1)
 		})
 	})
 }
@@ -103,21 +103,21 @@
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	r := New(time.Minute, logging.Silent())
 	r.restored(0)
-	r.Heard(start)
+	r.MarkCurrent(start)
 	feed := &Reader{Replica: r, Timing: DefaultTiming()}
 	later := start.Add(3 * time.Second)
-	record := platform.Record{Key: work.Key(work.KindCancel, work.ID{1}), Value: work.CancelValue}
-	r.Offer(0, []platform.Record{record}, later)
-	if r.Age(later) != 0 || r.Behind(later) != 3*time.Second {
-		t.Errorf("with a record of several: heard %v ago, behind for %v", r.Age(later), r.Behind(later))
+	record := platform.Record{Key: work.Key(work.KindCancellation, work.ID{1}), Value: work.CancellationValue}
+	r.ApplyRecords(0, []platform.Record{record}, later)
+	if r.SinceContact(later) != 0 || r.Lag(later) != 3*time.Second {
+		t.Errorf("with a record of several: heard %v ago, behind for %v", r.SinceContact(later), r.Lag(later))
 	}
 	cancelled := []work.Summary{{ID: work.ID{1}, Queue: "q", State: work.Cancelled, Cancelled: true}}
 	feed.Deliver(Span{From: 1, To: 2}, cancelled, 3)
-	if r.Behind(later) != 3*time.Second {
+	if r.Lag(later) != 3*time.Second {
 		t.Error("a delivery that leaves something out counts as complete")
 	}
 	feed.Deliver(Span{From: 2, To: 3}, cancelled, 3)
-	if r.Behind(time.Now()) > time.Minute {
+	if r.Lag(time.Now()) > time.Minute {
 		t.Error("a delivery up to the end doesn't count as complete")
 	}
 }
--- a/internal/replica/restore_test.go
+++ b/internal/replica/restore_test.go
@@ -35,9 +35,9 @@
 func newKeyedStore(jobs int, perPage time.Duration) *keyedStore {
 	s := &keyedStore{perPage: perPage, values: make(map[string][]byte)}
 	for i := range jobs {
-		key := work.Key(work.KindCancel, work.ID{byte(i >> 8), byte(i)})
+		key := work.Key(work.KindCancellation, work.ID{byte(i >> 8), byte(i)})
 		s.keys = append(s.keys, key)
-		s.values[key] = work.CancelValue
+		s.values[key] = work.CancellationValue
 	}
 	return s
 }
@@ -255,7 +255,7 @@
 		for range 2 {
 			_ = f.Sync(t.Context())
 		}
-		if left := time.Duration(f.timeout.Load()); left > f.Timing.Call {
+		if left := time.Duration(f.timeout.Load()); left > f.Timing.MinReadTimeout {
 			t.Errorf("after reads that were fast the next one has %v", left)
 		}
 	})
--- a/internal/replica/tidied_test.go
+++ b/internal/replica/tidied_test.go
@@ -21,13 +21,13 @@
 	leader, machine := New(time.Minute, logging.Silent()), New(time.Minute, logging.Silent())
 	leader.restored(0)
 	machine.restored(0)
-	leader.Publish(func(a Applied) {
+	leader.SetPublisher(func(a AppliedBatch) {
 		var jobs []work.Summary
-		for _, n := range a.News {
+		for _, n := range a.Updates {
 			jobs = append(jobs, n.Summary)
 		}
 		first := a.Records[0].Offset
-		machine.Summarise(Span{From: first, To: first + platform.Offset(len(a.Records))}, jobs, now)
+		machine.ApplySummaries(Span{From: first, To: first + platform.Offset(len(a.Records))}, jobs, now)
 	})
 	job, err := work.EncodeJob(&work.Job{ID: id, Queue: "q"})
 	if err != nil {
@@ -45,8 +45,8 @@
 		{Offset: 0, Key: work.Key(work.KindJob, id), Value: job},
 		{Offset: 1, Key: work.Key(work.KindProgress, id), Value: progress},
 	}, 2, now)
-	machine.Shed()
-	machine.Keep()
+	machine.DropContent()
+	machine.KeepContent()
 
 	began := machine.restoring() // the partition ends at 2; no outcome is on the first page
 	leader.apply([]platform.Record{
@@ -54,7 +54,7 @@
 		{Offset: 3, Key: work.Key(work.KindJob, id)},
 		{Offset: 4, Key: work.Key(work.KindProgress, id)},
 	}, 5, now)
-	machine.Shed() // no submission and no progress is on the others
+	machine.DropContent() // no submission and no progress is on the others
 	machine.restored(2)
 	machine.gathered(2, began)
 
--- a/internal/replica/timeout_test.go
+++ b/internal/replica/timeout_test.go
@@ -29,7 +29,7 @@
 	if from >= l.batches {
 		return platform.RecordBatch{Next: from, End: l.batches}, nil
 	}
-	r := platform.Record{Offset: from, Key: work.Key(work.KindCancel, work.ID{byte(from)}), Value: work.CancelValue}
+	r := platform.Record{Offset: from, Key: work.Key(work.KindCancellation, work.ID{byte(from)}), Value: work.CancellationValue}
 	return platform.RecordBatch{Records: []platform.Record{r}, Next: from + 1, End: l.batches}, nil
 }
 
--- a/internal/storehealth/health.go
+++ b/internal/storehealth/health.go
@@ -36,8 +36,8 @@
 	return &Log{PartitionLog: log, health: &health{now: time.Now}}
 }
 
-// Also returns a log that passes all calls on to another client of the same store.
-func (l *Log) Also(log platform.PartitionLog) *Log {
+// WithClient returns a log that passes all calls on to another client of the same store.
+func (l *Log) WithClient(log platform.PartitionLog) *Log {
 	return &Log{PartitionLog: log, health: l.health}
 }
 
@@ -48,8 +48,8 @@
 	return !l.failing.IsZero() && l.now().Sub(l.failing) > downAfter
 }
 
-// Silence returns for how long the store has answered no call of this machine.
-func (l *health) Silence(now time.Time) time.Duration {
+// SinceSuccess returns for how long the store has answered no call of this machine.
+func (l *health) SinceSuccess(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return now.Sub(l.last)
--- a/internal/work/check.go
+++ b/internal/work/check.go
@@ -10,22 +10,22 @@
 // others keep one job from filling a machine's memory and are far above what
 // the users submit (at most 60 tasks in a step, 4 steps).
 const (
-	MaxSpecification = 4000 // bytes
-	MaxSteps         = 100
-	MaxTasks         = 5_000 // of all steps together; its progress must fit into one record of the store
-	MaxRepetitions   = 10_000
+	MaxSpecificationBytes = 4000 // bytes
+	MaxSteps              = 100
+	MaxTasks              = 5_000 // of all steps together; its progress must fit into one record of the store
+	MaxRepetitions        = 10_000
 )
 
-// Check reports everything that is wrong with a submission.
-func (j *Job) Check(l *finding.List) {
-	l.Check(len(j.Specification) <= MaxSpecification, "specification", len(j.Specification), fmt.Sprintf("at most %d bytes", MaxSpecification))
+// Validate reports everything that is wrong with a submission.
+func (j *Job) Validate(l *finding.List) {
+	l.Check(len(j.Specification) <= MaxSpecificationBytes, "specification", len(j.Specification), fmt.Sprintf("at most %d bytes", MaxSpecificationBytes))
 	l.Check(len(j.Steps) > 0 && len(j.Steps) <= MaxSteps, "steps", len(j.Steps), fmt.Sprintf("1 to %d", MaxSteps))
 	l.Check(j.Repetitions >= 0 && j.Repetitions <= MaxRepetitions, "repetitions", j.Repetitions, fmt.Sprintf("0 to %d", MaxRepetitions))
 	l.Check(j.Interval >= 0, "interval", j.Interval, "0 or more")
 	tasks := 0
 	for i := range j.Steps {
 		j.Steps[i].check(l, i)
-		tasks += max(0, j.Steps[i].Tasks)
+		tasks += max(0, j.Steps[i].TaskCount)
 	}
 	l.Check(tasks <= MaxTasks, "steps", tasks, fmt.Sprintf("at most %d tasks", MaxTasks))
 }
@@ -34,14 +34,14 @@
 // earlier ones, so there can be no cycle.
 func (s *Step) check(l *finding.List, i int) {
 	place := fmt.Sprintf("steps[%d].", i)
-	l.Check(s.Tasks > 0, place+"count", s.Tasks, "1 or more")
-	l.Check(s.Need.MilliCPU >= 0, place+"cpu", s.Need.MilliCPU, "0 or more")
-	l.Check(s.Need.MemoryMB >= 0, place+"memory", s.Need.MemoryMB, "0 or more")
-	l.Check(s.Need.Accelerators >= 0, place+"accelerators", s.Need.Accelerators, "0 or more")
+	l.Check(s.TaskCount > 0, place+"count", s.TaskCount, "1 or more")
+	l.Check(s.TaskResources.MilliCPU >= 0, place+"cpu", s.TaskResources.MilliCPU, "0 or more")
+	l.Check(s.TaskResources.MemoryMB >= 0, place+"memory", s.TaskResources.MemoryMB, "0 or more")
+	l.Check(s.TaskResources.Accelerators >= 0, place+"accelerators", s.TaskResources.Accelerators, "0 or more")
 	l.Check(s.Estimate >= 0, place+"estimate", s.Estimate, "0 or more")
 	l.Check(s.MaxPerVM >= 0, place+"max_per_vm", s.MaxPerVM, "0 or more")
-	l.Check(s.MayMiss >= 0, place+"may_miss", s.MayMiss, "0 or more")
-	for _, before := range s.After {
+	l.Check(s.MaxUnavailable >= 0, place+"may_miss", s.MaxUnavailable, "0 or more")
+	for _, before := range s.DependsOn {
 		l.Check(before >= 0 && before < i, place+"after", before, "the number of an earlier step")
 	}
 }
