--- a/internal/work/codec.go
+++ b/internal/work/codec.go
@@ -11,10 +11,10 @@
 // Kinds of records. A record's key is its kind and the job's ID, as text,
 // since the platform's store returns keys inside JSON.
 const (
-	KindJob      Kind = 'j' // a submission; value: Job
-	KindProgress Kind = 'p' // value: Progress
-	KindCancel   Kind = 'c' // a client's cancel; the value holds nothing of meaning
-	KindOutcome  Kind = 'e' // value: Outcome; it stands for all other records of the job
+	KindJob          Kind = 'j' // a submission; value: Job
+	KindProgress     Kind = 'p' // value: Progress
+	KindCancellation Kind = 'c' // a client's cancel; the value holds nothing of meaning
+	KindOutcome      Kind = 'e' // value: Outcome; it stands for all other records of the job
 )
 
 // Key returns the key of the record of the given kind for a job.
@@ -27,7 +27,7 @@
 	}
 	kind := Kind(key[0])
 	switch kind {
-	case KindJob, KindProgress, KindCancel, KindOutcome:
+	case KindJob, KindProgress, KindCancellation, KindOutcome:
 	default:
 		return 0, ID{}, errors.Newf("record key %q is of no known kind", key)
 	}
@@ -65,6 +65,6 @@
 	return o, nil
 }
 
-// CancelValue is the value of a cancel's record: a record without a value
+// CancellationValue is the value of a cancel's record: a record without a value
 // would delete the key.
-var CancelValue = []byte{1}
+var CancellationValue = []byte{1}
--- a/internal/work/id.go
+++ b/internal/work/id.go
@@ -12,17 +12,17 @@
 // ID names a job. Clients choose it; on the wire it is 16 hexadecimal digits.
 type ID [8]byte
 
-// ErrBadID says that a text is not a job ID.
-var ErrBadID = errors.New("work: job ID is not 16 hexadecimal digits")
+// ErrInvalidID says that a text is not a job ID.
+var ErrInvalidID = errors.New("work: job ID is not 16 hexadecimal digits")
 
 // ParseID reads 16 hexadecimal digits.
 func ParseID(text string) (ID, error) {
 	var id ID
 	if len(text) != 2*len(id) {
-		return id, ErrBadID
+		return id, ErrInvalidID
 	}
 	if _, err := hex.Decode(id[:], []byte(text)); err != nil {
-		return id, ErrBadID
+		return id, ErrInvalidID
 	}
 	return id, nil
 }
--- a/internal/work/packed.go
+++ b/internal/work/packed.go
@@ -9,12 +9,12 @@
 // which those that say nothing are left out: a record is written at each start and
 // each end of a job's tasks.
 type packedProgress struct {
-	_           struct{} `cbor:",toarray"`
-	State       State
-	VMs         []Life
-	Occurrences []packedOccurrence
-	Finished    int
-	Ended       []int
+	_                  struct{} `cbor:",toarray"`
+	State              State
+	Executors          []ExecutorIncarnation
+	Occurrences        []packedOccurrence
+	FinishedBelow      int
+	FinishedOutOfOrder []int
 }
 
 type packedOccurrence struct {
@@ -25,17 +25,17 @@
 
 // packedStep holds the tasks of a step, column by column.
 type packedStep struct {
-	_           struct{} `cbor:",toarray"`
-	Phases      []byte   // one for each task
-	Runs        []uint32 // one for each task; empty: 0 for all
-	VMs         []int    // one for each task; empty: 0 for all
-	Failures    []byte   // one for each task, then as many crashes and losses if there are any; empty: 0 for all
-	Checkpoints []string // one for each task; empty: none has one
+	_               struct{} `cbor:",toarray"`
+	Phases          []byte   // one for each task
+	Runs            []uint32 // one for each task; empty: 0 for all
+	ExecutorIndexes []int    // one for each task; empty: 0 for all
+	Failures        []byte   // one for each task, then as many crashes and losses if there are any; empty: 0 for all
+	Checkpoints     []string // one for each task; empty: none has one
 }
 
 // pack returns the stored form.
 func (p *Progress) pack() *packedProgress {
-	out := &packedProgress{State: p.State, VMs: p.VMs, Finished: p.Finished, Ended: p.Ended}
+	out := &packedProgress{State: p.State, Executors: p.Executors, FinishedBelow: p.FinishedBelow, FinishedOutOfOrder: p.FinishedOutOfOrder}
 	for _, o := range p.Occurrences {
 		po := packedOccurrence{Number: o.Number}
 		for _, tasks := range o.Steps {
@@ -48,19 +48,19 @@
 
 func packStep(tasks []TaskProgress) packedStep {
 	s := packedStep{
-		Phases:      make([]byte, len(tasks)),
-		Runs:        make([]uint32, len(tasks)),
-		VMs:         make([]int, len(tasks)),
-		Failures:    make([]byte, 3*len(tasks)),
-		Checkpoints: make([]string, len(tasks)),
+		Phases:          make([]byte, len(tasks)),
+		Runs:            make([]uint32, len(tasks)),
+		ExecutorIndexes: make([]int, len(tasks)),
+		Failures:        make([]byte, 3*len(tasks)),
+		Checkpoints:     make([]string, len(tasks)),
 	}
 	var runs, vms, failures, lost, checkpoints bool
 	crashes, losses := s.Failures[len(tasks):2*len(tasks)], s.Failures[2*len(tasks):]
 	for i, t := range tasks {
-		s.Phases[i], s.Runs[i], s.VMs[i], s.Failures[i], s.Checkpoints[i] = byte(t.Phase), t.Run, t.VM, t.Failures, t.Checkpoint
+		s.Phases[i], s.Runs[i], s.ExecutorIndexes[i], s.Failures[i], s.Checkpoints[i] = byte(t.Phase), t.Run, t.ExecutorIndex, t.Failures, t.Checkpoint
 		crashes[i], losses[i] = t.Crashes, t.Losses
 		runs = runs || t.Run != 0
-		vms = vms || t.VM != 0
+		vms = vms || t.ExecutorIndex != 0
 		failures = failures || t.Failures != 0
 		lost = lost || t.Crashes != 0 || t.Losses != 0
 		checkpoints = checkpoints || t.Checkpoint != ""
@@ -69,7 +69,7 @@
 		s.Runs = nil
 	}
 	if !vms {
-		s.VMs = nil
+		s.ExecutorIndexes = nil
 	}
 	switch {
 	case lost:
@@ -86,7 +86,7 @@
 
 // unpack returns the progress, or an error where columns don't fit together.
 func (p *packedProgress) unpack() (*Progress, error) {
-	out := &Progress{State: p.State, VMs: p.VMs, Finished: p.Finished, Ended: p.Ended}
+	out := &Progress{State: p.State, Executors: p.Executors, FinishedBelow: p.FinishedBelow, FinishedOutOfOrder: p.FinishedOutOfOrder}
 	for _, po := range p.Occurrences {
 		o := Occurrence{Number: po.Number}
 		for _, s := range po.Steps {
@@ -107,7 +107,7 @@
 	if n > 0 && len(s.Failures) == 3*n {
 		failures, crashes, losses = s.Failures[:n], s.Failures[n:2*n], s.Failures[2*n:]
 	}
-	for _, column := range []int{len(s.Runs), len(s.VMs), len(failures), len(s.Checkpoints)} {
+	for _, column := range []int{len(s.Runs), len(s.ExecutorIndexes), len(failures), len(s.Checkpoints)} {
 		if column != 0 && column != n {
 			return nil, errors.Newf("work: progress record with %d tasks in one column and %d in another", n, column)
 		}
@@ -119,8 +119,8 @@
 		if len(s.Runs) > 0 {
 			t.Run = s.Runs[i]
 		}
-		if len(s.VMs) > 0 {
-			t.VM = s.VMs[i]
+		if len(s.ExecutorIndexes) > 0 {
+			t.ExecutorIndex = s.ExecutorIndexes[i]
 		}
 		if len(failures) > 0 {
 			t.Failures = failures[i]
--- a/internal/work/packed_test.go
+++ b/internal/work/packed_test.go
@@ -9,9 +9,9 @@
 )
 
 func anyProgress(t *rapid.T) *Progress {
-	p := &Progress{State: State(rapid.IntRange(0, 4).Draw(t, "state")), Finished: rapid.IntRange(0, 9).Draw(t, "finished")}
+	p := &Progress{State: State(rapid.IntRange(0, 4).Draw(t, "state")), FinishedBelow: rapid.IntRange(0, 9).Draw(t, "finished")}
 	for range rapid.IntRange(0, 3).Draw(t, "executors") {
-		p.VMs = append(p.VMs, Life{ID: rapid.StringMatching("i-[0-9a-f]{4}").Draw(t, "executor")})
+		p.Executors = append(p.Executors, ExecutorIncarnation{ID: rapid.StringMatching("i-[0-9a-f]{4}").Draw(t, "executor")})
 	}
 	for number := range rapid.IntRange(0, 3).Draw(t, "occurrences") {
 		o := Occurrence{Number: number}
@@ -19,11 +19,11 @@
 			tasks := make([]TaskProgress, rapid.IntRange(1, 5).Draw(t, "tasks"))
 			for i := range tasks {
 				tasks[i] = TaskProgress{
-					Phase:      Phase(rapid.IntRange(0, 2).Draw(t, "phase")),
-					Run:        rapid.Uint32Range(0, 300).Draw(t, "run"),
-					VM:         rapid.IntRange(0, 3).Draw(t, "place"),
-					Failures:   uint8(rapid.IntRange(0, 255).Draw(t, "failures")),
-					Checkpoint: rapid.SampledFrom([]string{"", "00000bb87a21d94b"}).Draw(t, "checkpoint"),
+					Phase:         Phase(rapid.IntRange(0, 2).Draw(t, "phase")),
+					Run:           rapid.Uint32Range(0, 300).Draw(t, "run"),
+					ExecutorIndex: rapid.IntRange(0, 3).Draw(t, "place"),
+					Failures:      uint8(rapid.IntRange(0, 255).Draw(t, "failures")),
+					Checkpoint:    rapid.SampledFrom([]string{"", "00000bb87a21d94b"}).Draw(t, "checkpoint"),
 				}
 			}
 			o.Steps = append(o.Steps, tasks)
@@ -51,8 +51,8 @@
 		if rapid.Bool().Draw(t, "lost") {
 			anyLosses(t, p)
 		}
-		for i := range p.VMs {
-			p.VMs[i].Born = rapid.Int64Range(0, 1<<53).Draw(t, "born")
+		for i := range p.Executors {
+			p.Executors[i].StartTimeMs = rapid.Int64Range(0, 1<<53).Draw(t, "born")
 		}
 		data, err := EncodeProgress(p)
 		if err != nil {
@@ -86,10 +86,10 @@
 func TestSizeOfAProgressRecord(t *testing.T) {
 	p := &Progress{State: Running, Occurrences: []Occurrence{{Steps: [][]TaskProgress{nil}}}}
 	for i := range 8 {
-		p.VMs = append(p.VMs, Life{ID: "i-5b44dcf6" + string(rune('0'+i))})
+		p.Executors = append(p.Executors, ExecutorIncarnation{ID: "i-5b44dcf6" + string(rune('0'+i))})
 	}
 	for i := range 16 {
-		p.Occurrences[0].Steps[0] = append(p.Occurrences[0].Steps[0], TaskProgress{Phase: Started, Run: 1, VM: i / 2})
+		p.Occurrences[0].Steps[0] = append(p.Occurrences[0].Steps[0], TaskProgress{Phase: Started, Run: 1, ExecutorIndex: i / 2})
 	}
 	data, err := EncodeProgress(p)
 	if err != nil {
@@ -113,7 +113,7 @@
 }
 
 func FuzzDecodeProgress(f *testing.F) {
-	data, err := EncodeProgress(&Progress{VMs: []Life{{ID: "i", Born: 1769871789020}}, Occurrences: []Occurrence{{Steps: [][]TaskProgress{{{Run: 1}}}}}})
+	data, err := EncodeProgress(&Progress{Executors: []ExecutorIncarnation{{ID: "i", StartTimeMs: 1769871789020}}, Occurrences: []Occurrence{{Steps: [][]TaskProgress{{{Run: 1}}}}}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -138,7 +138,7 @@
 				Queue:     rapid.SampledFrom([]string{"q1", "q2", "another"}).Draw(t, "queue"),
 				State:     State(rapid.IntRange(0, 4).Draw(t, "state")),
 				Cancelled: rapid.Bool().Draw(t, "cancelled"),
-				Gone:      rapid.Bool().Draw(t, "gone"),
+				Deleted:   rapid.Bool().Draw(t, "gone"),
 			}
 		}
 		data, err := cbor.Marshal(PackSummaries(want))
--- a/internal/work/progress.go
+++ b/internal/work/progress.go
@@ -35,12 +35,12 @@
 // that holds the cell writes it before it sends a start and after each end;
 // the newest record of a job replaces the earlier ones.
 type Progress struct {
-	_           struct{}     `cbor:",toarray"`
-	State       State        //
-	VMs         []Life       // of executors, named by the tasks below
-	Occurrences []Occurrence // that have started and not ended, by number
-	Finished    int          // occurrences numbered below this have ended
-	Ended       []int        // further occurrences that have ended
+	_                  struct{}              `cbor:",toarray"`
+	State              State                 //
+	Executors          []ExecutorIncarnation // of executors, named by the tasks below
+	Occurrences        []Occurrence          // that have started and not ended, by number
+	FinishedBelow      int                   // occurrences numbered below this have ended
+	FinishedOutOfOrder []int                 // further occurrences that have ended
 }
 
 // Outcome is what stays of a job some time after its end: all that clients may
@@ -60,12 +60,12 @@
 
 // TaskProgress is the progress of one task.
 type TaskProgress struct {
-	_          struct{} `cbor:",toarray"`
-	Phase      Phase    //
-	Run        uint32   // number of the newest start; 0: none yet
-	VM         int      // index into Progress.VMs of the newest start
-	Failures   uint8    // runs that ended as failed
-	Checkpoint string   // newest known when the record was written
-	Crashes    uint8    `cbor:"-"` // executors whose lives are known to have ended under the task
-	Losses     uint8    `cbor:"-"` // runs lost with an executor of which that isn't known
+	_             struct{} `cbor:",toarray"`
+	Phase         Phase    //
+	Run           uint32   // number of the newest start; 0: none yet
+	ExecutorIndex int      // index into Progress.Executors of the newest start
+	Failures      uint8    // runs that ended as failed
+	Checkpoint    string   // newest known when the record was written
+	Crashes       uint8    `cbor:"-"` // executors whose lives are known to have ended under the task
+	Losses        uint8    `cbor:"-"` // runs lost with an executor of which that isn't known
 }
--- a/internal/work/summary.go
+++ b/internal/work/summary.go
@@ -6,7 +6,7 @@
 	Queue     string // name of the queue that took it
 	State     State
 	Cancelled bool // a client has cancelled it, whatever its state
-	Gone      bool // its records were deleted
+	Deleted   bool // its records were deleted
 }
 
 // Bits of a summary's flags beside its state.
@@ -47,7 +47,7 @@
 		if s.Cancelled {
 			flags |= summaryCancelled
 		}
-		if s.Gone {
+		if s.Deleted {
 			flags |= summaryGone
 		}
 		out.Jobs = append(out.Jobs, packedSummary{ID: s.ID, Queue: queue, Flags: flags})
@@ -69,7 +69,7 @@
 			Queue:     p.Queues[j.Queue],
 			State:     state,
 			Cancelled: j.Flags&summaryCancelled != 0,
-			Gone:      j.Flags&summaryGone != 0,
+			Deleted:   j.Flags&summaryGone != 0,
 		})
 	}
 	return out, true
