--- a/internal/work/codec.go
+++ b/internal/work/codec.go
@@ -5,22 +5,22 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Kind says what a record of the cell's partition holds.
+// Kind is the type of a record in the cell's partition.
 type Kind byte
 
-// Kinds of records. A record's key is its kind and the job's ID, as text,
-// since the platform's store returns keys inside JSON.
+// Kinds of records. A record's key is its kind followed by the job's ID. It is
+// text because the platform's store returns keys inside JSON.
 const (
 	KindJob          Kind = 'j' // a submission; value: Job
 	KindProgress     Kind = 'p' // value: Progress
-	KindCancellation Kind = 'c' // a client's cancel; the value holds nothing of meaning
-	KindOutcome      Kind = 'e' // value: Outcome; it stands for all other records of the job
+	KindCancellation Kind = 'c' // a client's cancellation; the value has no meaning
+	KindOutcome      Kind = 'e' // value: Outcome; replaces all other records of the job
 )
 
 // Key returns the key of the record of the given kind for a job.
 func Key(kind Kind, id ID) string { return string(rune(kind)) + id.String() }
 
-// ParseKey reads a key made by Key.
+// ParseKey parses a key returned by Key.
 func ParseKey(key string) (Kind, ID, error) {
 	if key == "" {
 		return 0, ID{}, errors.New("work: empty record key")
@@ -29,42 +29,42 @@
 	switch kind {
 	case KindJob, KindProgress, KindCancellation, KindOutcome:
 	default:
-		return 0, ID{}, errors.Newf("record key %q is of no known kind", key)
+		return 0, ID{}, errors.Newf("work: record key %q has an unknown kind", key)
 	}
 	id, err := ParseID(key[1:])
 	if err != nil {
-		return 0, id, errors.Wrapf(err, "record key %q", key)
+		return 0, id, errors.Wrapf(err, "work: parse record key %q", key)
 	}
 	return kind, id, nil
 }
 
-// EncodeJob returns the value of a job's record.
+// EncodeJob encodes a job as the value of its record.
 func EncodeJob(j *Job) ([]byte, error) { return cbor.Marshal(j) }
 
-// DecodeJob reads the value of a job's record.
+// DecodeJob decodes the value of a job record.
 func DecodeJob(data []byte) (*Job, error) {
 	j := &Job{}
 	if err := cbor.Unmarshal(data, j); err != nil {
-		return nil, errors.Wrap(err, "work: job record")
+		return nil, errors.Wrap(err, "work: decode job record")
 	}
 	return j, nil
 }
 
-// EncodeOutcome returns the value of an outcome's record.
+// EncodeOutcome encodes an outcome as the value of its record.
 func EncodeOutcome(o *Outcome) ([]byte, error) { return cbor.Marshal(o) }
 
-// DecodeOutcome reads the value of an outcome's record.
+// DecodeOutcome decodes the value of an outcome record.
 func DecodeOutcome(data []byte) (*Outcome, error) {
 	o := &Outcome{}
 	if err := cbor.Unmarshal(data, o); err != nil {
-		return nil, errors.Wrap(err, "work: outcome record")
+		return nil, errors.Wrap(err, "work: decode outcome record")
 	}
 	if !o.State.Final() || o.State > Cancelled {
-		return nil, errors.Newf("work: outcome record with state %d", o.State)
+		return nil, errors.Newf("work: outcome record has state %d, which is not a final state", o.State)
 	}
 	return o, nil
 }
 
-// CancellationValue is the value of a cancel's record: a record without a value
-// would delete the key.
+// CancellationValue is the value of a cancellation record. It is not empty
+// because a record without a value deletes the key.
 var CancellationValue = []byte{1}
--- a/internal/work/id.go
+++ b/internal/work/id.go
@@ -9,13 +9,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ID names a job. Clients choose it; on the wire it is 16 hexadecimal digits.
+// ID identifies a job. Clients choose it; on the wire it is 16 hexadecimal digits.
 type ID [8]byte
 
-// ErrInvalidID says that a text is not a job ID.
+// ErrInvalidID is returned for a text that is not a job ID.
 var ErrInvalidID = errors.New("work: job ID is not 16 hexadecimal digits")
 
-// ParseID reads 16 hexadecimal digits.
+// ParseID parses a job ID of 16 hexadecimal digits.
 func ParseID(text string) (ID, error) {
 	var id ID
 	if len(text) != 2*len(id) {
@@ -27,36 +27,36 @@
 	return id, nil
 }
 
-// String returns the 16 digits in lower case.
+// String returns the ID as 16 hexadecimal digits in lower case.
 func (id ID) String() string { return hex.EncodeToString(id[:]) }
 
-// StepKey names one step of one occurrence of a job.
+// StepKey identifies one step of one occurrence of a job.
 type StepKey struct {
 	Job        ID
 	Occurrence int // counted from 0; 0 for a job without a schedule
 	Step       int // counted from 0
 }
 
-// String returns the form in which executors and the advice service know it.
+// String returns the step's name as used by executors and the advice service.
 func (k StepKey) String() string {
 	return fmt.Sprintf("%s.%d.%d", k.Job, k.Occurrence, k.Step)
 }
 
-// TaskKey names one task.
+// TaskKey identifies one task of a step.
 type TaskKey struct {
 	StepKey
 	Index int // within the step, counted from 0
 }
 
-// String returns the task's name as executors know it.
+// String returns the task's name as used by executors.
 func (k TaskKey) String() string {
 	return k.StepKey.String() + "." + strconv.Itoa(k.Index)
 }
 
-// taskKeyParts is the number of parts between the dots of a task's name.
+// taskKeyParts is the number of dot-separated parts of a task's name.
 const taskKeyParts = 4
 
-// ParseTaskKey reads the name of a task.
+// ParseTaskKey parses a task's name as returned by TaskKey.String.
 func ParseTaskKey(text string) (TaskKey, error) {
 	parts := strings.Split(text, ".")
 	if len(parts) != taskKeyParts {
@@ -64,7 +64,7 @@
 	}
 	id, err := ParseID(parts[0])
 	if err != nil {
-		return TaskKey{}, errors.Wrapf(err, "task name %q", text)
+		return TaskKey{}, errors.Wrapf(err, "work: parse task name %q", text)
 	}
 	var numbers [taskKeyParts - 1]int
 	for i, part := range parts[1:] {
--- a/internal/work/job.go
+++ b/internal/work/job.go
@@ -1,6 +1,5 @@
-// Package work holds jobs as clients submit them, the durable record of how
-// far each has come, and the encodings of both. It decides nothing about
-// placement.
+// Package work defines jobs as clients submit them, the durable records of
+// their progress, and the encodings of both. It contains no placement logic.
 package work
 
 import (
@@ -10,25 +9,25 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// Job is what a client submitted, with the queue that took it.
+// Job is a client's submission together with the queue that accepted it.
 type Job struct {
 	_             struct{}      `cbor:",toarray"`
 	ID            ID            // chosen by the client
 	Queue         string        // name of the queue
-	Service       string        // whose executors ran the queue's tasks when the job was accepted
-	Specification string        // passed to each start unchanged
-	Steps         []Step        // in the order in which the client numbered them
+	Service       string        // service whose executors ran the queue's tasks when the job was accepted
+	Specification string        // passed unchanged to each start
+	Steps         []Step        // in the client's numbering
 	AcceptedMs    int64         // wall clock, milliseconds since 1970
 	FirstRunMs    int64         // due time of occurrence 0, milliseconds since 1970; only with Repetitions
 	Interval      time.Duration // between the due times of two occurrences
-	Repetitions   int           // occurrences; 0: the steps run once, at once
+	Repetitions   int           // number of occurrences; 0: the steps run once, immediately
 }
 
-// Occurrences returns how often the steps run.
+// Occurrences returns how many times the steps run.
 func (j *Job) Occurrences() int { return max(1, j.Repetitions) }
 
 // DueMs returns the wall clock time, in milliseconds since 1970, before which
-// no task of the occurrence may start; 0 for a job without a schedule.
+// no task of the occurrence may start. It is 0 for a job without a schedule.
 func (j *Job) DueMs(occurrence int) int64 {
 	if j.Repetitions == 0 {
 		return 0
@@ -36,12 +35,13 @@
 	return j.FirstRunMs + int64(occurrence)*j.Interval.Milliseconds()
 }
 
-// LongRunning reports whether tasks of the job run until it is cancelled.
+// LongRunning reports whether any task of the job runs until the job is cancelled.
 func (j *Job) LongRunning() bool {
 	return slices.ContainsFunc(j.Steps, func(s Step) bool { return s.LongRunning })
 }
 
-// CriticalPathFrom returns the longest chain of estimated run times from step i on.
+// CriticalPathFrom returns the sum of estimated run times along the longest
+// dependency chain that begins with step i.
 func (j *Job) CriticalPathFrom(i int) time.Duration {
 	longest := time.Duration(0)
 	for k := i + 1; k < len(j.Steps); k++ {
@@ -52,7 +52,8 @@
 	return j.Steps[i].Estimate + longest
 }
 
-// CriticalPath returns the longest chain of estimated run times of the steps.
+// CriticalPath returns the sum of estimated run times along the longest
+// dependency chain of the job's steps.
 func (j *Job) CriticalPath() time.Duration {
 	longest := time.Duration(0)
 	for i := range j.Steps {
@@ -61,23 +62,23 @@
 	return longest
 }
 
-// Step is a number of equal tasks.
+// Step is a group of identical tasks.
 type Step struct {
 	_                 struct{}      `cbor:",toarray"`
-	TaskCount         int           // how many
-	TaskResources     api.Resources // of each task
-	Estimate          time.Duration // the client's rough guess of a task's run time
-	DependsOn         []int         // steps that must have ended before
+	TaskCount         int           // number of tasks
+	TaskResources     api.Resources // required by each task
+	Estimate          time.Duration // the client's rough estimate of a task's run time
+	DependsOn         []int         // numbers of the steps that must have ended before
 	Gang              bool          // all tasks run at the same time or not at all
 	SameRack          bool          // slower by the platform's factor when spread over racks
-	RequiredLabel     string        // that the VM must carry; empty: any
-	DataRack          string        // rack that holds the data; elsewhere tasks are slower
-	MaxPerVM          int           // tasks of one occurrence on one VM; 0: no limit
+	RequiredLabel     string        // label that the VM must have; empty: any VM
+	DataRack          string        // rack that holds the data; tasks are slower elsewhere
+	MaxPerVM          int           // maximum number of tasks of one occurrence on one VM; 0: no limit
 	SavesCheckpoints  bool          // tasks save their progress
-	Speculative       bool          // copies of a task may run side by side
+	Speculative       bool          // copies of a task may run in parallel
 	LongRunning       bool          // tasks run until the job is cancelled
-	Image             string        // tasks of one image behave alike
+	Image             string        // tasks with the same image behave similarly
 	TailLatencyTarget time.Duration // upper bound of the response times that the tasks' users see; 0: none
-	SpareCPUOnly      bool          // processors are taken only as others leave them
-	MaxUnavailable    int           // tasks that the system may take down at the same time
+	SpareCPUOnly      bool          // uses only processor time that other tasks leave unused
+	MaxUnavailable    int           // maximum number of tasks that the system may take down at the same time
 }
--- a/internal/work/packed.go
+++ b/internal/work/packed.go
@@ -5,9 +5,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// packedProgress is the stored form of Progress. A step's tasks are columns, of
-// which those that say nothing are left out: a record is written at each start and
-// each end of a job's tasks.
+// packedProgress is the stored form of Progress. The tasks of a step are stored by
+// column, and columns that are all zero are omitted: a record is written at each
+// start and each end of a job's tasks, so its size matters.
 type packedProgress struct {
 	_                  struct{} `cbor:",toarray"`
 	State              State
@@ -23,14 +23,14 @@
 	Steps  []packedStep
 }
 
-// packedStep holds the tasks of a step, column by column.
+// packedStep holds the tasks of a step by column.
 type packedStep struct {
 	_               struct{} `cbor:",toarray"`
 	Phases          []byte   // one for each task
 	Runs            []uint32 // one for each task; empty: 0 for all
 	ExecutorIndexes []int    // one for each task; empty: 0 for all
-	Failures        []byte   // one for each task, then as many crashes and losses if there are any; empty: 0 for all
-	Checkpoints     []string // one for each task; empty: none has one
+	Failures        []byte   // one for each task, then crashes and losses of each task if there are any; empty: 0 for all
+	Checkpoints     []string // one for each task; empty: no task has a checkpoint
 }
 
 // pack returns the stored form.
@@ -84,7 +84,7 @@
 	return s
 }
 
-// unpack returns the progress, or an error where columns don't fit together.
+// unpack returns the progress, or an error if columns differ in length.
 func (p *packedProgress) unpack() (*Progress, error) {
 	out := &Progress{State: p.State, Executors: p.Executors, FinishedBelow: p.FinishedBelow, FinishedOutOfOrder: p.FinishedOutOfOrder}
 	for _, po := range p.Occurrences {
@@ -109,7 +109,7 @@
 	}
 	for _, column := range []int{len(s.Runs), len(s.ExecutorIndexes), len(failures), len(s.Checkpoints)} {
 		if column != 0 && column != n {
-			return nil, errors.Newf("work: progress record with %d tasks in one column and %d in another", n, column)
+			return nil, errors.Newf("work: progress record has columns of %d and %d tasks", n, column)
 		}
 	}
 	tasks := make([]TaskProgress, n)
@@ -135,11 +135,12 @@
 	return tasks, nil
 }
 
-// EncodeProgress returns the value of a progress record.
+// EncodeProgress encodes progress as the value of a progress record.
 func EncodeProgress(p *Progress) ([]byte, error) { return cbor.Marshal(p.pack()) }
 
-// DecodeProgress reads the value of a progress record, also of the form that has a
-// list for each task: a process of a version before columns may have written it.
+// DecodeProgress decodes the value of a progress record. It also accepts the older
+// encoding with one list for each task, which processes of the version before
+// the column encoding have written.
 func DecodeProgress(data []byte) (*Progress, error) {
 	var packed packedProgress
 	err := cbor.Unmarshal(data, &packed)
@@ -150,5 +151,5 @@
 	if cbor.Unmarshal(data, &listed) == nil {
 		return &listed, nil
 	}
-	return nil, errors.Wrap(err, "work: progress record")
+	return nil, errors.Wrap(err, "work: decode progress record")
 }
--- a/internal/work/packed_test.go
+++ b/internal/work/packed_test.go
@@ -8,7 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-func anyProgress(t *rapid.T) *Progress {
+// drawProgress draws progress without crashes, losses and start times, none of which
+// the older encoding holds.
+func drawProgress(t *rapid.T) *Progress {
 	p := &Progress{State: State(rapid.IntRange(0, 4).Draw(t, "state")), FinishedBelow: rapid.IntRange(0, 9).Draw(t, "finished")}
 	for range rapid.IntRange(0, 3).Draw(t, "executors") {
 		p.Executors = append(p.Executors, ExecutorIncarnation{ID: rapid.StringMatching("i-[0-9a-f]{4}").Draw(t, "executor")})
@@ -33,8 +35,8 @@
 	return p
 }
 
-// anyLosses adds what tasks have lost with their executors.
-func anyLosses(t *rapid.T, p *Progress) {
+// drawLosses draws crashes and losses for all tasks.
+func drawLosses(t *rapid.T, p *Progress) {
 	for _, o := range p.Occurrences {
 		for _, tasks := range o.Steps {
 			for i := range tasks {
@@ -45,11 +47,11 @@
 	}
 }
 
-func TestProgressIsReadAsItWasWritten(t *testing.T) {
+func TestProgressRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := anyProgress(t)
+		p := drawProgress(t)
 		if rapid.Bool().Draw(t, "lost") {
-			anyLosses(t, p)
+			drawLosses(t, p)
 		}
 		for i := range p.Executors {
 			p.Executors[i].StartTimeMs = rapid.Int64Range(0, 1<<53).Draw(t, "born")
@@ -60,30 +62,31 @@
 		}
 		got, err := DecodeProgress(data)
 		if err != nil || !reflect.DeepEqual(got, p) {
-			t.Fatalf("%+v\nread as %+v, %v", p, got, err)
+			t.Fatalf("%+v\ndecoded as %+v, %v", p, got, err)
 		}
 	})
 }
 
-// After an upgrade the store holds records of the version before. Unread they would
-// make a job one that has never started, and its tasks would run twice.
-func TestProgressOfTheVersionBeforeIsRead(t *testing.T) {
+// After an upgrade the store holds progress records of the previous version. If they
+// could not be decoded, a job would appear as never started and its tasks would run
+// twice.
+func TestDecodeProgressOfPreviousVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := anyProgress(t)
-		data, err := cbor.Marshal(p) // a list for each task, which tells of no losses
+		p := drawProgress(t)
+		data, err := cbor.Marshal(p) // one list for each task, without crashes and losses
 		if err != nil {
 			t.Fatal(err)
 		}
 		got, err := DecodeProgress(data)
 		if err != nil || !reflect.DeepEqual(got, p) {
-			t.Fatalf("%+v\nread as %+v, %v", p, got, err)
+			t.Fatalf("%+v\ndecoded as %+v, %v", p, got, err)
 		}
 	})
 }
 
-// A record is written at each start and each end of a job's tasks, so its size is
-// most of what a cell writes.
-func TestSizeOfAProgressRecord(t *testing.T) {
+// Progress records are written at each start and each end of a job's tasks and make
+// up most of what a cell writes.
+func TestProgressRecordSize(t *testing.T) {
 	p := &Progress{State: Running, Occurrences: []Occurrence{{Steps: [][]TaskProgress{nil}}}}
 	for i := range 8 {
 		p.Executors = append(p.Executors, ExecutorIncarnation{ID: "i-5b44dcf6" + string(rune('0'+i))})
@@ -96,18 +99,18 @@
 		t.Fatal(err)
 	}
 	if len(data) > 159 {
-		t.Errorf("%d bytes, want at most 159 (a list for each task took 202)", len(data))
+		t.Errorf("%d bytes, want at most 159 (the encoding with a list for each task took 202)", len(data))
 	}
 }
 
-func TestUnreadableProgress(t *testing.T) {
+func TestDecodeInvalidProgress(t *testing.T) {
 	uneven, err := cbor.Marshal(&packedProgress{Occurrences: []packedOccurrence{{Steps: []packedStep{{Phases: []byte{0, 1}, Runs: []uint32{1}}}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, data := range map[string][]byte{"columns of unlike length": uneven, "no CBOR": {0xff}, "text": []byte("progress")} {
+	for name, data := range map[string][]byte{"columns of different lengths": uneven, "not CBOR": {0xff}, "text": []byte("progress")} {
 		if p, err := DecodeProgress(data); err == nil {
-			t.Errorf("%s: read as %+v", name, p)
+			t.Errorf("%s: decoded as %+v", name, p)
 		}
 	}
 }
@@ -124,12 +127,12 @@
 			return
 		}
 		if _, err := EncodeProgress(p); err != nil {
-			t.Errorf("%+v can't be written: %v", p, err)
+			t.Errorf("%+v can't be encoded: %v", p, err)
 		}
 	})
 }
 
-func TestSummariesAreReadAsTheyWereWritten(t *testing.T) {
+func TestSummariesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := make([]Summary, rapid.IntRange(0, 6).Draw(t, "jobs"))
 		for i := range want {
@@ -151,19 +154,19 @@
 		}
 		got, ok := packed.Unpack()
 		if !ok || !reflect.DeepEqual(got, want) {
-			t.Fatalf("%+v read as %+v", want, got)
+			t.Fatalf("%+v decoded as %+v", want, got)
 		}
 	})
 }
 
-func TestUnreadableSummaries(t *testing.T) {
+func TestUnpackInvalidSummaries(t *testing.T) {
 	for name, s := range map[string]Summaries{
-		"a queue that isn't named": {Queues: []string{"q"}, Jobs: []packedSummary{{Queue: 1}}},
-		"a negative queue":         {Queues: []string{"q"}, Jobs: []packedSummary{{Queue: -1}}},
-		"a state of no kind":       {Queues: []string{"q"}, Jobs: []packedSummary{{Flags: 7}}},
+		"a queue index out of range": {Queues: []string{"q"}, Jobs: []packedSummary{{Queue: 1}}},
+		"a negative queue index":     {Queues: []string{"q"}, Jobs: []packedSummary{{Queue: -1}}},
+		"an unknown state":           {Queues: []string{"q"}, Jobs: []packedSummary{{Flags: 7}}},
 	} {
 		if got, ok := s.Unpack(); ok {
-			t.Errorf("%s: read as %+v", name, got)
+			t.Errorf("%s: decoded as %+v", name, got)
 		}
 	}
 }
--- a/internal/work/progress.go
+++ b/internal/work/progress.go
@@ -1,6 +1,6 @@
 package work
 
-// State is where a job stands.
+// State is the state of a job.
 type State uint8
 
 // States of a job. The last three are final.
@@ -15,40 +15,40 @@
 // Final reports whether the job has ended.
 func (s State) Final() bool { return s >= Completed }
 
-// String returns the state's name in logs.
+// String returns the state's name as used in logs.
 func (s State) String() string {
 	return [...]string{"queued", "running", "completed", "failed", "cancelled"}[s]
 }
 
-// Phase is where a task stands.
+// Phase is the phase of a task.
 type Phase uint8
 
-// Phases of a task. Started means that a start may have been sent; whether
-// the task runs is known from the executor alone.
+// Phases of a task. Started means that a start may have been sent; only the
+// executor's reports say whether the task runs.
 const (
 	Pending Phase = iota
 	Started
 	Done
 )
 
-// Progress is the durable record of how far a job has come. The scheduler
-// that holds the cell writes it before it sends a start and after each end;
-// the newest record of a job replaces the earlier ones.
+// Progress is the durable record of a job's progress. The leader of the cell
+// writes it before it sends a start and after each end. The newest record of a
+// job replaces earlier ones.
 type Progress struct {
-	_                  struct{}              `cbor:",toarray"`
-	State              State                 //
-	Executors          []ExecutorIncarnation // of executors, named by the tasks below
-	Occurrences        []Occurrence          // that have started and not ended, by number
-	FinishedBelow      int                   // occurrences numbered below this have ended
+	_                  struct{} `cbor:",toarray"`
+	State              State
+	Executors          []ExecutorIncarnation // indexed by TaskProgress.ExecutorIndex
+	Occurrences        []Occurrence          // those that have started and not ended, by number
+	FinishedBelow      int                   // all occurrences numbered below this have ended
 	FinishedOutOfOrder []int                 // further occurrences that have ended
 }
 
-// Outcome is what stays of a job some time after its end: all that clients may
-// still ask for.
+// Outcome is what is kept of a job some time after its end: everything that
+// clients may still query.
 type Outcome struct {
 	_     struct{} `cbor:",toarray"`
 	State State    // a final one
-	Queue string   // name of the queue that took the job
+	Queue string   // name of the queue that accepted the job
 }
 
 // Occurrence is the progress of one run of all steps.
@@ -61,11 +61,11 @@
 // TaskProgress is the progress of one task.
 type TaskProgress struct {
 	_             struct{} `cbor:",toarray"`
-	Phase         Phase    //
-	Run           uint32   // number of the newest start; 0: none yet
-	ExecutorIndex int      // index into Progress.Executors of the newest start
-	Failures      uint8    // runs that ended as failed
-	Checkpoint    string   // newest known when the record was written
-	Crashes       uint8    `cbor:"-"` // executors whose lives are known to have ended under the task
-	Losses        uint8    `cbor:"-"` // runs lost with an executor of which that isn't known
+	Phase         Phase
+	Run           uint32 // number of the newest start; 0: none yet
+	ExecutorIndex int    // index into Progress.Executors of the newest start
+	Failures      uint8  // runs that ended as failed
+	Checkpoint    string // newest one known when the record was written
+	Crashes       uint8  `cbor:"-"` // executor incarnations known to have ended while they ran the task
+	Losses        uint8  `cbor:"-"` // runs lost with an executor that isn't known to have ended
 }
--- a/internal/work/summary.go
+++ b/internal/work/summary.go
@@ -1,24 +1,25 @@
 package work
 
-// Summary is what clients may ask of a job: machines that don't plan know no more.
+// Summary is what clients may query about a job. Machines that don't keep the
+// content of records know nothing else about it.
 type Summary struct {
 	ID        ID
-	Queue     string // name of the queue that took it
+	Queue     string // name of the queue that accepted it
 	State     State
 	Cancelled bool // a client has cancelled it, whatever its state
 	Deleted   bool // its records were deleted
 }
 
-// Bits of a summary's flags beside its state.
+// Bits of packedSummary.Flags.
 const (
-	summaryState     = 0x07
+	summaryStateMask = 0x07
 	summaryCancelled = 0x08
-	summaryGone      = 0x10
+	summaryDeleted   = 0x10
 )
 
-// Summaries is the form of summaries between processes. Queues are named once: a
-// summary then takes about 12 bytes, where the records that it stands for take
-// some 200 each.
+// Summaries is the encoding of summaries between processes. Each queue is named
+// once, so a summary takes about 12 bytes; the records that it replaces take about
+// 200 bytes each.
 type Summaries struct {
 	_      struct{} `cbor:",toarray"`
 	Queues []string
@@ -32,35 +33,35 @@
 	Flags uint8
 }
 
-// PackSummaries returns summaries in the form between processes.
+// PackSummaries encodes summaries for other processes.
 func PackSummaries(summaries []Summary) Summaries {
 	var out Summaries
-	places := make(map[string]int)
+	indexes := make(map[string]int)
 	for _, s := range summaries {
-		queue, known := places[s.Queue]
+		queue, known := indexes[s.Queue]
 		if !known {
 			queue = len(out.Queues)
-			places[s.Queue] = queue
+			indexes[s.Queue] = queue
 			out.Queues = append(out.Queues, s.Queue)
 		}
-		flags := uint8(s.State) & summaryState
+		flags := uint8(s.State) & summaryStateMask
 		if s.Cancelled {
 			flags |= summaryCancelled
 		}
 		if s.Deleted {
-			flags |= summaryGone
+			flags |= summaryDeleted
 		}
 		out.Jobs = append(out.Jobs, packedSummary{ID: s.ID, Queue: queue, Flags: flags})
 	}
 	return out
 }
 
-// Unpack returns the summaries. One with a state or queue that doesn't exist
-// makes all unreadable: it was made by another version.
+// Unpack decodes the summaries. It returns false if any of them has an unknown
+// state or queue, which means that another version has encoded them.
 func (p *Summaries) Unpack() ([]Summary, bool) {
 	out := make([]Summary, 0, len(p.Jobs))
 	for _, j := range p.Jobs {
-		state := State(j.Flags & summaryState)
+		state := State(j.Flags & summaryStateMask)
 		if j.Queue < 0 || j.Queue >= len(p.Queues) || state > Cancelled {
 			return nil, false
 		}
@@ -69,7 +70,7 @@
 			Queue:     p.Queues[j.Queue],
 			State:     state,
 			Cancelled: j.Flags&summaryCancelled != 0,
-			Deleted:   j.Flags&summaryGone != 0,
+			Deleted:   j.Flags&summaryDeleted != 0,
 		})
 	}
 	return out, true
--- a/internal/work/check.go
+++ b/internal/work/validate.go
@@ -6,17 +6,17 @@
 	"github.com/skylarklock/skylarklock/internal/finding"
 )
 
-// Bounds of a submission. The longest specification is the platform's; the
-// others keep one job from filling a machine's memory and are far above what
-// the users submit (at most 60 tasks in a step, 4 steps).
+// Limits of a submission. MaxSpecificationBytes is the platform's limit. The
+// others keep a single job from filling a machine's memory and are far above
+// what users submit (at most 60 tasks in a step, 4 steps).
 const (
 	MaxSpecificationBytes = 4000 // bytes
 	MaxSteps              = 100
-	MaxTasks              = 5_000 // of all steps together; its progress must fit into one record of the store
+	MaxTasks              = 5_000 // in all steps of a job; their progress must fit into one record of the store
 	MaxRepetitions        = 10_000
 )
 
-// Validate reports everything that is wrong with a submission.
+// Validate adds a finding for every invalid field of a submission.
 func (j *Job) Validate(l *finding.List) {
 	l.Check(len(j.Specification) <= MaxSpecificationBytes, "specification", len(j.Specification), fmt.Sprintf("at most %d bytes", MaxSpecificationBytes))
 	l.Check(len(j.Steps) > 0 && len(j.Steps) <= MaxSteps, "steps", len(j.Steps), fmt.Sprintf("1 to %d", MaxSteps))
@@ -24,15 +24,15 @@
 	l.Check(j.Interval >= 0, "interval", j.Interval, "0 or more")
 	tasks := 0
 	for i := range j.Steps {
-		j.Steps[i].check(l, i)
+		j.Steps[i].validate(l, i)
 		tasks += max(0, j.Steps[i].TaskCount)
 	}
 	l.Check(tasks <= MaxTasks, "steps", tasks, fmt.Sprintf("at most %d tasks", MaxTasks))
 }
 
-// check reports what is wrong with step number i. A step may only wait for
-// earlier ones, so there can be no cycle.
-func (s *Step) check(l *finding.List, i int) {
+// validate adds a finding for every invalid field of step i. A step may only
+// depend on earlier steps, which rules out cycles.
+func (s *Step) validate(l *finding.List, i int) {
 	place := fmt.Sprintf("steps[%d].", i)
 	l.Check(s.TaskCount > 0, place+"count", s.TaskCount, "1 or more")
 	l.Check(s.TaskResources.MilliCPU >= 0, place+"cpu", s.TaskResources.MilliCPU, "0 or more")
