--- a/internal/leader/calls.go
+++ b/internal/leader/calls.go
@@ -9,10 +9,11 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-func (e *Elector) append(ctx context.Context, k kind) (platform.Offset, error) {
+// append appends a record of kind k at the known end of the partition.
+func (e *Elector) append(ctx context.Context, k recordKind) (platform.Offset, error) {
 	e.mu.Lock()
-	rec, at := e.state.own(k), e.state.End()
-	e.state.sending(uptime())
+	rec, at := e.state.newRecord(k), e.state.End()
+	e.state.appendStarted(uptime())
 	e.mu.Unlock()
 	data, err := encode(rec)
 	if err != nil {
@@ -31,43 +32,45 @@
 	defer e.mu.Unlock()
 	switch {
 	case err == nil:
-		e.usual = time.Since(sent)
+		e.lastAppendDuration = time.Since(sent)
 	case errors.Is(err, platform.ErrUncertain):
-		e.usual = min(timeout, e.cfg.Timing.MaxAppendTimeout/2) // the next one is given more
+		e.lastAppendDuration = min(timeout, e.cfg.Timing.MaxAppendTimeout/2) // gives the next append a longer timeout
 	}
 	return offset, err
 }
 
-// expect takes in what a call to the store took that this process made right before an
-// append: one that has not led yet has made no append that would tell.
-func (e *Elector) expect(took time.Duration) {
+// noteReadDuration raises the estimate of an append's duration to the duration of a read
+// made right before it. A process that has not led yet has no appends to learn from.
+func (e *Elector) noteReadDuration(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.usual = max(e.usual, took)
+	e.lastAppendDuration = max(e.lastAppendDuration, d)
 }
 
-// LastAppendDuration returns what the last append took, as far as is known.
+// LastAppendDuration returns the estimated duration of an append, which is based on the
+// last one.
 func (e *Elector) LastAppendDuration() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.usual
+	return e.lastAppendDuration
 }
 
-// appendTimeout returns for how long the next append is waited for: a
-// multiple of what the last one took.
+// appendTimeout returns the timeout of the next append, which is a multiple of the last
+// one's duration.
 func (e *Elector) appendTimeout() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return max(e.cfg.Timing.MinAppendTimeout, min(2*e.usual, e.cfg.Timing.MaxAppendTimeout))
+	return max(e.cfg.Timing.MinAppendTimeout, min(2*e.lastAppendDuration, e.cfg.Timing.MaxAppendTimeout))
 }
 
+// read reads records from an offset on. If there are none, it waits for one.
 func (e *Elector) read(ctx context.Context, from platform.Offset, wait time.Duration) (platform.RecordBatch, error) {
 	ctx, cancel := context.WithTimeout(ctx, e.cfg.Timing.ReadTimeout+wait)
 	defer cancel()
 	return e.cfg.Log.Read(ctx, e.cfg.Partition, from, wait)
 }
 
-// sleep pauses for d, or less if the store refused this process's epoch.
+// sleep pauses for d, or until Wake is called.
 func (e *Elector) sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/leader/claim.go
+++ b/internal/leader/claim.go
@@ -8,44 +8,44 @@
 	"github.com/skylarklock/skylarklock/internal/pause"
 )
 
-// claim appends a claim.
+// claim appends a claim record and starts to lead if it was stored.
 func (e *Elector) claim(ctx context.Context) error {
 	e.mu.Lock()
 	invited := e.invited
 	e.invited = false
 	e.mu.Unlock()
 	if !invited {
-		if mayStill, err := e.lookBeforeClaim(ctx); err != nil || !mayStill {
+		if due, err := e.readBeforeClaim(ctx); err != nil || !due {
 			return err
 		}
 	}
-	at, err := e.append(ctx, claims)
+	at, err := e.append(ctx, kindClaim)
 	if err != nil {
-		return e.settle(ctx, err)
+		return e.resolveAppend(ctx, err)
 	}
 	e.mu.Lock()
-	e.state.claimed(at, time.Now())
+	e.state.claimStored(at, time.Now())
 	e.mu.Unlock()
-	e.lead()
+	e.startLeading()
 	return nil
 }
 
-// lookBeforeClaim reads on, since somebody may have been faster, and reports whether a
-// claim is still due.
-func (e *Elector) lookBeforeClaim(ctx context.Context) (bool, error) {
+// readBeforeClaim reads new records after a random delay, because another process may
+// have claimed first, and reports whether a claim is still due.
+func (e *Elector) readBeforeClaim(ctx context.Context) (bool, error) {
 	pause.For(ctx, rand.N(e.cfg.Timing.ClaimJitter))
 	sent := time.Now()
 	if err := e.watchOnce(ctx, 0); err != nil {
 		return false, err
 	}
-	e.expect(time.Since(sent))
-	return e.due(), nil
+	e.noteReadDuration(time.Since(sent))
+	return e.claimDue(), nil
 }
 
-// lead begins to lead, after a claim of this process that is known to be stored.
-func (e *Elector) lead() {
+// startLeading makes this process the leader. Its claim must be known to be stored.
+func (e *Elector) startLeading() {
 	e.mu.Lock()
-	e.ledSince = time.Now()
+	e.leadingSince = time.Now()
 	e.suspected = false
 	epoch := e.state.self.Epoch
 	e.mu.Unlock()
@@ -53,21 +53,22 @@
 	e.cfg.OnElected(epoch)
 }
 
-// found takes up an own claim that had no answer and that was read now; thrown away, it
-// would cost another one. A process that could plan nothing by now gives it back.
-func (e *Elector) found() {
-	standing := e.cfg.Suitability()
+// adoptStoredClaim starts to lead by a claim of this process whose answer was lost and
+// that has now been read. Ignoring it would cost a second claim. A process that can't
+// plan by now treats the claim as released.
+func (e *Elector) adoptStoredClaim() {
+	suitability := e.cfg.Suitability()
 	e.mu.Lock()
-	if !e.state.isOwnClaim() {
+	if !e.state.hasUnadoptedClaim() {
 		e.mu.Unlock()
 		return
 	}
-	if standing == Unsynced || e.stopping {
+	if suitability == Unsynced || e.stopping {
 		e.state.released = true
 		e.mu.Unlock()
 		return
 	}
-	e.state.takeUp()
+	e.state.adoptClaim()
 	e.mu.Unlock()
-	e.lead()
+	e.startLeading()
 }
--- a/internal/leader/elector.go
+++ b/internal/leader/elector.go
@@ -12,35 +12,36 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// Elector takes part in the election of one cell's leader. Its methods may be
-// called from any goroutine.
+// Elector takes part in the election of one cell's leader. It is safe for concurrent
+// use.
 type Elector struct {
 	cfg Config
 
-	// mu is the last lock that anything takes: those who hold locks of their
-	// own ask the elector who leads, so it calls nobody while it holds it.
-	mu        sync.Mutex
-	state     *State // nil until the partition was read once
-	suspected bool   // the leader's process answers no call
-	stopping  bool
-	yielding  bool                    // leadership is being handed over: to a machine with more processors, or since this one can't plan
-	unread    bool                    // the state is from other processes; the store was not read yet
-	blind     bool                    // the last read failed
-	ledSince  time.Time               // of the newest claim of this process
-	yielded   time.Time               // when this process last handed leadership over; zero: never
-	usual     time.Duration           // what the last append took
-	invited   bool                    // the leader has told that it stepped down, and where the partition ends
-	waits     context.CancelCauseFunc // ends the read that waits for a record; nil: none does
-	wake      chan struct{}
-	released  chan struct{} // closed when this process has stepped down
+	// mu is the innermost lock of the process: callers ask the elector who leads while
+	// they hold their own locks, so no callback may run while mu is held.
+	mu                 sync.Mutex
+	state              *State // nil until the partition has been read or a leader was observed
+	suspected          bool   // the leader's process does not answer calls
+	stopping           bool
+	resigning          bool                    // leadership is being handed over, to a machine with more processors or because this one can't plan
+	storeUnread        bool                    // the state comes from other processes; the store has not been read yet
+	readFailed         bool                    // the last read failed
+	leadingSince       time.Time               // time of this process's newest claim
+	lastHandover       time.Time               // when this process last handed leadership over; zero: never
+	lastAppendDuration time.Duration           // estimate from the last append
+	invited            bool                    // the leader has announced that it stepped down and where the partition ends
+	cancelWatch        context.CancelCauseFunc // cancels the read that waits for a record; nil: there is none
+	wake               chan struct{}
+	released           chan struct{} // closed when this process has stepped down
 }
 
-// New returns an elector that has not read anything yet.
+// New returns an elector that has not read the partition yet.
 func New(cfg Config) *Elector {
 	return &Elector{cfg: cfg, wake: make(chan struct{}, 1), released: make(chan struct{})}
 }
 
-// Current returns the leader as far as is known.
+// Current returns the current leader as known to this process; its epoch is zero if
+// none is known.
 func (e *Elector) Current() Leader {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -57,7 +58,8 @@
 	return e.state != nil && e.state.MayRenewLeases(uptime(), e.cfg.Timing.LeaseRenewalWindow)
 }
 
-// Wake tells the elector that the store refused this process's epoch.
+// Wake ends the pause between two steps of Run, for example after the store has
+// rejected this process's epoch.
 func (e *Elector) Wake() {
 	select {
 	case e.wake <- struct{}{}:
@@ -65,10 +67,10 @@
 	}
 }
 
-// Release makes this process step down and claim no more. It returns when
-// that is stored, or nothing was to be released, or ctx has ended. Until it is stored
-// nobody else could lead, so this process goes on: in an outage of the store for as long
-// as that and the process last.
+// Release makes this process step down and never claim again. It returns when the
+// release is stored, when this process does not lead, or when ctx ends. Until the
+// release is stored no other process can lead, so this process continues to lead:
+// during an outage of the store for as long as the outage and the process last.
 func (e *Elector) Release(ctx context.Context) {
 	e.mu.Lock()
 	e.stopping = true
@@ -77,84 +79,85 @@
 	if !leads {
 		return
 	}
-	e.Wake() // the loop makes the append, after the one that may be under way
+	e.Wake() // Run appends the release, after an append that may be in progress
 	select {
 	case <-e.released:
 	case <-ctx.Done():
-		e.cfg.Logger.Warn("leadership not released yet; others wait for the silence to end")
+		e.cfg.Logger.Warn("leadership not released in time; other processes claim it after the takeover timeout")
 	}
 }
 
-// release appends that this process steps down.
+// release appends a release record, by which this process steps down.
 func (e *Elector) release(ctx context.Context) error {
-	at, err := e.append(ctx, releases)
+	at, err := e.append(ctx, kindRelease)
 	if err != nil {
-		return e.settle(ctx, err)
+		return e.resolveAppend(ctx, err)
 	}
 	e.cfg.OnLost()
-	invitation := e.steppedDown(at)
+	invitation := e.handleStoredRelease(at)
 	if e.cfg.OnReleased != nil {
 		e.cfg.OnReleased(invitation)
 	}
 	return nil
 }
 
-// steppedDown takes in that the own release was stored, and returns the invitation for
-// the next leader.
-func (e *Elector) steppedDown(at platform.Offset) Invitation {
+// handleStoredRelease updates the state after this process's release was stored, and
+// returns the invitation for the next leader.
+func (e *Elector) handleStoredRelease(at platform.Offset) Invitation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	invitation := Invitation{Epoch: e.state.self.Epoch, End: at + 1, LastAppendDuration: e.usual}
+	invitation := Invitation{Epoch: e.state.self.Epoch, End: at + 1, LastAppendDuration: e.lastAppendDuration}
 	now := time.Now()
-	e.state.stepDown(at, now)
+	e.state.releaseStored(at, now)
 	if e.stopping {
 		close(e.released)
 		return invitation
 	}
-	e.yielding = false
-	e.yielded = now
+	e.resigning = false
+	e.lastHandover = now
 	return invitation
 }
 
-// Run takes part until ctx ends.
+// Run takes part in the election until ctx ends.
 func (e *Elector) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := e.step(ctx); err != nil {
-			e.cfg.Logger.WithError(err).Debug("leader partition not reached")
+			e.cfg.Logger.WithError(err).Debug("leader partition can't be reached")
 			pause.For(ctx, e.cfg.Timing.RetryDelay)
 		}
 	}
 	return nil
 }
 
-// Resign hands leadership back, to whoever claims next: this process can't plan.
-// A leader that renews and doesn't plan would keep all others from claiming.
+// Resign gives up leadership, for any process to claim, because this process can't
+// plan. A leader that renews without planning would keep all others from claiming.
 func (e *Elector) Resign() {
 	e.mu.Lock()
-	e.yielding = true
+	e.resigning = true
 	e.mu.Unlock()
-	e.Wake() // wakes the loop, whose next step makes the append
+	e.Wake() // the next step of Run appends the release
 }
 
-// step makes the next call: the first read, a renewal, a claim or a watch.
+// step makes the next call to the store: the first read, a renewal, a release, a claim
+// or a watch.
 func (e *Elector) step(ctx context.Context) error {
 	e.mu.Lock()
-	state, stopping, unread := e.state, e.stopping, e.unread
+	state, stopping, storeUnread := e.state, e.stopping, e.storeUnread
 	leads := state != nil && state.Leads()
-	e.yielding = e.yielding && leads
-	gives := stopping || e.yielding
+	e.resigning = e.resigning && leads
+	shouldRelease := stopping || e.resigning
 	e.mu.Unlock()
 	switch {
-	case state == nil || unread:
-		return e.begin(ctx)
-	case gives && leads:
+	case state == nil || storeUnread:
+		return e.initialize(ctx)
+	case shouldRelease && leads:
 		return e.release(ctx)
 	case leads:
 		e.sleep(ctx, e.cfg.Timing.RenewInterval)
 		return e.renewOrRelease(ctx)
-	case !stopping && e.due():
+	case !stopping && e.claimDue():
 		return e.claim(ctx)
-	case e.quiet(): // a process that stops reads on too: its last requests need the leader
+	case e.hasFreshRenewal(): // a stopping process also follows the election: its last requests need the leader
 		e.sleep(ctx, e.cfg.Timing.PollInterval)
 		return nil
 	default:
@@ -162,15 +165,16 @@
 	}
 }
 
-// quiet reports whether the leader itself has told of a fresh renewal.
-func (e *Elector) quiet() bool {
+// hasFreshRenewal reports whether the leader's last known renewal is recent enough that
+// the store need not be read.
+func (e *Elector) hasFreshRenewal() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return !e.suspected && e.state.SinceContact(time.Now()) < e.cfg.Timing.RenewalFreshness
 }
 
-// begin finds the partition's end by reading all that is kept of it.
-func (e *Elector) begin(ctx context.Context) error {
+// initialize reads all records that the partition still holds and so finds its end.
+func (e *Elector) initialize(ctx context.Context) error {
 	from := platform.Offset(0)
 	batch, err := e.read(ctx, from, 0)
 	var trimmed *platform.TrimmedError
@@ -183,119 +187,121 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	learned := e.state
+	observed := e.state
 	e.state = NewState(e.cfg.Self, from, time.Now())
-	e.unread = false
-	e.take(batch)
-	e.state.seized = nil // when that was is not known
+	e.storeUnread = false
+	e.applyBatch(batch)
+	e.state.takeovers = nil // their times are not known
 	if len(batch.Records) == 0 {
-		e.state.released = true // nobody leads and nobody is waited for
+		e.state.released = true // there is no leader to wait for
 	}
-	if learned != nil {
-		e.state.learn(learned.current, learned.heard)
+	if observed != nil {
+		e.state.observeLeader(observed.current, observed.lastContact)
 	}
 	return nil
 }
 
-// due reports whether this process should claim the cell.
-func (e *Elector) due() bool {
-	left, may := e.untilDue()
+// claimDue reports whether this process should claim the cell now.
+func (e *Elector) claimDue() bool {
+	left, may := e.timeUntilClaim()
 	return may && left <= 0
 }
 
-// untilDue returns how much longer the leader has to be silent before this process
-// should claim the cell, and whether it may claim at all.
-func (e *Elector) untilDue() (time.Duration, bool) {
-	reserve, may := e.reserve()
+// timeUntilClaim returns for how much longer the leader must be silent until this
+// process should claim the cell, and whether it may claim at all.
+func (e *Elector) timeUntilClaim() (time.Duration, bool) {
+	claimDelay, may := e.claimDelay()
 	if !may {
 		return 0, false
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	silence := e.state.SinceContact(now) - reserve
+	silence := e.state.SinceContact(now) - claimDelay
 	switch {
 	case e.state.Released():
 		return -silence, true
 	case e.suspected:
 		return e.state.SilenceFactor(now)*e.cfg.Timing.SuspectedSilence - silence, true
 	default:
-		usual := max(e.cfg.Timing.MinTakeoverSilence, time.Duration(e.cfg.Timing.TakeoverGaps)*e.state.RenewalGap())
-		return e.state.SilenceFactor(now)*usual - silence, true
+		minSilence := max(e.cfg.Timing.MinTakeoverSilence, time.Duration(e.cfg.Timing.TakeoverGaps)*e.state.RenewalGap())
+		return e.state.SilenceFactor(now)*minSilence - silence, true
 	}
 }
 
-// renewOrRelease renews unless the process was asked to stop meanwhile.
+// renewOrRelease renews leadership unless the process is stopping or should hand over.
 func (e *Elector) renewOrRelease(ctx context.Context) error {
-	standing := e.cfg.Suitability()
+	suitability := e.cfg.Suitability()
 	e.mu.Lock()
-	stopping, yields := e.stopping, e.shouldYield(standing, time.Now())
+	stopping, outclassed := e.stopping, e.shouldHandOver(suitability, time.Now())
 	e.mu.Unlock()
 	switch {
 	case stopping:
-		return nil // the next step releases
-	case yields:
-		e.yield()
+		return nil // the next step appends the release
+	case outclassed:
+		e.handOver()
 		return nil
 	default:
 		return e.renew(ctx)
 	}
 }
 
-// yield begins to hand leadership to a machine that could lead much better;
-// the next step makes the append.
-func (e *Elector) yield() {
+// handOver starts to hand leadership to a machine with many more processors. The next
+// step appends the release.
+func (e *Elector) handOver() {
 	e.cfg.Logger.Info("this process hands leadership to a machine with more processors")
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.yielding = true
+	e.resigning = true
 }
 
-// renew appends a renewal.
+// renew appends a renewal record.
 func (e *Elector) renew(ctx context.Context) error {
-	at, err := e.append(ctx, renews)
+	at, err := e.append(ctx, kindRenewal)
 	if err != nil {
-		return e.settle(ctx, err)
+		return e.resolveAppend(ctx, err)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.state.renewed(at, time.Now())
+	e.state.renewalStored(at, time.Now())
 	return nil
 }
 
-// settle finds out what became of an append that failed: it reads on.
-func (e *Elector) settle(ctx context.Context, cause error) error {
+// resolveAppend determines the outcome of a failed append by reading the partition from
+// the known end. An append that certainly did not happen needs no read.
+func (e *Elector) resolveAppend(ctx context.Context, cause error) error {
 	if errors.Is(cause, platform.ErrUnavailable) {
 		return cause
 	}
 	return e.watchOnce(ctx, 0)
 }
 
-// What ends a read that waits for the leader's next record.
+// Causes for which a read that waits for the leader's next record is cancelled.
 var (
-	errSuspected = errors.New("leader: the leader's process answers no call")
-	errInvited   = errors.New("leader: the leader has stepped down and invites this process")
+	errSuspected = errors.New("leader: the leader's process does not answer calls")
+	errInvited   = errors.New("leader: the leader stepped down and invited this process")
 )
 
-// watch waits for the next record, or until the leader is suspected.
+// watch waits for the next record, until a claim is due, or until the leader is
+// suspected or invites this process.
 func (e *Elector) watch(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	e.mu.Lock()
-	e.waits = cancel
+	e.cancelWatch = cancel
 	e.mu.Unlock()
 	wait := e.cfg.Timing.WatchTimeout
-	if left, may := e.untilDue(); may && left > 0 {
+	if left, may := e.timeUntilClaim(); may && left > 0 {
 		wait = min(wait, left.Truncate(time.Millisecond)+time.Millisecond)
 	}
 	err := e.watchOnce(ctx, wait)
 	e.mu.Lock()
-	e.waits = nil
+	e.cancelWatch = nil
 	e.mu.Unlock()
 	return err
 }
 
-// watchOnce reads on from the known end.
+// watchOnce reads and applies the records from the known end on.
 func (e *Elector) watchOnce(ctx context.Context, wait time.Duration) error {
 	e.mu.Lock()
 	from := e.state.End()
@@ -309,36 +315,36 @@
 		return nil
 	}
 	if cause := context.Cause(ctx); err != nil && (errors.Is(cause, errSuspected) || errors.Is(cause, errInvited)) {
-		return nil // the store was not given the time to answer
+		return nil // the read was cancelled, so the store has not failed
 	}
 	if err != nil {
 		e.mu.Lock()
-		e.blind = true
+		e.readFailed = true
 		e.mu.Unlock()
 		return err
 	}
 	e.mu.Lock()
 	led := e.state.Leads()
-	if e.blind {
-		e.blind = false
-		e.state.lookAgain(time.Now())
+	if e.readFailed {
+		e.readFailed = false
+		e.state.resetContact(time.Now())
 	}
-	e.take(batch)
+	e.applyBatch(batch)
 	lost := led && !e.state.Leads()
-	by, own := e.state.Current(), e.state.isOwnClaim()
+	by, own := e.state.Current(), e.state.hasUnadoptedClaim()
 	e.mu.Unlock()
 	if lost {
 		e.cfg.Logger.WithFields(logrus.Fields{"by": by.Node, "epoch": by.Epoch}).Warn("this process was replaced as leader")
 		e.cfg.OnLost()
 	}
 	if own {
-		e.found()
+		e.adoptStoredClaim()
 	}
 	return nil
 }
 
-// take applies records; e.mu is held.
-func (e *Elector) take(batch platform.RecordBatch) {
+// applyBatch applies the records of a batch. The caller holds e.mu.
+func (e *Elector) applyBatch(batch platform.RecordBatch) {
 	now := time.Now()
 	for _, r := range batch.Records {
 		rec, err := decode(r.Value)
@@ -348,7 +354,7 @@
 			continue
 		}
 		before := e.state.Current().Epoch
-		e.state.read(r.Offset, rec, now)
+		e.state.applyRecord(r.Offset, rec, now)
 		if e.state.Current().Epoch != before {
 			e.suspected = false
 		}
--- a/internal/leader/elector_test.go
+++ b/internal/leader/elector_test.go
@@ -12,7 +12,7 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// memoryLog is one partition in memory.
+// memoryLog is an in-memory log with one partition.
 type memoryLog struct {
 	platform.PartitionLog
 	mu      sync.Mutex
@@ -47,17 +47,17 @@
 	}
 }
 
-// candidate is a process that takes part in a played election.
+// candidate is a process in a simulated election.
 type candidate struct {
 	*Elector
 	processors float64
 	mu         sync.Mutex
-	gained     []time.Duration // since the start
+	gained     []time.Duration // times of its elections since the start
 	leads      bool
 }
 
-// election plays an election among processes with unlike processors, all of
-// which know of each other after a second.
+// election returns the processes of an election, which differ in their processors. They
+// know of each other after a second.
 func election(t *testing.T, processors ...float64) []*candidate {
 	t.Helper()
 	start := time.Now()
@@ -99,7 +99,7 @@
 	return all
 }
 
-// run starts a process and returns what ends it.
+// run starts a process and returns a function that ends it.
 func run(c *candidate) func() {
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -119,9 +119,9 @@
 	return c.leads, len(c.gained)
 }
 
-// Of machines that start together one with enough processors leads, however
-// many others there are.
-func TestFitMachineClaimsFirst(t *testing.T) {
+// Among machines that start at the same time the one with sufficient processors is
+// elected, even if most others have fewer.
+func TestSuitableMachineClaimsFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		all := election(t, 0.2, 0.2, 0.2, 0.8, 0.2)
 		for _, c := range all {
@@ -137,19 +137,19 @@
 	})
 }
 
-// A weak machine that came to lead hands over to a better one that is there,
-// once; without any it leads on.
-func TestWeakLeaderHandsOver(t *testing.T) {
+// An underpowered leader hands over once to a better machine that is available. Without
+// one it continues to lead.
+func TestUnderpoweredLeaderHandsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		all := election(t, 0.2, 0.8)
 		defer run(all[0])()
 		time.Sleep(500 * time.Millisecond)
 		if leads, _ := all[0].state(); leads {
-			t.Fatal("a weak machine claimed at once")
+			t.Fatal("an underpowered machine claimed without delay")
 		}
 		time.Sleep(600 * time.Millisecond)
 		if leads, _ := all[0].state(); !leads {
-			t.Fatal("nobody leads")
+			t.Fatal("no process leads")
 		}
 		defer run(all[1])()
 		time.Sleep(3 * time.Second)
@@ -157,27 +157,27 @@
 			t.Fatal("the better machine doesn't lead")
 		}
 		if leads, gained := all[0].state(); leads || gained != 1 {
-			t.Fatalf("the weak machine leads: %v, after %d claims", leads, gained)
+			t.Fatalf("the underpowered machine leads: %v, after %d claims", leads, gained)
 		}
 	})
 }
 
-// A hand-over that nobody takes up is not repeated at once.
-func TestHandOverThatNobodyTakesUp(t *testing.T) {
+// A handover after which no other machine claims is not repeated at once.
+func TestHandoverWithoutSuccessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		all := election(t, 0.2, 0.8) // the second never runs
 		defer run(all[0])()
 		time.Sleep(10 * time.Second)
 		if leads, gained := all[0].state(); !leads || gained != 2 {
-			t.Fatalf("the weak machine leads: %v, after %d claims", leads, gained)
+			t.Fatalf("the underpowered machine leads: %v, after %d claims", leads, gained)
 		}
 	})
 }
 
-// After a loss of power of all machines nothing was planned for 15 s and
-// longer: a process that had read none of the jobs yet could claim, renewed its
-// claim, and kept those from claiming that had read them.
-func TestUnreadProcessDoesNotClaim(t *testing.T) {
+// Guards against a leader that can't plan: after a power loss of all machines nothing
+// was planned for 15 s and longer, because a process that had not read the jobs claimed
+// the cell and its renewals kept those from claiming that had read them.
+func TestUnsyncedProcessDoesNotClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const readAfter = 20 * time.Second
 		start := time.Now()
@@ -191,28 +191,28 @@
 		defer run(c)()
 		time.Sleep(readAfter - time.Millisecond)
 		if _, gained := c.state(); gained > 0 {
-			t.Error("it claimed before it had read the jobs")
+			t.Error("the process claimed before it had read the jobs")
 		}
 		time.Sleep(300 * time.Millisecond)
 		if leads, _ := c.state(); !leads {
-			t.Error("it doesn't lead though it has read the jobs")
+			t.Error("the process doesn't lead although it has read the jobs")
 		}
 	})
 }
 
-func TestCompare(t *testing.T) {
+func TestAssessSuitability(t *testing.T) {
 	for _, c := range []struct {
 		own, fittest float64
 		want         Suitability
 	}{
-		{0, 0.8, Suitable}, // it isn't told what it has
+		{0, 0.8, Suitable}, // its own processors are unknown
 		{0.4, 8, Suitable},
 		{0.2, 0, Underpowered},
 		{0.2, 0.25, Suitable},
 		{0.2, 0.8, Outclassed},
 	} {
 		if got := AssessSuitability(c.own, c.fittest); got != c.want {
-			t.Errorf("Compare(%v, %v) = %v, want %v", c.own, c.fittest, got, c.want)
+			t.Errorf("AssessSuitability(%v, %v) = %v, want %v", c.own, c.fittest, got, c.want)
 		}
 	}
 }
--- a/internal/leader/late_answer_test.go
+++ b/internal/leader/late_answer_test.go
@@ -10,17 +10,17 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// lateLog does what it is asked at once and answers late or not at all.
+// lateLog carries out calls at once and delays or drops their answers.
 type lateLog struct {
 	*memoryLog
-	late   atomic.Int64 // nanoseconds until it answers
-	lose   atomic.Int32 // so many of the next appends have no answer
-	claims atomic.Int32 // that were stored
+	late   atomic.Int64 // delay of each answer, nanoseconds
+	lose   atomic.Int32 // number of next appends whose answers are dropped
+	claims atomic.Int32 // number of stored claims
 }
 
 func (l *lateLog) Append(ctx context.Context, a platform.Append) (platform.Offset, error) {
 	at, err := l.memoryLog.Append(ctx, a)
-	if rec, bad := decode(a.Records[0].Value); err == nil && bad == nil && rec.Kind == claims {
+	if rec, bad := decode(a.Records[0].Value); err == nil && bad == nil && rec.Kind == kindClaim {
 		l.claims.Add(1)
 	}
 	if l.lose.Add(-1) >= 0 {
@@ -41,7 +41,7 @@
 	return batch, err
 }
 
-// answer waits until the answer is there, and reports whether it was waited for.
+// answer waits for the delay and reports whether it passed before ctx ended.
 func (l *lateLog) answer(ctx context.Context) bool {
 	select {
 	case <-time.After(time.Duration(l.late.Load())):
@@ -51,8 +51,8 @@
 	}
 }
 
-// succession plays a leader that steps down once the log is as prepare makes it, and
-// returns how long it takes until the other process leads, and its claims.
+// succession simulates a leader that steps down, after which prepare changes the log. It
+// returns the time until the other process leads, and the number of its claims.
 func succession(t *testing.T, prepare func(*lateLog)) (time.Duration, int32) {
 	t.Helper()
 	all := election(t, 0.8, 0.8)
@@ -74,44 +74,43 @@
 			return time.Since(began), log.claims.Load() - former
 		}
 		if time.Since(began) > 20*time.Second {
-			t.Fatal("nobody leads")
+			t.Fatal("no process leads")
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// Users saw 44 to 102 of 100 requests fail for 4 s and longer, four times in a day,
-// after the leader had been stopped or killed while the store was slow (286 ms a call).
-// Order of events: another process claimed; its append was given 200 ms, so the answer
-// came too late; it read on, found its claim, threw it away and claimed again, 0.9 s
-// later, while all others asked it in vain. Cause: what an append may take was learned
-// from own appends only, and a process that hasn't led has made none; the reading right
-// before the claim had taken as long. Evidence: an epoch that was claimed twice by one
-// process, and others' line that the process at the leader's address doesn't lead.
-func TestClaimAtAStoreThatHasBecomeSlow(t *testing.T) {
+// Guards against claims that time out at a slow store. After the leader had been stopped
+// or killed while a call to the store took 286 ms, another process's claim with a timeout
+// of 200 ms was stored but its answer came too late. The process read its own claim,
+// ignored it and claimed again 0.9 s later, while all others called it in vain: four times
+// in a day 44 to 102 of 100 requests failed for 4 s and longer. The timeout was derived
+// from the process's own appends only, and a process that has not led has made none; it is
+// now also derived from the read right before the claim.
+func TestClaimAtSlowStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const late = 290 * time.Millisecond
 		took, claimed := succession(t, func(l *lateLog) { l.late.Store(int64(late)) })
-		// The release is read, then the end once more, then the claim is stored.
-		if most := 3*late + 300*time.Millisecond; took > most || claimed != 1 {
-			t.Errorf("leads after %v and %d claims, want %v at most and one", took, claimed, most)
+		// The process reads the release, reads the end again, then appends the claim.
+		if limit := 3*late + 300*time.Millisecond; took > limit || claimed != 1 {
+			t.Errorf("leads after %v and %d claims, want at most %v and one claim", took, claimed, limit)
 		}
 	})
 }
 
-// A claim that was stored and whose answer was lost is a claim: thrown away it cost one
-// more, and others a leader that says it doesn't lead.
-func TestClaimWhoseAnswerIsLost(t *testing.T) {
+// A claim that was stored counts even if its answer was lost. When it was ignored, the
+// process needed a second claim, and others saw a leader that said it didn't lead.
+func TestClaimWithLostAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		took, claimed := succession(t, func(l *lateLog) { l.lose.Store(1) })
 		if timing := DefaultTiming(); claimed != 1 || took > timing.MinAppendTimeout+timing.ClaimJitter+300*time.Millisecond {
-			t.Errorf("leads after %v and %d claims, want one", took, claimed)
+			t.Errorf("leads after %v and %d claims, want one claim", took, claimed)
 		}
 	})
 }
 
-// A process that could plan nothing any more doesn't take up a claim that it finds.
-func TestClaimThatIsFoundByAProcessThatCannotPlan(t *testing.T) {
+// A process that can no longer plan doesn't adopt its stored claim.
+func TestUnsyncedProcessDoesNotAdoptClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := election(t, 0.8)[0]
 		log := &lateLog{memoryLog: &memoryLog{}}
@@ -126,13 +125,14 @@
 		defer run(c)()
 		time.Sleep(5 * time.Second)
 		if leads, gained := c.state(); leads || gained > 0 {
-			t.Errorf("it leads: %v, after %d claims taken up", leads, gained)
+			t.Errorf("the process leads: %v, after %d adopted claims", leads, gained)
 		}
 	})
 }
 
-// A leader that is stopped while the store takes 150 ms a call was followed after reading
-// that it has stepped down, reading once more and claiming. One that is told claims.
+// A process that is invited claims with a single call to the store. Without an invitation
+// it reads that the leader has stepped down, reads again and then claims, which takes
+// three calls of 150 ms here.
 func TestInvitedProcessClaimsAtOnce(t *testing.T) {
 	const call = 150 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
@@ -141,7 +141,7 @@
 		log.late.Store(int64(call))
 		all[0].cfg.Log, all[1].cfg.Log = log, log
 		all[0].cfg.OnReleased = func(i Invitation) {
-			all[0].Current() // what is told may ask the elector
+			all[0].Current() // the callback may call the elector
 			go all[1].Invite(i)
 		}
 		defer run(all[0])()
@@ -155,18 +155,19 @@
 				break
 			}
 			if time.Since(stopped) > 10*time.Second {
-				t.Fatal("nobody leads")
+				t.Fatal("no process leads")
 			}
 			time.Sleep(time.Millisecond)
 		}
 		if took := time.Since(stopped); took > call+50*time.Millisecond {
-			t.Errorf("it is followed %v after it has stepped down, want one call", took)
+			t.Errorf("the next process leads %v after the leader stepped down, want the time of one call", took)
 		}
 	})
 }
 
-// An invitation says where the partition ended. A claim elsewhere that came since wins.
-func TestLateInvitationClaimsNothing(t *testing.T) {
+// An invitation names the partition's end, so a claim that was stored since takes
+// precedence.
+func TestLateInvitationIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		all := election(t, 0.8, 0.8, 0.8)
 		var late Invitation
@@ -182,7 +183,7 @@
 		all[1].Invite(late)
 		time.Sleep(2 * time.Second)
 		if now := all[1].Current(); now != before || now.Epoch == 0 {
-			t.Errorf("leader %+v, was %+v", now, before)
+			t.Errorf("leader is %+v, was %+v before the invitations", now, before)
 		}
 	})
 }
--- a/internal/leader/record.go
+++ b/internal/leader/record.go
@@ -7,20 +7,20 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// kind says what a record in the cell's leader partition does.
-type kind uint8
+// recordKind is the type of a record in the cell's leader partition.
+type recordKind uint8
 
 const (
-	claims   kind = iota + 1 // a process becomes the leader; the record's place is its epoch
-	renews                   // the leader is alive
-	releases                 // the leader steps down
+	kindClaim   recordKind = iota + 1 // a process becomes the leader; its epoch is the record's offset plus one
+	kindRenewal                       // the leader is alive
+	kindRelease                       // the leader steps down
 )
 
-// record is one entry of the leader partition. Each is appended under the
-// condition that the partition ends where its writer last saw it end.
+// record is an entry of the leader partition. It is appended on the condition that the
+// partition still ends at the offset that its writer knows.
 type record struct {
 	_           struct{} `cbor:",toarray"`
-	Kind        kind
+	Kind        recordKind
 	Node        api.NodeID
 	Incarnation api.Incarnation
 	Address     string    // of the leader's peer service
@@ -32,5 +32,5 @@
 func decode(data []byte) (record, error) {
 	var r record
 	err := cbor.Unmarshal(data, &r)
-	return r, errors.Wrap(err, "leader: record")
+	return r, errors.Wrap(err, "leader: decode record")
 }
--- a/internal/leader/race_test.go
+++ b/internal/leader/stop_during_claim_test.go
@@ -9,7 +9,7 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// slowLog takes a while for each append.
+// slowLog delays each append.
 type slowLog struct{ platform.PartitionLog }
 
 func (l slowLog) Append(ctx context.Context, a platform.Append) (platform.Offset, error) {
@@ -17,9 +17,9 @@
 	return l.PartitionLog.Append(ctx, a)
 }
 
-// A process that is asked to stop while its claim is under way ends planning
-// when it steps down: Lost is called for each Gained.
-func TestStopDuringAClaimEndsLeading(t *testing.T) {
+// A process that is asked to stop while its claim is in progress ends planning when it
+// steps down: OnLost is called for each OnElected.
+func TestStopDuringClaimEndsLeadership(t *testing.T) {
 	for after := time.Duration(0); after < 400*time.Millisecond; after += 10 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			c := election(t, 1)[0]
@@ -30,16 +30,16 @@
 			time.Sleep(5 * time.Second)
 			leads, gained := c.state()
 			if c.Current().Epoch == 0 && leads {
-				t.Errorf("asked to stop after %v: stepped down and leads, after %d claims", after, gained)
+				t.Errorf("asked to stop after %v: stepped down but still leads, after %d claims", after, gained)
 			}
 			stop()
 		})
 	}
 }
 
-// A leader that can't plan hands the cell back instead of renewing its claim;
-// somebody leads soon after.
-func TestLeaderThatGivesUpIsFollowed(t *testing.T) {
+// A leader that can't plan resigns instead of renewing its claim, and a process is
+// elected soon after.
+func TestLeaderThatResignsIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		all := election(t, 1, 1)
 		defer run(all[0])()
--- a/internal/leader/stop_test.go
+++ b/internal/leader/stop_test.go
@@ -7,13 +7,10 @@
 	"time"
 )
 
-// Requests that came to a machine that was asked to stop waited in vain while
-// leadership changed. Order of events: the process was asked to stop and served
-// on for seconds; the leader was asked to stop too, and another process claimed;
-// the first went on to ask the former leader, or, having led, knew of none.
-// Cause: an elector that was asked to stop didn't read on, and learned of the
-// next leader only if that delivered to it. The evidence: who it took for the
-// leader two seconds later.
+// Guards against requests that waited in vain at a stopping process while leadership
+// changed. An elector that was asked to stop did not read the partition any more. The
+// process served requests for some seconds and meanwhile called the former leader, or
+// knew no leader if it had led itself, unless the next leader delivered to it.
 func TestStoppingProcessFollowsTheElection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		all := election(t, 1, 1, 1)
@@ -29,11 +26,11 @@
 		defer run(all[2])()
 		time.Sleep(2 * time.Second)
 		if leads, _ := all[2].state(); !leads {
-			t.Fatal("nobody leads")
+			t.Fatal("no process leads")
 		}
 		for i, c := range all[:2] {
 			if now := c.Current().Node; now != "c" {
-				t.Errorf("process %d, which stops, takes %q for the leader", i, now)
+				t.Errorf("stopping process %d has %q as the leader, want c", i, now)
 			}
 			if leads, gained := c.state(); leads || gained != 1-i {
 				t.Errorf("process %d leads: %t, after %d claims", i, leads, gained)
@@ -42,31 +39,32 @@
 	})
 }
 
-// A leader that is asked to stop while the store is down can't be followed by anybody.
-// It goes on as long as it may; it ended at once, and nothing ran on from then on.
-func TestLeaderStoppedInAnOutageLeadsUntilItIsFollowed(t *testing.T) {
+// A leader that is asked to stop during an outage of the store can't be replaced, so it
+// continues to lead as long as it may. It used to stop at once, after which no work of
+// the cell continued.
+func TestLeaderStoppedDuringOutageLeadsUntilReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		all := election(t, 1, 1)
-		log := &mortalLog{PartitionLog: all[0].cfg.Log}
+		log := &failingLog{PartitionLog: all[0].cfg.Log}
 		all[0].cfg.Log = log
 		defer run(all[0])()
 		time.Sleep(time.Second)
-		log.gone.Store(true)
+		log.unavailable.Store(true)
 		stopping, cancel := context.WithTimeout(context.Background(), 2500*time.Millisecond)
 		defer cancel()
 		all[0].Release(stopping)
 		if leads, _ := all[0].state(); !leads {
-			t.Error("it doesn't lead any more, and nobody else could")
+			t.Error("the stopping process doesn't lead any more, and no other process could")
 		}
-		log.gone.Store(false)
+		log.unavailable.Store(false)
 		time.Sleep(time.Second)
 		if leads, _ := all[0].state(); leads {
-			t.Error("it still leads, with a store that takes that it steps down")
+			t.Error("the process still leads although the store is available for its release")
 		}
 		defer run(all[1])()
 		time.Sleep(time.Second)
 		if leads, _ := all[1].state(); !leads {
-			t.Error("it isn't followed")
+			t.Error("the other process doesn't lead")
 		}
 	})
 }
--- a/internal/leader/uptime.go
+++ b/internal/leader/uptime.go
@@ -6,14 +6,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// started stands in for the boot of the machine where its clock can't be read.
-var started = time.Now()
+// processStart replaces the machine's boot time if CLOCK_BOOTTIME can't be read.
+var processStart = time.Now()
 
-// uptime returns the time since the machine has booted, suspensions included.
+// uptime returns the time since the machine booted, including suspensions.
 func uptime() Uptime {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		return Uptime(time.Since(started)) // a kernel without that clock: the steady one has to do
+		return Uptime(time.Since(processStart)) // falls back to the monotonic clock on a kernel without CLOCK_BOOTTIME
 	}
 	return Uptime(t.Nano())
 }
