--- a/internal/storehealth/health.go
+++ b/internal/storehealth/health.go
@@ -1,5 +1,5 @@
-// Package storehealth watches, call by call, whether this machine's store
-// answers, so that what certainly can't be stored is refused at once.
+// Package storehealth tracks from the results of calls whether this machine's store is
+// available, so that requests that certainly can't be stored are rejected at once.
 package storehealth
 
 import (
@@ -12,54 +12,55 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// downAfter is how long the store may give no answer, while it is called,
-// before it counts as down rather than slow.
-const downAfter = 700 * time.Millisecond
+// downThreshold is how long calls to the store may fail before it counts as down rather
+// than slow.
+const downThreshold = 700 * time.Millisecond
 
-// Log is a platform.PartitionLog that watches the one it calls.
+// Log is a platform.PartitionLog that tracks the health of the store that it calls.
 type Log struct {
 	platform.PartitionLog
 	*health
 }
 
-// health is what is known of one store, whichever connections lead to it.
+// health is the observed health of one store, shared by all clients of that store.
 type health struct {
 	now func() time.Time
 
-	mu      sync.Mutex
-	failing time.Time // since when nothing but failures came back; zero: the last answer was good
-	last    time.Time // last good answer
+	mu           sync.Mutex
+	failingSince time.Time // start of the current series of failures; zero: the last call succeeded
+	lastSuccess  time.Time // time of the last successful call
 }
 
-// Watch returns a log that passes all calls on to log.
+// Watch returns a Log that forwards all calls to log.
 func Watch(log platform.PartitionLog) *Log {
 	return &Log{PartitionLog: log, health: &health{now: time.Now}}
 }
 
-// WithClient returns a log that passes all calls on to another client of the same store.
+// WithClient returns a Log that forwards all calls to another client of the same store
+// and shares the health of l.
 func (l *Log) WithClient(log platform.PartitionLog) *Log {
 	return &Log{PartitionLog: log, health: l.health}
 }
 
-// Down reports whether the store has failed for a while.
-func (l *health) Down() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return !l.failing.IsZero() && l.now().Sub(l.failing) > downAfter
+// Down reports whether calls to the store have failed for longer than downThreshold.
+func (h *health) Down() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return !h.failingSince.IsZero() && h.now().Sub(h.failingSince) > downThreshold
 }
 
-// SinceSuccess returns for how long the store has answered no call of this machine.
-func (l *health) SinceSuccess(now time.Time) time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return now.Sub(l.last)
+// SinceSuccess returns the time since the store last answered a call of this machine.
+func (h *health) SinceSuccess(now time.Time) time.Duration {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return now.Sub(h.lastSuccess)
 }
 
 // Append implements platform.PartitionLog.
 func (l *Log) Append(ctx context.Context, a platform.Append) (platform.Offset, error) {
 	began := l.now()
 	offset, err := l.PartitionLog.Append(ctx, a)
-	l.note(began, err)
+	l.recordResult(began, err)
 	return offset, err
 }
 
@@ -67,7 +68,7 @@
 func (l *Log) Read(ctx context.Context, p platform.Partition, from platform.Offset, wait time.Duration) (platform.RecordBatch, error) {
 	began := l.now()
 	batch, err := l.PartitionLog.Read(ctx, p, from, wait)
-	l.note(began, err)
+	l.recordResult(began, err)
 	return batch, err
 }
 
@@ -75,30 +76,30 @@
 func (l *Log) Newest(ctx context.Context, p platform.Partition, after string) (platform.NewestPage, error) {
 	began := l.now()
 	page, err := l.PartitionLog.Newest(ctx, p, after)
-	l.note(began, err)
+	l.recordResult(began, err)
 	return page, err
 }
 
-// note takes in how a call ended that began at a time. A failure counts from
-// when its call began, but not from before the last good answer.
-func (l *health) note(began time.Time, err error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if err == nil || !failed(err) {
-		l.failing = time.Time{}
-		l.last = l.now()
+// recordResult records the result of a call that began at the given time. A series of
+// failures starts when its first call began, but not before the last success.
+func (h *health) recordResult(began time.Time, err error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if err == nil || !isOutage(err) {
+		h.failingSince = time.Time{}
+		h.lastSuccess = h.now()
 		return
 	}
-	if l.failing.IsZero() {
-		l.failing = began
-		if l.failing.Before(l.last) {
-			l.failing = l.last
+	if h.failingSince.IsZero() {
+		h.failingSince = began
+		if h.failingSince.Before(h.lastSuccess) {
+			h.failingSince = h.lastSuccess
 		}
 	}
 }
 
-// failed reports whether an error says that the store gave no useful answer;
-// others are answers.
-func failed(err error) bool {
+// isOutage reports whether an error means that the store gave no usable answer. Other
+// errors are answers of the store.
+func isOutage(err error) bool {
 	return errors.Is(err, platform.ErrUnavailable) || errors.Is(err, platform.ErrUncertain)
 }
