--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -1,45 +1,48 @@
-// Package reach judges whether a machine is cut off from all that could have a job
-// stored, by what it hears of the store, of the leader and of other data centres. It
-// holds neither clock nor sockets.
+// Package reach decides whether a machine is cut off, that is whether it can reach neither
+// the store nor a leader that may get a job stored. The decision is based on the machine's
+// contact with the store, the leader and other data centres. The package uses neither
+// clocks nor sockets.
 //
-// The load it answers: clients of a data centre that is cut off together with the
-// leader. The machines there hear from their leader all the time, so each of them
-// takes the store to be down for everybody, goes on taking connections and has its
-// clients wait and try again at machines that are cut off too.
+// It exists for clients of a data centre that is cut off together with the leader. The
+// machines there have steady contact with their leader, so each of them would assume that
+// the store is down for all data centres, continue to accept connections, and let its
+// clients wait and retry at machines that are cut off too.
 package reach
 
 import "time"
 
 const (
-	// storeSilence is for how long the store may have answered nothing: each machine
-	// reads the configuration with calls that wait 0.8 s for news.
-	storeSilence = time.Second
-	// beyondSilence is for how long a leader may have heard nothing from any machine of
-	// another data centre: it delivers to each at least five times a second.
-	beyondSilence = 600 * time.Millisecond
+	// storeTimeout is the time without an answer from the store after which it counts as
+	// unreachable. It exceeds the 0.8 s for which each machine's reads of the
+	// configuration wait for changes.
+	storeTimeout = time.Second
+	// remotePeerTimeout is the time without contact to any machine of another data
+	// centre after which a leader counts as cut off. The leader delivers to each machine
+	// at least five times a second.
+	remotePeerTimeout = 600 * time.Millisecond
 )
 
-// Connectivity are what a machine hears at a moment.
+// Connectivity describes a machine's contacts at one moment.
 type Connectivity struct {
-	SinceStore      time.Duration // since the store last answered this machine
-	Leads           bool          // this machine leads
-	HasRemotePeers  bool          // Leads: machines of other data centres have been heard at all
-	SinceRemotePeer time.Duration // Spread: since the last of them was heard
-	LeaderDelivers  bool          // the leader delivers to this machine
-	LeaderCutOff    bool          // Fed: with the word that it is cut off itself
+	SinceStore      time.Duration // time since the store last answered this machine
+	Leads           bool          // this machine is the leader
+	HasRemotePeers  bool          // on the leader: it has ever had contact with another data centre
+	SinceRemotePeer time.Duration // if HasRemotePeers: time since the last such contact
+	LeaderDelivers  bool          // this machine receives the leader's deliveries
+	LeaderCutOff    bool          // if LeaderDelivers: the leader reports that it is cut off itself
 }
 
-// CutOff reports whether the machine reaches nobody who could have a job stored. While
-// the store is silent for all data centres, which still reach each other, none is cut
-// off: others could do no better.
-func (s Connectivity) CutOff() bool {
+// CutOff reports whether the machine can reach neither the store nor a leader that may get
+// a job stored. If the store is unavailable to all data centres but they can reach each
+// other, no machine is cut off, because no other machine could do better.
+func (c Connectivity) CutOff() bool {
 	switch {
-	case s.SinceStore < storeSilence:
+	case c.SinceStore < storeTimeout:
 		return false
-	case s.Leads:
-		return s.HasRemotePeers && s.SinceRemotePeer > beyondSilence
-	case s.LeaderDelivers:
-		return s.LeaderCutOff
+	case c.Leads:
+		return c.HasRemotePeers && c.SinceRemotePeer > remotePeerTimeout
+	case c.LeaderDelivers:
+		return c.LeaderCutOff
 	default:
 		return true
 	}
