--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,10 +1,10 @@
-// Package lease decides, for one worker VM, which lease expiry an exchange
-// carries and when an attempt is certainly not running there any more.
+// Package lease computes, for one worker VM, the lease expiry that each exchange
+// carries, and decides when an attempt is certainly no longer running there.
 //
-// It is pure code. The expiry is a point on the worker's own clock, worked
-// out from the latest report, so that a late, doubled or reordered exchange
-// never lengthens a lease. Times of this VM are never compared with the
-// worker's: rates differ by at most Params.Drift.
+// It does no I/O and reads no clock. The expiry is a time on the worker's own clock,
+// computed from the latest report, so that a delayed, duplicated or reordered exchange
+// never extends a lease. Times of this VM are never compared with the worker's; only
+// the clock rates are assumed to differ by at most Params.Drift.
 package lease
 
 import (
@@ -14,102 +14,101 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// Params are the bounds that all entry VMs and workers agree on.
+// Params are the parameters that all entry VMs and workers must agree on.
 type Params struct {
-	Lease time.Duration // by the worker's clock
-	Hold  time.Duration // how long a superseded holder may go on renewing
-	Drift float64       // largest difference of clock rates, as in 0.001
+	Lease time.Duration // on the worker's clock
+	Hold  time.Duration // how long a superseded holder may continue to renew leases
+	Drift float64       // maximum relative difference of clock rates, for example 0.001
 }
 
-// stretch lengthens d by the drift.
-func (p Params) stretch(d time.Duration) time.Duration {
+// withDrift returns d extended by the maximum clock drift.
+func (p Params) withDrift(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + p.Drift))
 }
 
-// Attempt names one attempt of a task.
+// Attempt identifies one attempt of a task.
 type Attempt struct {
 	Task    api.TaskID
 	Attempt uint32
 }
 
-// told is what the tracker knows of an attempt that a worker may have been
-// told to start.
-type told struct {
-	incarnation uint64              // of the worker that was told; zero: unknown
-	until       platform.WorkerTime // no copy of the start is valid from here on; zero: unknown
-	over        bool                // certainly neither runs there nor will
+// attemptState is the state of an attempt whose start may have been sent to the worker.
+type attemptState struct {
+	incarnation uint64              // of the worker that the start was sent to; zero: unknown
+	validUntil  platform.WorkerTime // no copy of the start is valid from this time on; zero: unknown
+	ended       bool                // certainly isn't running and never will
 }
 
-// ExchangeID numbers the exchanges with one VM, from 1.
+// ExchangeID is the sequence number of an exchange with one VM, starting at 1.
 type ExchangeID uint64
 
-// Grant is what an exchange carries to the worker. A zero Expiry renews
-// nothing; such an exchange must not carry starts.
+// Grant is the lease information of an exchange. A zero Expiry renews no lease, and such
+// an exchange must not carry starts.
 type Grant struct {
 	ExchangeID  ExchangeID
 	Incarnation uint64
 	Expiry      platform.WorkerTime
 }
 
-// Tracker follows one VM during one tenure of the placement shard. It is not
-// safe for concurrent use.
+// Tracker tracks the leases and attempts of one VM during one tenure of the placement
+// shard. It is not safe for concurrent use.
 type Tracker struct {
 	params   Params
 	takeover time.Time // when the claim was read back
 
-	built        ExchangeID // latest built
-	answered     ExchangeID // latest answered
-	reportedAt   time.Time  // arrival of the latest report, zero before the first
-	incarnation  uint64
-	clock        platform.WorkerTime // of the latest report; meaningless without incarnation
-	inheritUntil platform.WorkerTime // starts of earlier holders are invalid from here on
-	first        uint64              // incarnation of the first report
-	told         map[Attempt]told
+	lastBuilt        ExchangeID
+	lastAnswered     ExchangeID
+	reportedAt       time.Time           // arrival of the latest report; zero before the first
+	incarnation      uint64              // of the latest report; zero before the first
+	clock            platform.WorkerTime // of the latest report; only valid with incarnation
+	inheritedUntil   platform.WorkerTime // starts sent by earlier holders are invalid from this time on
+	firstIncarnation uint64              // of the first report
+	attempts         map[Attempt]attemptState
 }
 
 // New returns a tracker for a tenure whose claim was read back at takeover.
 func New(params Params, takeover time.Time) *Tracker {
-	return &Tracker{params: params, takeover: takeover, told: make(map[Attempt]told)}
+	return &Tracker{params: params, takeover: takeover, attempts: make(map[Attempt]attemptState)}
 }
 
-// Inherit tells that an earlier holder may have told the VM to start a.
+// Inherit records that an earlier holder may have sent the VM a start of a.
 func (t *Tracker) Inherit(a Attempt) {
-	if _, ok := t.told[a]; !ok {
-		t.told[a] = told{}
+	if _, ok := t.attempts[a]; !ok {
+		t.attempts[a] = attemptState{}
 	}
 }
 
-// BuildGrant makes the grant of an exchange that tells starts. It is called
-// before the holder checks its hold and sends: a message that was built and
-// then delayed carries an expiry from before the check. Without a report to
-// work from nothing may be started, and Build reports false.
+// BuildGrant returns the grant for a new exchange that carries the given starts. It must
+// be called before the holder checks its hold and sends the exchange, so that a delayed
+// exchange carries an expiry computed before the check. Before the first report nothing
+// may be started, and BuildGrant returns false if there are starts.
 func (t *Tracker) BuildGrant(starts []Attempt) (Grant, bool) {
-	t.built++
-	g := Grant{ExchangeID: t.built, Incarnation: t.incarnation}
+	t.lastBuilt++
+	g := Grant{ExchangeID: t.lastBuilt, Incarnation: t.incarnation}
 	if t.incarnation == 0 {
 		return g, len(starts) == 0
 	}
 	g.Expiry = t.clock + platform.WorkerTime(t.params.Lease)
 	for _, a := range starts {
-		prior := t.told[a]
-		t.told[a] = told{incarnation: t.incarnation, until: max(prior.until, g.Expiry)}
+		prior := t.attempts[a]
+		t.attempts[a] = attemptState{incarnation: t.incarnation, validUntil: max(prior.validUntil, g.Expiry)}
 	}
 	return g, true
 }
 
-// ApplyReport takes the answer to exchange x, which arrived at now. It returns false for an answer that
-// is older than one already taken; such an answer is to be dropped.
+// ApplyReport applies the answer to exchange x, which arrived at now. It returns false,
+// and the answer must be ignored, if a newer answer was already applied.
 func (t *Tracker) ApplyReport(now time.Time, x ExchangeID, r platform.WorkerReport) bool {
-	if x <= t.answered || x > t.built || r.Incarnation == 0 {
+	if x <= t.lastAnswered || x > t.lastBuilt || r.Incarnation == 0 {
 		return false
 	}
 	if r.Incarnation == t.incarnation && r.Clock < t.clock {
 		return false
 	}
-	t.answered = x
-	if t.first == 0 {
-		t.first = r.Incarnation
-		t.inheritUntil = r.Clock + platform.WorkerTime(t.params.Lease)
+	t.lastAnswered = x
+	if t.firstIncarnation == 0 {
+		t.firstIncarnation = r.Incarnation
+		t.inheritedUntil = r.Clock + platform.WorkerTime(t.params.Lease)
 	}
 	t.incarnation = r.Incarnation
 	t.clock = r.Clock
@@ -117,92 +116,93 @@
 	return true
 }
 
-// Incarnation returns the worker's incarnation, zero before a report.
+// Incarnation returns the worker's incarnation, or zero before the first report.
 func (t *Tracker) Incarnation() uint64 {
 	return t.incarnation
 }
 
-// ConfirmMissing tells whether an attempt that the latest report does not show is
-// certainly not running on the VM and never will. Once it is, the attempt
-// counts as told until Prune, so that it is never told again while the word
-// of its loss is on the way to the log.
+// ConfirmMissing reports whether an attempt that is missing in the latest report
+// certainly isn't running on the VM and never will. If so, the attempt is marked as ended
+// and stays known until Prune, so that its start is not sent again before its loss is in
+// the log.
 func (t *Tracker) ConfirmMissing(a Attempt) bool {
-	what := t.told[a]
-	if what.over || !t.over(a) {
-		return what.over
+	state := t.attempts[a]
+	if state.ended || !t.isOver(a) {
+		return state.ended
 	}
 	t.MarkEnded(a)
 	return true
 }
 
-func (t *Tracker) over(a Attempt) bool {
-	what, ok := t.told[a]
+// isOver reports whether an attempt that is missing in the latest report certainly isn't
+// running and never will.
+func (t *Tracker) isOver(a Attempt) bool {
+	state, ok := t.attempts[a]
 	if !ok {
-		return true // nobody was ever told
+		return true // its start was never sent
 	}
 	if t.incarnation == 0 {
 		return false
 	}
-	if what.incarnation == 0 {
-		return t.incarnation != t.first || t.clock >= t.inheritUntil
+	if state.incarnation == 0 {
+		return t.incarnation != t.firstIncarnation || t.clock >= t.inheritedUntil
 	}
-	return what.incarnation != t.incarnation || t.clock >= what.until
+	return state.incarnation != t.incarnation || t.clock >= state.validUntil
 }
 
-// MarkEnded marks an attempt as over: it is not to be told any more.
+// MarkEnded marks an attempt as ended, so that its start is not sent again.
 func (t *Tracker) MarkEnded(a Attempt) {
-	what := t.told[a]
-	what.over = true
-	t.told[a] = what
+	state := t.attempts[a]
+	state.ended = true
+	t.attempts[a] = state
 }
 
-// Known reports whether the VM may have been told to start a, in this tenure
-// or before, or a was given up.
+// Known reports whether a start of a may have been sent to the VM, in this tenure or an
+// earlier one, or a was marked as ended.
 func (t *Tracker) Known(a Attempt) bool {
-	_, ok := t.told[a]
+	_, ok := t.attempts[a]
 	return ok
 }
 
-// RevertStarts takes back the starts of an exchange that certainly did not
-// reach the VM. None of them may have been told before.
+// RevertStarts reverts the starts of an exchange that certainly did not reach the VM.
+// None of them may have been sent before.
 func (t *Tracker) RevertStarts(starts []Attempt) {
 	for _, a := range starts {
-		delete(t.told, a)
+		delete(t.attempts, a)
 	}
 }
 
-// Prune forgets the attempts that, by the log, hold the VM no longer.
+// Prune drops the attempts that, according to the log, no longer hold capacity of the VM.
 func (t *Tracker) Prune(holds func(Attempt) bool) {
-	for a := range t.told {
+	for a := range t.attempts {
 		if !holds(a) {
-			delete(t.told, a)
+			delete(t.attempts, a)
 		}
 	}
 }
 
-// ExpiresAt is the time from which every lease given to the VM so far, by
-// this holder or earlier ones, has certainly lapsed. All expiries since the
-// latest report are the same point on the worker's clock, a lease after a
-// reading that was taken before the report arrived: exchanges without an
-// answer don't move it.
+// ExpiresAt returns the time from which every lease granted to the VM so far, by this
+// holder or earlier ones, has certainly expired. All grants since the latest report carry
+// the same expiry on the worker's clock, namely one lease after the clock reading in that
+// report, so exchanges without an answer don't extend it.
 func (t *Tracker) ExpiresAt() time.Time {
-	at := t.takeover.Add(t.params.stretch(t.params.Hold + t.params.Lease))
+	at := t.takeover.Add(t.params.withDrift(t.params.Hold + t.params.Lease))
 	if t.reportedAt.IsZero() {
 		return at
 	}
-	if own := t.reportedAt.Add(t.params.stretch(t.params.Lease)); own.After(at) {
+	if own := t.reportedAt.Add(t.params.withDrift(t.params.Lease)); own.After(at) {
 		return own
 	}
 	return at
 }
 
-// Expired tells whether every lease has certainly lapsed at now. Everything
-// that the VM was told before is then over.
+// Expired reports whether every lease of the VM has certainly expired at now. If so, all
+// known attempts are marked as ended.
 func (t *Tracker) Expired(now time.Time) bool {
 	if now.Before(t.ExpiresAt()) {
 		return false
 	}
-	for a := range t.told {
+	for a := range t.attempts {
 		t.MarkEnded(a)
 	}
 	return true
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -19,30 +19,30 @@
 	simTime  = 20 * time.Minute
 )
 
-// fault is a rule that the simulated holder breaks.
+// fault is a rule that the simulated holder violates.
 type fault int
 
 const (
-	sound          fault = iota
-	missingAtOnce        // believes the first report that lacks an attempt
-	lapsesTooEarly       // forgets the drift and half of the lease
-	noTakeoverWait       // believes its first report of what earlier holders told
+	noFault         fault = iota
+	missingAtOnce         // treats an attempt as ended as soon as a report lacks it
+	expiresTooEarly       // ignores the drift and half of the lease
+	noTakeoverWait        // treats attempts of earlier holders as ended at takeover
 )
 
-// sim runs one task on two VMs in virtual time. Exchanges are delayed,
-// doubled, reordered and lost, holders pause and take over from each other,
-// VMs restart, and all clocks run at different rates.
+// sim runs one task on two VMs in virtual time. Exchanges are delayed, duplicated,
+// reordered and lost, holders pause and take over from each other, VMs restart, and
+// all clocks run at different rates.
 type sim struct {
-	rng     *rand.Rand
-	plant   fault
-	now     time.Duration
-	queue   events
-	vms     [2]*standin.VM
-	rates   [2]float64
-	attempt uint32 // latest in the log
-	vm      int    // that holds it, -1 for none
-	epoch   api.Epoch
-	restart int
+	rng      *rand.Rand
+	injected fault
+	now      time.Duration
+	queue    events
+	vms      [2]*standin.VM
+	rates    [2]float64
+	attempt  uint32 // latest in the log
+	vm       int    // index of the VM that holds it, -1 for none
+	epoch    api.Epoch
+	restart  int // number of lost attempts
 }
 
 type event struct {
@@ -70,22 +70,22 @@
 
 func (s *sim) rate() float64 { return 1 + (s.rng.Float64()-0.5)*simDrift*0.95 }
 
-// scaled is the time on a clock of the given rate.
+// scaled returns the time on a clock of the given rate.
 func (s *sim) scaled(rate float64) time.Time {
 	return time.Unix(0, 0).Add(time.Duration(float64(s.now) * rate))
 }
 
-func newSim(seed uint64, plant fault) *sim {
-	s := &sim{rng: rand.New(rand.NewPCG(seed, 1)), plant: plant, vm: -1}
+func newSim(seed uint64, injected fault) *sim {
+	s := &sim{rng: rand.New(rand.NewPCG(seed, 1)), injected: injected, vm: -1}
 	for i := range s.vms {
 		s.rates[i] = s.rate()
 		s.vms[i] = standin.New(api.VMID(rune('a'+i)), api.Resources{MilliCPU: 1000}, func() time.Time { return s.scaled(s.rates[i]) }, 0)
-		s.vms[i].SetFaults(standin.Faults{IgnoreFences: true}) // safety must not rest on fences
+		s.vms[i].SetFaults(standin.Faults{IgnoreFences: true}) // safety must not depend on fencing
 	}
 	return s
 }
 
-// holder is one tenure.
+// holder is the holder of the placement shard during one tenure.
 type holder struct {
 	s        *sim
 	epoch    api.Epoch
@@ -94,7 +94,7 @@
 	trackers [2]*lease.Tracker
 }
 
-// takeOver claims the shard; the holder before may go on for the hold time.
+// takeOver claims the shard. The previous holder may continue for the hold time.
 func (s *sim) takeOver(before *holder) {
 	s.epoch++
 	h := &holder{s: s, epoch: s.epoch, rate: s.rate(), until: simTime}
@@ -102,7 +102,7 @@
 		before.until = s.now + s.upTo(time.Duration(float64(simHold)*0.97))
 	}
 	params := lease.Params{Lease: simLease, Hold: simHold, Drift: simDrift}
-	if s.plant == lapsesTooEarly {
+	if s.injected == expiresTooEarly {
 		params = lease.Params{Lease: simLease, Hold: -simLease / 2}
 	}
 	for i := range h.trackers {
@@ -110,7 +110,7 @@
 		if s.vm == i {
 			h.trackers[i].Inherit(s.current())
 		}
-		if s.vm == i && s.plant == noTakeoverWait {
+		if s.vm == i && s.injected == noTakeoverWait {
 			h.trackers[i].MarkEnded(s.current())
 		}
 		s.after(time.Duration(float64(simHold)*(1+simDrift)), func() { h.step(i) })
@@ -122,7 +122,7 @@
 	return lease.Attempt{Task: api.TaskID{Job: "j"}, Attempt: s.attempt}
 }
 
-// step does one exchange with a VM and starts the task when nothing holds it.
+// step makes one exchange with a VM and starts the task if no VM holds it.
 func (h *holder) step(i int) {
 	s := h.s
 	s.after(200*time.Millisecond+s.upTo(3*time.Second), func() { h.step(i) })
@@ -148,7 +148,7 @@
 	msg.Incarnation, msg.LeaseExpiry = grant.Incarnation, grant.Expiry
 	pause := time.Duration(0)
 	if s.chance(10) {
-		pause = s.upTo(3 * simLease) // between the check and the send
+		pause = s.upTo(3 * simLease) // between the check of the hold and the send
 	}
 	for copies := 1 + s.rng.IntN(2); copies > 0; copies-- {
 		if !s.chance(25) {
@@ -167,16 +167,17 @@
 	return s.upTo(200 * time.Millisecond)
 }
 
-func (h *holder) deliver(i int, x lease.ExchangeID, asked lease.Attempt, msg platform.WorkerSync) {
+// deliver delivers an exchange to a VM and its answer to the holder.
+func (h *holder) deliver(i int, x lease.ExchangeID, a lease.Attempt, msg platform.WorkerSync) {
 	report, err := h.s.vms[i].Sync(msg)
 	if err != nil || h.s.chance(20) {
 		return
 	}
-	h.s.after(h.s.delay(), func() { h.reported(i, x, asked, report) })
+	h.s.after(h.s.delay(), func() { h.reported(i, x, a, report) })
 }
 
-// reported judges a report on the attempt that the log showed when the
-// exchange was built.
+// reported applies a report to the attempt that was current in the log when the exchange
+// was built.
 func (h *holder) reported(i int, x lease.ExchangeID, a lease.Attempt, report platform.WorkerReport) {
 	s := h.s
 	t := h.trackers[i]
@@ -191,12 +192,12 @@
 			return
 		}
 	}
-	if s.plant == missingAtOnce || (t.Known(a) && t.ConfirmMissing(a)) {
+	if s.injected == missingAtOnce || (t.Known(a) && t.ConfirmMissing(a)) {
 		h.lose(i, a)
 	}
 }
 
-// lose proposes that an attempt is over; the log decides a little later.
+// lose proposes that an attempt has ended. The log accepts or rejects this a little later.
 func (h *holder) lose(i int, a lease.Attempt) {
 	h.trackers[i].MarkEnded(a)
 	h.s.after(h.s.upTo(500*time.Millisecond), func() {
@@ -207,18 +208,19 @@
 	})
 }
 
-// faults restarts VMs now and then.
-func (s *sim) faults() {
+// restartVMs restarts VMs at random times.
+func (s *sim) restartVMs() {
 	s.after(s.upTo(90*time.Second), func() {
 		s.vms[s.rng.IntN(2)].Restart()
-		s.faults()
+		s.restartVMs()
 	})
 }
 
-// twice runs the simulation and counts runs that overlap in true time.
-func (s *sim) twice() int {
+// countOverlaps runs the simulation and returns the number of pairs of runs that overlap
+// in true time.
+func (s *sim) countOverlaps() int {
 	s.takeOver(nil)
-	s.faults()
+	s.restartVMs()
 	for len(s.queue) > 0 && s.now < simTime {
 		e := heap.Pop(&s.queue).(event)
 		s.now = e.at
@@ -238,7 +240,7 @@
 	overlaps := 0
 	for i, a := range spans {
 		for _, b := range spans[:i] {
-			if a.from < b.to-1000 && b.from < a.to-1000 { // a microsecond, for rounding
+			if a.from < b.to-1000 && b.from < a.to-1000 { // tolerates rounding errors of a microsecond
 				overlaps++
 			}
 		}
@@ -248,32 +250,33 @@
 
 const seeds = 60
 
-func TestNeverTwice(t *testing.T) {
+// A task never runs twice at the same time.
+func TestRunsNeverOverlap(t *testing.T) {
 	restarts := 0
 	for seed := range uint64(seeds) {
-		s := newSim(seed, sound)
-		if n := s.twice(); n > 0 {
+		s := newSim(seed, noFault)
+		if n := s.countOverlaps(); n > 0 {
 			t.Errorf("seed %d: %d overlapping runs", seed, n)
 		}
 		restarts += s.restart
 	}
 	if restarts < 10*seeds {
-		t.Errorf("only %d restarts: the simulation provokes too little", restarts)
+		t.Errorf("only %d restarts: the simulation causes too few losses", restarts)
 	}
 	t.Logf("%d restarts in %d runs of %v", restarts, seeds, simTime)
 }
 
-// Each rule is needed: a holder that breaks one of them is caught.
-func TestPlantedFaultsAreCaught(t *testing.T) {
-	for plant, name := range map[fault]string{missingAtOnce: "missing at once", lapsesTooEarly: "lapses too early", noTakeoverWait: "no takeover wait"} {
+// Each rule is necessary: the simulation detects a holder that violates one of them.
+func TestInjectedFaultsAreDetected(t *testing.T) {
+	for injected, name := range map[fault]string{missingAtOnce: "missing at once", expiresTooEarly: "expires too early", noTakeoverWait: "no takeover wait"} {
 		overlaps := 0
 		seed := uint64(0)
 		for ; seed < seeds && overlaps == 0; seed++ {
-			overlaps = newSim(seed, plant).twice()
+			overlaps = newSim(seed, injected).countOverlaps()
 		}
 		if overlaps == 0 {
-			t.Errorf("%s: not caught", name)
+			t.Errorf("%s: not detected", name)
 		}
-		t.Logf("%s: caught in run %d, %d overlapping runs", name, seed, overlaps)
+		t.Logf("%s: detected in run %d, %d overlapping runs", name, seed, overlaps)
 	}
 }
