--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,9 +1,9 @@
-// Package ledger keeps what each VM holds: its capacity, the claims of the
-// task attempts placed on it and their running sum. It is pure code without
-// locks; its user guards it.
+// Package ledger keeps, for each VM, its capacity, the allocations of the task
+// attempts placed on it, and the sum of these. It does no I/O and no locking; the
+// caller must serialize access.
 //
-// VMs and jobs are known by numbers that the user assigns, so that a claim
-// takes 24 bytes.
+// VMs and jobs are identified by numbers that the caller assigns, so that an
+// allocation takes 24 bytes.
 package ledger
 
 import (
@@ -13,17 +13,18 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// Errors of a claim.
+// Errors of allocations.
 var (
-	// ErrUnknownVM: the VM was never put, or has been removed.
+	// ErrUnknownVM means that the VM's capacity was never set, or the VM was removed.
 	ErrUnknownVM = errors.New("ledger: unknown VM")
-	// ErrInsufficientCapacity: the claim would exceed the VM's capacity.
-	ErrInsufficientCapacity = errors.New("ledger: no room on the VM")
-	// ErrAllocationExists: the same attempt already has a claim on the VM.
-	ErrAllocationExists = errors.New("ledger: claim exists")
-	// ErrNoAllocation: no such claim on the VM.
-	ErrNoAllocation = errors.New("ledger: no such claim")
-	// ErrInvalidAmount: negative, zero in every field, or beyond 32 bits.
+	// ErrInsufficientCapacity means that the allocation would exceed the VM's capacity.
+	ErrInsufficientCapacity = errors.New("ledger: insufficient capacity on the VM")
+	// ErrAllocationExists means that the attempt already has an allocation on the VM.
+	ErrAllocationExists = errors.New("ledger: allocation already exists")
+	// ErrNoAllocation means that the attempt has no allocation on the VM.
+	ErrNoAllocation = errors.New("ledger: allocation does not exist")
+	// ErrInvalidAmount means that the amount is negative, zero in every field, or beyond
+	// 32 bits.
 	ErrInvalidAmount = errors.New("ledger: amount out of range")
 )
 
@@ -34,13 +35,13 @@
 	Attempt uint32
 }
 
-// Allocation is a key and what it holds.
+// Allocation is the capacity held by one attempt.
 type Allocation struct {
 	Key       Key
 	Resources api.Resources
 }
 
-// entry is the compact form of a Claim.
+// entry is the compact form of an Allocation.
 type entry struct {
 	key    Key
 	cpu    uint32 // thousandths of a processor
@@ -52,9 +53,10 @@
 	return api.Resources{MilliCPU: int64(e.cpu), MemoryMB: int64(e.memory), Accelerators: int64(e.accel)}
 }
 
+// account is the state of one VM.
 type account struct {
 	capacity api.Resources
-	used     api.Resources // sum of entries, kept incrementally
+	used     api.Resources // sum of entries, updated incrementally
 	entries  []entry
 }
 
@@ -63,8 +65,9 @@
 	accounts []*account
 }
 
-// SetCapacity sets the capacity of a VM. Claims it holds stay, even where a smaller
-// capacity no longer covers them; until they do, nothing more is accepted.
+// SetCapacity sets the capacity of a VM. Existing allocations stay, even if a smaller
+// capacity no longer covers them; new ones are then rejected until there is free
+// capacity again.
 func (l *Ledger) SetCapacity(vm uint32, capacity api.Resources) {
 	for uint32(len(l.accounts)) <= vm {
 		l.accounts = append(l.accounts, nil)
@@ -75,14 +78,14 @@
 	l.accounts[vm].capacity = capacity
 }
 
-// RemoveVM forgets a VM and all its claims.
+// RemoveVM removes a VM and all its allocations.
 func (l *Ledger) RemoveVM(vm uint32) {
 	if l.account(vm) != nil {
 		l.accounts[vm] = nil
 	}
 }
 
-// Check tells whether Claim would succeed, without claiming.
+// Check returns the error that Allocate would return, without allocating.
 func (l *Ledger) Check(vm uint32, key Key, amount api.Resources) error {
 	a := l.account(vm)
 	if a == nil {
@@ -100,8 +103,8 @@
 	return nil
 }
 
-// Allocate records that key holds amount on vm. It fails with one of the
-// package's errors and then changes nothing.
+// Allocate records that key holds amount on vm. If it returns one of the package's
+// errors, it has changed nothing.
 func (l *Ledger) Allocate(vm uint32, key Key, amount api.Resources) error {
 	if err := l.Check(vm, key, amount); err != nil {
 		return err
@@ -110,7 +113,7 @@
 	return nil
 }
 
-// Release ends the claim of key on vm and returns what it held.
+// Release removes the allocation of key on vm and returns its amount.
 func (l *Ledger) Release(vm uint32, key Key) (api.Resources, error) {
 	a := l.account(vm)
 	if a == nil {
@@ -128,7 +131,7 @@
 	return amount, nil
 }
 
-// Allocated returns what key holds on vm.
+// Allocated returns the amount that key holds on vm, and whether it has an allocation.
 func (l *Ledger) Allocated(vm uint32, key Key) (api.Resources, bool) {
 	a := l.account(vm)
 	if a == nil {
@@ -141,7 +144,7 @@
 	return a.entries[i].resources(), true
 }
 
-// Usage returns the capacity of vm and the sum of its claims.
+// Usage returns the capacity of vm and the sum of its allocations.
 func (l *Ledger) Usage(vm uint32) (capacity, used api.Resources, ok bool) {
 	a := l.account(vm)
 	if a == nil {
@@ -150,20 +153,20 @@
 	return a.capacity, a.used, true
 }
 
-// Allocations returns a copy of the claims on vm, in no particular order.
+// Allocations returns a copy of the allocations on vm, in no particular order.
 func (l *Ledger) Allocations(vm uint32) []Allocation {
 	a := l.account(vm)
 	if a == nil {
 		return nil
 	}
-	claims := make([]Allocation, len(a.entries))
+	allocations := make([]Allocation, len(a.entries))
 	for i, e := range a.entries {
-		claims[i] = Allocation{Key: e.key, Resources: e.resources()}
+		allocations[i] = Allocation{Key: e.key, Resources: e.resources()}
 	}
-	return claims
+	return allocations
 }
 
-// Count returns the number of claims on vm.
+// Count returns the number of allocations on vm.
 func (l *Ledger) Count(vm uint32) int {
 	if a := l.account(vm); a != nil {
 		return len(a.entries)
@@ -194,9 +197,9 @@
 	return r.MilliCPU <= math.MaxUint32 && r.MemoryMB <= math.MaxUint32 && r.Accelerators <= math.MaxUint32
 }
 
-// Restore puts a claim back as a snapshot holds it, without regard to the
-// capacity: a VM that shrank may hold more than it has. It returns false for
-// an unknown VM, an amount out of range or a claim that exists.
+// Restore adds an allocation from a snapshot without checking the capacity, because the
+// allocations of a VM whose capacity was reduced may exceed it. It returns false for an
+// unknown VM, an amount out of range or an existing allocation.
 func (l *Ledger) Restore(vm uint32, key Key, amount api.Resources) bool {
 	a := l.account(vm)
 	if a == nil || !inRange(amount) || a.find(key) >= 0 {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -8,22 +8,22 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is claimed and released, no account exceeds its capacity and the
-// incremental sum equals the sum of the claims.
+// After any sequence of allocations and releases no account exceeds its capacity, and the
+// incremental sum equals the sum of the allocations.
 func TestNeverOverCommits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l Ledger
 		capacity := api.Resources{MilliCPU: 8000, MemoryMB: 64, Accelerators: 2}
 		l.SetCapacity(0, capacity)
-		held := map[Key]api.Resources{}
+		allocated := map[Key]api.Resources{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			key := Key{Job: rapid.Uint32Range(0, 3).Draw(t, "job"), Index: rapid.Uint32Range(0, 3).Draw(t, "index")}
 			if rapid.Bool().Draw(t, "release") {
 				_, err := l.Release(0, key)
-				if _, ok := held[key]; ok != (err == nil) {
+				if _, ok := allocated[key]; ok != (err == nil) {
 					t.Fatalf("release of %v: %v", key, err)
 				}
-				delete(held, key)
+				delete(allocated, key)
 			} else {
 				amount := api.Resources{
 					MilliCPU:     rapid.Int64Range(-1, 5000).Draw(t, "cpu"),
@@ -31,22 +31,22 @@
 					Accelerators: rapid.Int64Range(0, 2).Draw(t, "accelerators"),
 				}
 				if l.Allocate(0, key, amount) == nil {
-					held[key] = amount
+					allocated[key] = amount
 				}
 			}
 			var sum api.Resources
-			for _, r := range held {
+			for _, r := range allocated {
 				sum = sum.Add(r)
 			}
 			_, used, _ := l.Usage(0)
 			if used != sum || !used.Fits(capacity) || used.Negative() {
-				t.Fatalf("used %v, claims %v, capacity %v", used, sum, capacity)
+				t.Fatalf("used %v, sum of allocations %v, capacity %v", used, sum, capacity)
 			}
 		}
 	})
 }
 
-func TestRejectsByCause(t *testing.T) {
+func TestAllocateErrors(t *testing.T) {
 	var l Ledger
 	l.SetCapacity(2, api.Resources{MilliCPU: 1000})
 	key := Key{Job: 1, Index: 1, Attempt: 1}
