--- a/internal/member/contacts.go
+++ b/internal/member/contacts.go
@@ -9,12 +9,12 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// Bounds of what is kept and told of other data centres.
+// Limits of the contacts that are kept and sent.
 const (
-	maxContacts       = 128             // kept in all
-	maxContactsOfDC   = 9               // kept for each data centre
-	maxContactsToTell = 12              // in one message
-	contactLife       = 2 * time.Minute // a contact not heard of for so long is forgotten
+	maxContacts           = 128             // kept in total
+	maxContactsPerDC      = 9               // kept for each data centre
+	maxContactsPerMessage = 12              // sent in one message, in addition to the sender
+	contactTTL            = 2 * time.Minute // time since a contact was last seen after which it is dropped
 )
 
 // Contact is the address of an entry VM's peer service.
@@ -22,87 +22,88 @@
 	_          struct{} `cbor:",toarray"`
 	DataCentre api.DataCentre
 	Address    string
-	Age        uint16 // seconds since it spoke for itself, rounded up
+	Age        uint16 // seconds since the contact itself last sent a message, rounded up
 }
 
-// contacts keeps entry addresses by data centre. It is pure and doesn't lock.
+// contacts keeps the addresses of entry VMs by data centre. It reads no clock and does no
+// locking.
 type contacts struct {
-	self Contact
-	seen map[string]contactSeen // by address
+	self      Contact
+	byAddress map[string]contactState
 }
 
-// contactSeen is what is kept of one contact.
-type contactSeen struct {
+// contactState is the stored state of one contact.
+type contactState struct {
 	dataCentre api.DataCentre
-	spoke      time.Time
+	lastSeen   time.Time
 }
 
 func newContacts(self Contact) *contacts {
-	return &contacts{self: self, seen: make(map[string]contactSeen)}
+	return &contacts{self: self, byAddress: make(map[string]contactState)}
 }
 
-// learn takes contacts told by a peer.
-func (c *contacts) learn(told []Contact, now time.Time) {
-	for _, contact := range told[:min(len(told), maxContactsToTell+1)] {
-		c.learnOne(contact, now)
+// merge merges contacts received from a peer and drops expired ones.
+func (c *contacts) merge(received []Contact, now time.Time) {
+	for _, contact := range received[:min(len(received), maxContactsPerMessage+1)] {
+		c.mergeOne(contact, now)
 	}
-	c.forget(now)
+	c.expire(now)
 }
 
-// learnOne takes one contact, unless there is fresher word or no room.
-func (c *contacts) learnOne(contact Contact, now time.Time) {
+// mergeOne merges one contact, unless a more recent state is known or a limit is reached.
+func (c *contacts) mergeOne(contact Contact, now time.Time) {
 	if contact.Address == "" || contact.Address == c.self.Address {
 		return
 	}
-	spoke := now.Add(-time.Duration(contact.Age) * time.Second)
-	known, ok := c.seen[contact.Address]
-	if ok && !spoke.After(known.spoke) {
+	lastSeen := now.Add(-time.Duration(contact.Age) * time.Second)
+	known, ok := c.byAddress[contact.Address]
+	if ok && !lastSeen.After(known.lastSeen) {
 		return
 	}
-	if !ok && (len(c.seen) >= maxContacts || len(c.of(contact.DataCentre)) >= maxContactsOfDC) {
+	if !ok && (len(c.byAddress) >= maxContacts || len(c.addressesIn(contact.DataCentre)) >= maxContactsPerDC) {
 		return
 	}
-	c.seen[contact.Address] = contactSeen{dataCentre: contact.DataCentre, spoke: spoke}
+	c.byAddress[contact.Address] = contactState{dataCentre: contact.DataCentre, lastSeen: lastSeen}
 }
 
-// forget drops the contacts not heard of for long.
-func (c *contacts) forget(now time.Time) {
-	for address, seen := range c.seen {
-		if now.Sub(seen.spoke) > contactLife {
-			delete(c.seen, address)
+// expire drops the contacts that were not seen within contactTTL.
+func (c *contacts) expire(now time.Time) {
+	for address, state := range c.byAddress {
+		if now.Sub(state.lastSeen) > contactTTL {
+			delete(c.byAddress, address)
 		}
 	}
 }
 
-// of returns the addresses known in dc, the latest heard of first.
-func (c *contacts) of(dc api.DataCentre) []string {
+// addressesIn returns the known addresses in dc, the most recently seen first.
+func (c *contacts) addressesIn(dc api.DataCentre) []string {
 	var addresses []string
-	for address, seen := range c.seen {
-		if seen.dataCentre == dc {
+	for address, state := range c.byAddress {
+		if state.dataCentre == dc {
 			addresses = append(addresses, address)
 		}
 	}
 	slices.SortFunc(addresses, func(a, b string) int {
-		return cmp.Or(c.seen[b].spoke.Compare(c.seen[a].spoke), cmp.Compare(a, b))
+		return cmp.Or(c.byAddress[b].lastSeen.Compare(c.byAddress[a].lastSeen), cmp.Compare(a, b))
 	})
 	return addresses
 }
 
-// tell returns this process and some random contacts.
-func (c *contacts) tell(random *rand.Rand, now time.Time) []Contact {
-	told := []Contact{c.self}
-	for _, address := range c.pick(random, maxContactsToTell) {
-		seen := c.seen[address]
-		age := now.Sub(seen.spoke) + time.Second - 1
-		told = append(told, Contact{DataCentre: seen.dataCentre, Address: address, Age: uint16(age / time.Second)})
+// sample returns this process and up to maxContactsPerMessage random contacts.
+func (c *contacts) sample(random *rand.Rand, now time.Time) []Contact {
+	sampled := []Contact{c.self}
+	for _, address := range c.pick(random, maxContactsPerMessage) {
+		state := c.byAddress[address]
+		age := now.Sub(state.lastSeen) + time.Second - 1
+		sampled = append(sampled, Contact{DataCentre: state.dataCentre, Address: address, Age: uint16(age / time.Second)})
 	}
-	return told
+	return sampled
 }
 
 // pick returns up to n random addresses.
 func (c *contacts) pick(random *rand.Rand, n int) []string {
-	addresses := make([]string, 0, len(c.seen))
-	for address := range c.seen {
+	addresses := make([]string, 0, len(c.byAddress))
+	for address := range c.byAddress {
 		addresses = append(addresses, address)
 	}
 	slices.Sort(addresses)
--- a/internal/member/digest.go
+++ b/internal/member/digest.go
@@ -1,11 +1,11 @@
 // Package member exchanges heartbeats between the entry VMs of a data centre
-// and learns the entry addresses of the others.
+// and discovers the entry addresses of the other data centres.
 //
-// The roster is the log's (internal/ownership). A heartbeat says who is
-// alive, what it can take and how far it has read, and carries grants while
-// the log can't be reached. Each process talks to a few peers in each round
-// and passes on how long ago it heard of the rest, so that the cost of a
-// round hardly grows with the roster.
+// The roster comes from the log (internal/ownership). A heartbeat says that its sender
+// is alive, how many requests it can take and how far it has read the log, and carries
+// grants while the log can't be reached. In each round a process exchanges heartbeats
+// with a few peers and passes on how long ago it heard from the others, so that the
+// cost of a round hardly grows with the roster.
 package member
 
 import (
@@ -18,17 +18,17 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// ageUnit is the unit of the ages in a digest.
+// ageUnit is the unit of Digest.Ages.
 const ageUnit = 50 * time.Millisecond
 
-// ageUnknown is the age of a member not heard of, or not for long.
+// ageUnknown is the age of a member that was not heard from, or too long ago to encode.
 const ageUnknown = 255
 
-// MaxServices is the most services that a digest tells free slots of.
+// MaxServices is the maximum number of services in Digest.Free.
 const MaxServices = 16
 
-// ServiceFree is how many more requests of a service a process could send
-// out at once.
+// ServiceFree is the number of additional requests of a service that a process could
+// dispatch at once.
 type ServiceFree struct {
 	_       struct{} `cbor:",toarray"`
 	Service string
@@ -37,19 +37,19 @@
 
 // Flags of a digest.
 const (
-	flagDraining uint8 = 1 << iota
-	flagAsks           // the sender asks for a grant
+	flagDraining   uint8 = 1 << iota
+	flagWantsGrant       // the sender asks for a grant
 )
 
-// Digest is what a process says of itself in each heartbeat.
+// Digest is the state that a process reports in each heartbeat.
 type Digest struct {
 	_       struct{}        `cbor:",toarray"`
-	Ask     ownership.Ask   // who it is and the table version it has applied
-	Applied platform.Offset // in the data centre's stream
+	Ask     ownership.Ask   // the process's identity and the table version that it has applied
+	Applied platform.Offset // of the data centre's stream
 	Roster  uint32          // fingerprint of its roster
 	Flags   uint8
 	Free    []ServiceFree // at most MaxServices
-	Ages    []byte        // of its roster's members by node, in ageUnit
+	Ages    []byte        // time since each member of its roster was heard from, by node, in ageUnit
 }
 
 // Request is the argument of a heartbeat exchange.
@@ -59,15 +59,15 @@
 	Digest   Digest
 }
 
-// Reply is the answer of a heartbeat exchange. Granted answers flagAsks.
+// Reply is the result of a heartbeat exchange. Granted answers flagWantsGrant.
 type Reply struct {
 	_        struct{} `cbor:",toarray"`
-	Exchange uint64   // of the request
+	Exchange uint64   // copied from the request
 	Granted  bool
 	Digest   Digest
 }
 
-// fingerprint identifies a roster, given in the order of its nodes.
+// fingerprint returns a checksum that identifies a roster ordered by node.
 func fingerprint(roster []ownership.Member) uint32 {
 	sum := crc32.NewIEEE()
 	for _, m := range roster {
@@ -77,8 +77,8 @@
 	return sum.Sum32()
 }
 
-// encodeAge rounds an age up, so that passing it on never makes a member
-// look heard of later than it was.
+// encodeAge encodes an age in ageUnit. It rounds up, so that a member never appears to
+// have been heard from more recently than it was.
 func encodeAge(age time.Duration) byte {
 	units := (age + ageUnit - 1) / ageUnit
 	if age < 0 || units >= ageUnknown {
@@ -87,10 +87,10 @@
 	return byte(units)
 }
 
-// PeerLoad is a member that may take requests of a service.
+// PeerLoad is a member that can take requests of a service.
 type PeerLoad struct {
 	Node    api.NodeID
 	Address string        // IP:port of its peer service
-	Free    int           // requests it could send out, when it last said so
-	Age     time.Duration // since it said so
+	Free    int           // number of requests that it could dispatch, as last reported
+	Age     time.Duration // time since that report
 }
--- a/internal/member/handler.go
+++ b/internal/member/handler.go
@@ -4,7 +4,7 @@
 	"context"
 )
 
-// Handler answers peers' calls; register it under ServiceName.
+// Handler answers calls from peers. It is registered under ServiceName.
 type Handler struct{ service *Service }
 
 // Handler returns the receiver to register with a peer server.
@@ -14,20 +14,20 @@
 func (h *Handler) Exchange(request *Request, reply *Reply) error {
 	s := h.service
 	now := s.cfg.Now()
-	asker := request.Digest.Ask
+	ask := request.Digest.Ask
 	s.mu.Lock()
 	s.liveness.ObserveDigest(request.Digest, now)
 	s.mu.Unlock()
 	reply.Exchange = request.Exchange
-	if request.Digest.Flags&flagAsks != 0 {
-		reply.Granted = s.granter.Answer(asker, now)
+	if request.Digest.Flags&flagWantsGrant != 0 {
+		reply.Granted = s.granter.Answer(ask, now)
 		s.countAnswer(reply.Granted)
 	}
 	reply.Digest = s.digest(now)
 	return nil
 }
 
-// countAnswer counts grants given and refused.
+// countAnswer counts a grant that was given or refused.
 func (s *Service) countAnswer(granted bool) {
 	if granted {
 		s.vars.Add("grants_given", 1)
@@ -36,57 +36,57 @@
 	s.vars.Add("grants_refused", 1)
 }
 
-// ContactList is the argument and the answer of Contacts. The first contact
-// is the sender.
+// ContactList is the argument and the result of Handler.Contacts. The first contact is
+// the sender.
 type ContactList struct {
 	_        struct{} `cbor:",toarray"`
 	Contacts []Contact
 }
 
-// Contacts swaps entry addresses of all data centres.
-func (h *Handler) Contacts(told *ContactList, reply *ContactList) error {
+// Contacts exchanges the entry addresses of all data centres.
+func (h *Handler) Contacts(request *ContactList, reply *ContactList) error {
 	s := h.service
 	now := s.cfg.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.contacts.learn(told.Contacts, now)
-	reply.Contacts = s.contacts.tell(s.cfg.Random, now)
+	s.contacts.merge(request.Contacts, now)
+	reply.Contacts = s.contacts.sample(s.cfg.Random, now)
 	return nil
 }
 
-// swapContacts swaps contacts with a random one, or with a seed.
-func (s *Service) swapContacts(ctx context.Context) {
-	address, told := s.contactsFor()
+// exchangeContacts exchanges contacts with a random contact or a seed.
+func (s *Service) exchangeContacts(ctx context.Context) {
+	address, request := s.prepareContacts()
 	if address == "" {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, s.callTime())
+	ctx, cancel := context.WithTimeout(ctx, s.callTimeout())
 	defer cancel()
 	var reply ContactList
-	if err := s.cfg.Caller.Call(ctx, address, methodContacts, &told, &reply); err != nil {
+	if err := s.cfg.Caller.Call(ctx, address, methodContacts, &request, &reply); err != nil {
 		s.vars.Add("contact_failures", 1)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.contacts.learn(reply.Contacts, s.cfg.Now())
+	s.contacts.merge(reply.Contacts, s.cfg.Now())
 }
 
-// contactsFor picks whom to swap contacts with and what to tell. Seeds stay
-// among the choice, so that a healed partition is noticed.
-func (s *Service) contactsFor() (address string, told ContactList) {
+// prepareContacts chooses the address to exchange contacts with and the contacts to send.
+// Seeds always remain candidates, so that the end of a network partition is noticed.
+func (s *Service) prepareContacts() (address string, request ContactList) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	choice := s.contacts.pick(s.cfg.Random, 1)
+	candidates := s.contacts.pick(s.cfg.Random, 1)
 	for _, seed := range s.cfg.Seeds {
 		if seed != s.cfg.Address {
-			choice = append(choice, seed)
+			candidates = append(candidates, seed)
 		}
 	}
-	if len(choice) == 0 {
-		return "", told
+	if len(candidates) == 0 {
+		return "", request
 	}
-	address = choice[s.cfg.Random.IntN(len(choice))]
-	told.Contacts = s.contacts.tell(s.cfg.Random, s.cfg.Now())
-	return address, told
+	address = candidates[s.cfg.Random.IntN(len(candidates))]
+	request.Contacts = s.contacts.sample(s.cfg.Random, s.cfg.Now())
+	return address, request
 }
--- a/internal/member/liveness.go
+++ b/internal/member/liveness.go
@@ -10,11 +10,11 @@
 	"github.com/skylarklock/skylarklock/internal/ownership"
 )
 
-// Timing holds the heartbeat's times and sizes.
+// Timing holds the parameters of the heartbeat.
 type Timing struct {
 	Heartbeat    time.Duration // time between two rounds
-	Fanout       int           // peers talked to in each round
-	MissedRounds int           // rounds of silence that make a member suspected, in a small roster
+	Fanout       int           // number of peers to exchange heartbeats with in each round
+	MissedRounds int           // rounds without a sign of life before a member of a small roster is suspected
 }
 
 // Defaults of Timing.
@@ -24,7 +24,7 @@
 	DefaultMissedRounds = 4
 )
 
-// withDefaults fills what is zero.
+// withDefaults returns t with defaults for zero fields.
 func (t Timing) withDefaults() Timing {
 	if t.Heartbeat == 0 {
 		t.Heartbeat = DefaultHeartbeat
@@ -38,102 +38,102 @@
 	return t
 }
 
-// SuspectAfter is how long a member of a roster of the given size is silent
-// before it is suspected. News needs a number of rounds that grows with the
-// logarithm of the roster.
+// SuspectAfter returns the time without a sign of life after which a member of a roster
+// of the given size is suspected. The number of rounds in which a sign of life spreads
+// grows with the logarithm of the roster's size.
 func (t Timing) SuspectAfter(members int) time.Duration {
 	spread := bits.Len(uint(members / (8 * t.Fanout)))
 	return time.Duration(t.MissedRounds+2*spread) * t.Heartbeat
 }
 
-// peer is what is known of one other member.
+// peer is the known state of one other member.
 type peer struct {
-	member    ownership.Member
-	heard     time.Time // latest sign of life, its own or passed on
-	aliveFrom time.Time // start of the time without suspicion
-	digest    Digest    // its latest own words
-	digestAt  time.Time // zero before the first
-	asked     time.Time // start of the latest exchange with it
-	granted   time.Time // start of the latest exchange that it granted in
+	member      ownership.Member
+	lastHeard   time.Time // latest sign of life, direct or passed on by another member
+	aliveSince  time.Time // since when it has not been suspected
+	digest      Digest    // its latest digest
+	digestAt    time.Time // when that was received; zero before the first
+	lastAsked   time.Time // start of the latest exchange with it
+	lastGranted time.Time // start of the latest exchange in which it gave a grant
 }
 
-// Liveness judges the other members of the roster. It is pure: the time is
-// given with each call, which must not go back. It doesn't lock.
+// Liveness tracks the liveness of the other members of the roster. It reads no clock: the
+// time is passed to each call and must not go back. It does no locking.
 type Liveness struct {
-	timing Timing
-	self   ownership.Identity
-	roster []ownership.Member // ordered by node
-	print  uint32
-	peers  map[api.NodeID]*peer
-	ticked time.Time
+	timing            Timing
+	self              ownership.Identity
+	roster            []ownership.Member // ordered by node
+	rosterFingerprint uint32
+	peers             map[api.NodeID]*peer
+	lastTick          time.Time
 }
 
-// NewLiveness returns a judge that knows nobody.
+// NewLiveness returns a Liveness with an empty roster.
 func NewLiveness(timing Timing, self ownership.Identity) *Liveness {
 	return &Liveness{timing: timing.withDefaults(), self: self, peers: make(map[api.NodeID]*peer)}
 }
 
-// SetRoster takes over the roster, ordered by node. A new member counts as
-// heard of now.
+// SetRoster sets the roster, which must be ordered by node. A new member counts as heard
+// from now.
 func (l *Liveness) SetRoster(roster []ownership.Member, now time.Time) {
 	l.roster = roster
-	l.print = fingerprint(roster)
-	kept := make(map[api.NodeID]*peer, len(roster))
+	l.rosterFingerprint = fingerprint(roster)
+	newPeers := make(map[api.NodeID]*peer, len(roster))
 	for _, m := range roster {
 		if m.Who == l.self {
 			continue
 		}
 		p := l.peers[m.Who.Node]
 		if p == nil || p.member.Who != m.Who {
-			p = &peer{heard: now, aliveFrom: now}
+			p = &peer{lastHeard: now, aliveSince: now}
 		}
 		p.member = m
-		kept[m.Who.Node] = p
+		newPeers[m.Who.Node] = p
 	}
-	l.peers = kept
+	l.peers = newPeers
 }
 
-// Tick starts a round. When this process itself stood still, its peers are
-// not held to have been silent meanwhile.
+// Tick starts a round. If this process itself was suspended since the last round, that
+// time doesn't count as silence of its peers.
 func (l *Liveness) Tick(now time.Time) {
-	gap := now.Sub(l.ticked) - l.timing.Heartbeat
-	first := l.ticked.IsZero()
-	l.ticked = now
+	gap := now.Sub(l.lastTick) - l.timing.Heartbeat
+	first := l.lastTick.IsZero()
+	l.lastTick = now
 	if !first && gap > l.timing.Heartbeat {
 		for _, p := range l.peers {
-			p.heard = p.heard.Add(gap)
+			p.lastHeard = p.lastHeard.Add(gap)
 		}
 	}
 	for _, p := range l.peers {
 		if l.suspected(p, now) {
-			p.aliveFrom = now
+			p.aliveSince = now
 		}
 	}
 }
 
-// suspected reports whether p has been silent for too long.
+// suspected reports whether p's last sign of life is too long ago.
 func (l *Liveness) suspected(p *peer, now time.Time) bool {
-	return now.Sub(p.heard) >= l.timing.SuspectAfter(len(l.roster))
+	return now.Sub(p.lastHeard) >= l.timing.SuspectAfter(len(l.roster))
 }
 
-// ObserveDigest takes a member's own digest. A digest of another incarnation than
-// the roster's says nothing of the member.
+// ObserveDigest handles a digest received from a member. A digest from another
+// incarnation than the one in the roster is ignored.
 func (l *Liveness) ObserveDigest(d Digest, now time.Time) {
 	p := l.peers[d.Ask.Who.Node]
 	if p == nil || p.member.Who != d.Ask.Who {
 		return
 	}
-	if now.After(p.heard) {
-		p.heard = now
+	if now.After(p.lastHeard) {
+		p.lastHeard = now
 	}
 	p.digest = d
 	p.digestAt = now
 	l.merge(d, now)
 }
 
-// merge takes what d passes on of the others.
+// merge merges the ages of other members in d, if d was made for the same roster.
 func (l *Liveness) merge(d Digest, now time.Time) {
-	if d.Roster != l.print || len(d.Ages) != len(l.roster) {
+	if d.Roster != l.rosterFingerprint || len(d.Ages) != len(l.roster) {
 		return
 	}
 	for i, m := range l.roster {
@@ -141,25 +141,25 @@
 		if p == nil || d.Ages[i] == ageUnknown {
 			continue
 		}
-		heard := now.Add(-time.Duration(d.Ages[i]) * ageUnit)
-		if heard.After(p.heard) {
-			p.heard = heard
+		lastHeard := now.Add(-time.Duration(d.Ages[i]) * ageUnit)
+		if lastHeard.After(p.lastHeard) {
+			p.lastHeard = lastHeard
 		}
 	}
 }
 
-// Ages returns how long ago each member was heard of, for a digest.
+// Ages returns the encoded time since each member was heard from, for a digest.
 func (l *Liveness) Ages(now time.Time) []byte {
 	ages := make([]byte, len(l.roster))
 	for i, m := range l.roster {
 		if p := l.peers[m.Who.Node]; p != nil {
-			ages[i] = encodeAge(now.Sub(p.heard))
+			ages[i] = encodeAge(now.Sub(p.lastHeard))
 		}
 	}
 	return ages
 }
 
-// Health says of every other member whether it is alive.
+// Health returns the health of every other member.
 func (l *Liveness) Health(now time.Time) map[api.NodeID]ownership.Health {
 	health := make(map[api.NodeID]ownership.Health, len(l.peers))
 	for node, p := range l.peers {
@@ -167,31 +167,31 @@
 			Who:       p.member.Who,
 			Suspected: l.suspected(p, now),
 			Draining:  p.digest.Flags&flagDraining != 0,
-			AliveFor:  now.Sub(p.aliveFrom),
+			AliveFor:  now.Sub(p.aliveSince),
 		}
 	}
 	return health
 }
 
-// Targets picks the members to talk to in this round: the one not spoken to
-// for longest and otherwise random ones. With grants set it adds each that
-// has not granted within maxAge.
+// Targets picks the members to exchange heartbeats with in this round: the one with the
+// longest time since the last exchange, and otherwise random ones. With grants set it
+// adds all members that have given no grant within maxAge.
 func (l *Liveness) Targets(now time.Time, random *rand.Rand, grants bool, maxAge time.Duration) []ownership.Member {
 	peers := l.shuffled(random)
-	var picked []ownership.Member
+	var targets []ownership.Member
 	for i, p := range peers {
-		due := grants && now.Sub(p.granted) >= maxAge
+		due := grants && now.Sub(p.lastGranted) >= maxAge
 		if i >= l.timing.Fanout && !due {
 			continue
 		}
-		p.asked = now
-		picked = append(picked, p.member)
+		p.lastAsked = now
+		targets = append(targets, p.member)
 	}
-	return picked
+	return targets
 }
 
-// shuffled returns the peers in random order, but the one asked longest ago
-// first. The order is a function of random alone.
+// shuffled returns the peers in random order, except that the one with the longest time
+// since the last exchange comes first. The order depends on random only.
 func (l *Liveness) shuffled(random *rand.Rand) []*peer {
 	peers := make([]*peer, 0, len(l.peers))
 	for _, m := range l.roster {
@@ -202,7 +202,7 @@
 	random.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	oldest := 0
 	for i, p := range peers {
-		if p.asked.Before(peers[oldest].asked) {
+		if p.lastAsked.Before(peers[oldest].lastAsked) {
 			oldest = i
 		}
 	}
@@ -212,17 +212,17 @@
 	return peers
 }
 
-// RecordGrant notes that a member granted in an exchange started at the given
+// RecordGrant records that a member gave a grant in an exchange that started at the given
 // time.
 func (l *Liveness) RecordGrant(who ownership.Identity, started time.Time) {
 	p := l.peers[who.Node]
-	if p != nil && p.member.Who == who && started.After(p.granted) {
-		p.granted = started
+	if p != nil && p.member.Who == who && started.After(p.lastGranted) {
+		p.lastGranted = started
 	}
 }
 
-// Candidates returns the members that last said they had free slots for a
-// service, the one with most first. Those suspected or draining are left out.
+// Candidates returns the members that last reported free slots for a service, the one
+// with the most slots first. Suspected and draining members are omitted.
 func (l *Liveness) Candidates(service string, now time.Time) []PeerLoad {
 	var loads []PeerLoad
 	for _, m := range l.roster {
@@ -238,7 +238,7 @@
 	return loads
 }
 
-// free returns the free slots that d tells for a service.
+// free returns the number of free slots for a service in d.
 func (d Digest) free(service string) int {
 	for _, f := range d.Free {
 		if f.Service == service {
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -18,7 +18,9 @@
 	return members
 }
 
-// Silence, news from others, another incarnation and an own standstill.
+// Suspicion follows from direct signs of life and from those passed on by members with the
+// same roster. Digests of other incarnations and rosters are ignored, and a suspension of
+// this process doesn't count as silence.
 func TestLiveness(t *testing.T) {
 	members := roster(3)
 	start := time.Unix(1000, 0)
@@ -32,27 +34,27 @@
 	for ms := 0; ms <= 900; ms += 250 {
 		l.Tick(start.Add(at(ms)))
 	}
-	fresh := Digest{Ask: ownership.Ask{Who: members[1].Who}, Roster: l.print, Ages: []byte{0, 0, 2}}
-	stranger := Digest{Ask: ownership.Ask{Who: ownership.Identity{Node: "entry-2", Incarnation: 2}}}
-	other := fresh
-	other.Roster++
-	other.Ages = []byte{0, 0, 0}
+	fresh := Digest{Ask: ownership.Ask{Who: members[1].Who}, Roster: l.rosterFingerprint, Ages: []byte{0, 0, 2}}
+	otherIncarnation := Digest{Ask: ownership.Ask{Who: ownership.Identity{Node: "entry-2", Incarnation: 2}}}
+	otherRoster := fresh
+	otherRoster.Roster++
+	otherRoster.Ages = []byte{0, 0, 0}
 	l.ObserveDigest(fresh, start.Add(at(600)))
-	l.ObserveDigest(stranger, start.Add(at(900)))
-	l.ObserveDigest(other, start.Add(at(800)))
+	l.ObserveDigest(otherIncarnation, start.Add(at(900)))
+	l.ObserveDigest(otherRoster, start.Add(at(800)))
 	if got := suspects(at(1499)); got != [2]bool{false, false} {
 		t.Fatalf("suspected %v", got)
 	}
-	if got := suspects(at(1500)); got != [2]bool{false, true} { // heard of 100 ms before 600
+	if got := suspects(at(1500)); got != [2]bool{false, true} { // last heard from 100 ms before 600 ms
 		t.Fatalf("suspected %v", got)
 	}
 	l.Tick(start.Add(at(9000)))
 	if got := suspects(at(9000)); got != [2]bool{false, false} {
-		t.Fatalf("suspected %v after an own standstill", got)
+		t.Fatalf("suspected %v after a suspension of this process", got)
 	}
 }
 
-// Every peer is talked to within a bounded number of rounds.
+// Every peer is a target within a bounded number of rounds.
 func TestTargetsReachEveryPeer(t *testing.T) {
 	const nodes = 90
 	l := NewLiveness(Timing{}, roster(1)[0].Who)
@@ -67,25 +69,26 @@
 	}
 	few, all := len(l.Targets(now, random, false, 0)), len(l.Targets(now, random, true, time.Second))
 	if len(seen) != nodes-1 || few != DefaultFanout || all != nodes-1 {
-		t.Fatalf("%d peers reached, %d in a round, %d for grants", len(seen), few, all)
+		t.Fatalf("%d peers were targets, %d in a round, %d for grants", len(seen), few, all)
 	}
 }
 
-// What strangers tell is bounded, and is forgotten when nobody renews it.
+// The number of contacts received from peers is bounded, and they expire unless they are
+// refreshed.
 func TestContactsAreBounded(t *testing.T) {
 	c := newContacts(Contact{DataCentre: "a", Address: "self"})
 	now := time.Unix(1000, 0)
 	for i := range 1000 {
-		c.learn([]Contact{{DataCentre: api.DataCentre(fmt.Sprint(i / 20)), Address: fmt.Sprint(i)}, {Address: "self"}}, now)
+		c.merge([]Contact{{DataCentre: api.DataCentre(fmt.Sprint(i / 20)), Address: fmt.Sprint(i)}, {Address: "self"}}, now)
 	}
-	if len(c.seen) != maxContacts || len(c.of("0")) != maxContactsOfDC {
-		t.Fatalf("%d contacts, %d in one data centre", len(c.seen), len(c.of("0")))
+	if len(c.byAddress) != maxContacts || len(c.addressesIn("0")) != maxContactsPerDC {
+		t.Fatalf("%d contacts, %d in one data centre", len(c.byAddress), len(c.addressesIn("0")))
 	}
-	if told := c.tell(rand.New(rand.NewPCG(1, 1)), now); len(told) != maxContactsToTell+1 || told[0].Address != "self" {
-		t.Fatalf("told %v", told)
+	if sampled := c.sample(rand.New(rand.NewPCG(1, 1)), now); len(sampled) != maxContactsPerMessage+1 || sampled[0].Address != "self" {
+		t.Fatalf("sampled %v", sampled)
 	}
-	c.learn(nil, now.Add(contactLife+time.Second))
-	if len(c.seen) != 0 {
-		t.Fatalf("%d contacts kept", len(c.seen))
+	c.merge(nil, now.Add(contactTTL+time.Second))
+	if len(c.byAddress) != 0 {
+		t.Fatalf("%d contacts kept", len(c.byAddress))
 	}
 }
--- a/internal/member/service.go
+++ b/internal/member/service.go
@@ -14,7 +14,7 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// ServiceName is the name to register Service.Handler under.
+// ServiceName is the name under which Service.Handler is registered.
 const ServiceName = "M"
 
 // Methods of the peer service.
@@ -23,24 +23,24 @@
 	methodContacts = ServiceName + ".Contacts"
 )
 
-// maxAgesInRequest is the largest roster whose ages travel in both directions
-// of an exchange. In a larger one only the answer carries them, which halves
-// their cost; news then spreads by those who ask.
+// maxAgesInRequest is the size of the largest roster whose ages are sent in both
+// directions of an exchange. For a larger one only the reply carries them, which halves
+// their cost; signs of life then spread to the processes that start exchanges.
 const maxAgesInRequest = 32
 
-// contactsEvery is the number of rounds between two exchanges of contacts.
-const contactsEvery = 16
+// contactRounds is the number of rounds between two exchanges of contacts.
+const contactRounds = 16
 
-// contactsAtStart is the number of rounds after the start that all exchange
-// contacts, since a process that was just started knows nobody.
-const contactsAtStart = 16
+// initialContactRounds is the number of rounds after the start in each of which contacts
+// are exchanged, because a process that has just started knows no other.
+const initialContactRounds = 16
 
-// Caller calls a peer once; *peer.Client is one.
+// Caller makes a single call to a peer. *peer.Client implements it.
 type Caller interface {
 	Call(ctx context.Context, addr, method string, args, reply any) error
 }
 
-// Granter asks for and gives grants; *ownership.Controller is one.
+// Granter asks for and gives grants. *ownership.Controller implements it.
 type Granter interface {
 	Ask() ownership.Ask
 	NeedsGrants(now time.Time) bool
@@ -48,13 +48,13 @@
 	Granted(from ownership.Identity, started time.Time)
 }
 
-// Config is what a Service works with.
+// Config holds the settings and dependencies of a Service.
 type Config struct {
 	Self       ownership.Identity
 	DataCentre api.DataCentre
 	Address    string   // IP:port of this process's peer service
 	Seeds      []string // peer addresses from the settings, of any data centre
-	Timing     Timing   // zero fields take their defaults
+	Timing     Timing   // zero fields mean their defaults
 	Hold       time.Duration
 
 	Caller     Caller
@@ -67,7 +67,7 @@
 	Now    func() time.Time // nil means time.Now
 }
 
-// withDefaults fills what is zero.
+// withDefaults returns c with defaults for zero fields.
 func (c Config) withDefaults() Config {
 	c.Timing = c.Timing.withDefaults()
 	defaults.Set(&c.Hold, ownership.DefaultHold)
@@ -89,30 +89,30 @@
 	granter Granter
 	vars    *expvar.Map
 
-	mu       sync.Mutex
-	liveness *Liveness
-	contacts *contacts
-	missed   atomic.Bool     // Entries found nobody in a data centre
-	talking  map[string]bool // addresses with an exchange under way
-	exchange uint64
+	mu           sync.Mutex
+	liveness     *Liveness
+	contacts     *contacts
+	lookupMissed atomic.Bool     // EntryAddresses found no address in a data centre
+	inProgress   map[string]bool // addresses with an exchange in progress
+	lastExchange uint64
 }
 
 // New returns a service. Bind must be called before Run and Handler.
 func New(cfg Config) *Service {
 	cfg = cfg.withDefaults()
 	return &Service{
-		cfg:      cfg,
-		vars:     new(expvar.Map).Init(),
-		liveness: NewLiveness(cfg.Timing, cfg.Self),
-		contacts: newContacts(Contact{DataCentre: cfg.DataCentre, Address: cfg.Address}),
-		talking:  make(map[string]bool),
+		cfg:        cfg,
+		vars:       new(expvar.Map).Init(),
+		liveness:   NewLiveness(cfg.Timing, cfg.Self),
+		contacts:   newContacts(Contact{DataCentre: cfg.DataCentre, Address: cfg.Address}),
+		inProgress: make(map[string]bool),
 	}
 }
 
-// Bind sets who asks for and gives grants.
+// Bind sets the Granter.
 func (s *Service) Bind(g Granter) { s.granter = g }
 
-// Vars returns the counters: exchanges, failures and grants.
+// Vars returns the counters of exchanges, failures and grants.
 func (s *Service) Vars() *expvar.Map { return s.vars }
 
 // Run sends heartbeats until ctx ends and returns the context's error.
@@ -122,11 +122,11 @@
 	ticker := time.NewTicker(s.cfg.Timing.Heartbeat)
 	defer ticker.Stop()
 	for round := 0; ; round++ {
-		for _, m := range s.round() {
-			exchanges.Go(func() { s.talk(ctx, m) })
+		for _, m := range s.startRound() {
+			exchanges.Go(func() { s.exchangeWith(ctx, m) })
 		}
-		if s.wantsContacts(round) {
-			exchanges.Go(func() { s.swapContacts(ctx) })
+		if s.contactsDue(round) {
+			exchanges.Go(func() { s.exchangeContacts(ctx) })
 		}
 		select {
 		case <-ctx.Done():
@@ -136,15 +136,16 @@
 	}
 }
 
-// wantsContacts reports whether contacts are exchanged in a round: often after
-// the start or when a data centre was asked for in vain, else seldom.
-func (s *Service) wantsContacts(round int) bool {
-	missed := s.missed.Swap(false)
-	return missed || round < contactsAtStart || round%contactsEvery == 0
+// contactsDue reports whether contacts are exchanged in a round: in each of the first
+// rounds, after a lookup that found no address, and otherwise every contactRounds.
+func (s *Service) contactsDue(round int) bool {
+	lookupMissed := s.lookupMissed.Swap(false)
+	return lookupMissed || round < initialContactRounds || round%contactRounds == 0
 }
 
-// round starts a round and returns the members to talk to.
-func (s *Service) round() []ownership.Member {
+// startRound starts a round and returns the members to exchange heartbeats with, except
+// those with which an exchange is in progress.
+func (s *Service) startRound() []ownership.Member {
 	now := s.cfg.Now()
 	roster := s.cfg.Roster()
 	grants := s.granter.NeedsGrants(now)
@@ -152,27 +153,27 @@
 	defer s.mu.Unlock()
 	s.liveness.SetRoster(roster, now)
 	s.liveness.Tick(now)
-	var free []ownership.Member
-	for _, m := range s.liveness.Targets(now, s.cfg.Random, grants, s.grantAge()) {
-		if !s.talking[m.Address] {
-			s.talking[m.Address] = true
-			free = append(free, m)
+	var targets []ownership.Member
+	for _, m := range s.liveness.Targets(now, s.cfg.Random, grants, s.grantRenewalAge()) {
+		if !s.inProgress[m.Address] {
+			s.inProgress[m.Address] = true
+			targets = append(targets, m)
 		}
 	}
-	return free
+	return targets
 }
 
-// grantAge is the age from which a grant is renewed; there is time for a
-// second try.
-func (s *Service) grantAge() time.Duration { return s.cfg.Hold / 2 }
+// grantRenewalAge returns the age from which a grant is renewed. It leaves time for a
+// second attempt.
+func (s *Service) grantRenewalAge() time.Duration { return s.cfg.Hold / 2 }
 
-// callTime bounds one exchange. A longer one would not count: a grant is
-// worth nothing after the hold time, and silence is judged sooner.
-func (s *Service) callTime() time.Duration { return s.cfg.Hold / 3 }
+// callTimeout returns the timeout of one exchange. A longer exchange would be useless: a
+// grant has no value after the hold time, and the peer would be suspected earlier.
+func (s *Service) callTimeout() time.Duration { return s.cfg.Hold / 3 }
 
-// talk makes one exchange with m.
-func (s *Service) talk(ctx context.Context, m ownership.Member) {
-	ctx, cancel := context.WithTimeout(ctx, s.callTime())
+// exchangeWith exchanges heartbeats with m once.
+func (s *Service) exchangeWith(ctx context.Context, m ownership.Member) {
+	ctx, cancel := context.WithTimeout(ctx, s.callTimeout())
 	defer cancel()
 	started := s.cfg.Now()
 	request := Request{Exchange: s.nextExchange(), Digest: s.digest(started)}
@@ -182,7 +183,7 @@
 	var reply Reply
 	err := s.cfg.Caller.Call(ctx, m.Address, methodExchange, &request, &reply)
 	s.mu.Lock()
-	delete(s.talking, m.Address)
+	delete(s.inProgress, m.Address)
 	s.mu.Unlock()
 	if err != nil {
 		s.vars.Add("exchange_failures", 1)
@@ -193,12 +194,12 @@
 		s.vars.Add("exchange_mismatches", 1)
 		return
 	}
-	s.take(request, reply, started)
+	s.applyReply(request, reply, started)
 }
 
-// take uses the answer of an exchange.
-func (s *Service) take(request Request, reply Reply, started time.Time) {
-	granted := reply.Granted && request.Digest.Flags&flagAsks != 0
+// applyReply applies the reply of an exchange.
+func (s *Service) applyReply(request Request, reply Reply, started time.Time) {
+	granted := reply.Granted && request.Digest.Flags&flagWantsGrant != 0
 	s.mu.Lock()
 	s.liveness.ObserveDigest(reply.Digest, s.cfg.Now())
 	if granted {
@@ -211,15 +212,15 @@
 	}
 }
 
-// nextExchange numbers the exchanges that this process starts.
+// nextExchange returns the number of the next exchange that this process starts.
 func (s *Service) nextExchange() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.exchange++
-	return s.exchange
+	s.lastExchange++
+	return s.lastExchange
 }
 
-// digest returns what this process says of itself at now.
+// digest returns this process's digest at now.
 func (s *Service) digest(now time.Time) Digest {
 	d := Digest{Ask: s.granter.Ask(), Applied: s.cfg.Applied(), Free: s.cfg.FreeSlots()}
 	d.Free = d.Free[:min(len(d.Free), MaxServices)]
@@ -227,24 +228,24 @@
 		d.Flags |= flagDraining
 	}
 	if s.granter.NeedsGrants(now) {
-		d.Flags |= flagAsks
+		d.Flags |= flagWantsGrant
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d.Roster = s.liveness.print
+	d.Roster = s.liveness.rosterFingerprint
 	d.Ages = s.liveness.Ages(now)
 	return d
 }
 
-// Health says of every other member whether it is alive at now.
+// Health returns the health of every other member at now.
 func (s *Service) Health(now time.Time) map[api.NodeID]ownership.Health {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.liveness.Health(now)
 }
 
-// Candidates returns the members that last said they had free slots for a
-// service, the one with most first.
+// Candidates returns the members that last reported free slots for a service, the one
+// with the most slots first.
 func (s *Service) Candidates(service string) []PeerLoad {
 	now := s.cfg.Now()
 	s.mu.Lock()
@@ -252,15 +253,15 @@
 	return s.liveness.Candidates(service, now)
 }
 
-// EntryAddresses returns the peer addresses known in a data centre, the latest
-// heard of first. For the own data centre they include entry VMs that the
-// roster may lack.
+// EntryAddresses returns the known peer addresses in a data centre, the most recently
+// seen first. For this process's data centre they include entry VMs that may not be in
+// the roster yet.
 func (s *Service) EntryAddresses(dc api.DataCentre) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	addresses := s.contacts.of(dc)
+	addresses := s.contacts.addressesIn(dc)
 	if len(addresses) == 0 {
-		s.missed.Store(true)
+		s.lookupMissed.Store(true)
 	}
 	return addresses
 }
