--- a/internal/assist/orders.go
+++ b/internal/assist/orders.go
@@ -108,7 +108,7 @@
 		}
 		b.Starts = append(b.Starts, PackedStart{
 			Executor: s.To.ID, Address: s.To.Address, Task: packTask(s.Order.Run), Specification: place,
-			Checkpoint: s.Order.Checkpoint, LeaseUntil: int64(s.Order.LeaseUntil), Token: s.Order.Token, Ticket: s.Order.Ticket,
+			Checkpoint: s.Order.Checkpoint, LeaseUntil: int64(s.Order.LeaseExpiry), Token: s.Order.FencingToken, Ticket: s.Order.Ticket,
 		})
 	}
 	for _, s := range stops {
@@ -179,7 +179,7 @@
 		}
 		order := platform.StartOrder{
 			Run: s.Task.run(), Specification: b.Specifications[s.Specification], Checkpoint: s.Checkpoint,
-			LeaseUntil: platform.ExecutorClock(s.LeaseUntil), Token: s.Token, Ticket: s.Ticket,
+			LeaseExpiry: platform.ExecutorClock(s.LeaseUntil), FencingToken: s.Token, Ticket: s.Ticket,
 		}
 		calls.Go(func() {
 			_, err := h.Executors.Start(ctx, platform.ExecutorRef{ID: s.Executor, Address: s.Address}, order)
--- a/internal/assist/orders_test.go
+++ b/internal/assist/orders_test.go
@@ -91,7 +91,7 @@
 			To: platform.ExecutorRef{ID: fmt.Sprintf("i-%d", i), Address: fmt.Sprintf("10.1.0.%d:80", i)},
 			Order: platform.StartOrder{
 				Run: orderedRun(1, i), Specification: "the work", Checkpoint: fmt.Sprint("c", i),
-				LeaseUntil: platform.ExecutorClock(1000 + i), Token: uint64(12 + i), Ticket: fmt.Sprint("t", i),
+				LeaseExpiry: platform.ExecutorClock(1000 + i), FencingToken: uint64(12 + i), Ticket: fmt.Sprint("t", i),
 			},
 		})
 	}
@@ -125,7 +125,7 @@
 	for i := range n {
 		starts = append(starts, StartItem{
 			To:    platform.ExecutorRef{ID: "i-5b44dcf645", Address: "10.2.64.20:8685"},
-			Order: platform.StartOrder{Run: orderedRun(0, i), Specification: string(make([]byte, specification)), LeaseUntil: 486000, Ticket: "0123456789abcdef"},
+			Order: platform.StartOrder{Run: orderedRun(0, i), Specification: string(make([]byte, specification)), LeaseExpiry: 486000, Ticket: "0123456789abcdef"},
 		})
 	}
 	if _, sent := h.Relay(t.Context(), "z1", starts, nil, time.Now()); !sent {
--- a/internal/controller/worker/exchange.go
+++ b/internal/controller/worker/exchange.go
@@ -230,7 +230,7 @@
 		report.Ending = cell.ReportRunning
 	case platform.RunSucceeded:
 		report.Ending = cell.ReportSucceeded
-	case platform.RunErrored:
+	case platform.RunFailed:
 		report.Ending = cell.ReportErrored
 		report.Reason = api.ReasonTaskFailed
 	case platform.RunCheckpointed:
--- a/internal/dispatch/hold.go
+++ b/internal/dispatch/hold.go
@@ -51,26 +51,26 @@
 			}
 			continue
 		}
-		if report.Fault != nil && !faulty {
-			r.cfg.Events.WithError(report.Fault).Warn("executor's answer doesn't tell which life of it answers; it is held all the same")
+		if report.StartTimeErr != nil && !faulty {
+			r.cfg.Events.WithError(report.StartTimeErr).Warn("executor's answer doesn't tell which life of it answers; it is held all the same")
 		}
-		faulty = report.Fault != nil
+		faulty = report.StartTimeErr != nil
 		r.takeReport(ctx, h, report, asked, &ends)
 		pause.For(ctx, holdPace-time.Since(asked))
 	}
 }
 
 func (r *Runner) hold(ctx context.Context, h plan.Hold) (platform.ExecutorReport, error) {
-	ctx, cancel := context.WithTimeout(ctx, holdTimeout+h.Order.Wait)
+	ctx, cancel := context.WithTimeout(ctx, holdTimeout+h.Order.MaxWait)
 	defer cancel()
 	return r.cfg.Executors.Hold(ctx, h.To, h.Order)
 }
 
 // holdFailed reports whether the executor's life is over.
 func (r *Runner) holdFailed(ctx context.Context, h plan.Hold, err error) bool {
-	r.noticeFence(h.To, h.Order.Token, err)
+	r.noticeFence(h.To, h.Order.FencingToken, err)
 	var refused *platform.RefusedError
-	if errors.As(err, &refused) && refused.Reason == platform.RefusedGone {
+	if errors.As(err, &refused) && refused.Reason == platform.RefusedOtherIncarnation {
 		r.mu.Lock()
 		r.cell.HandleExecutorLoss(h.To, plan.OtherIncarnation, time.Now())
 		r.mu.Unlock()
--- a/internal/dispatch/orders.go
+++ b/internal/dispatch/orders.go
@@ -87,7 +87,7 @@
 
 func (r *Runner) startAnswered(o plan.ConfirmedStart, err error) {
 	s := o.Start
-	r.noticeFence(s.To, o.Order.Token, err)
+	r.noticeFence(s.To, o.Order.FencingToken, err)
 	r.mu.Lock()
 	r.cell.HandleStartAnswer(s, err, time.Now())
 	r.mu.Unlock()
--- a/internal/dispatch/play_test.go
+++ b/internal/dispatch/play_test.go
@@ -130,7 +130,7 @@
 // admit reports whether the token is high enough; e.mu is held.
 func (e *playedExecutor) admit(token uint64) error {
 	if token < e.token {
-		return &platform.RefusedError{Reason: platform.RefusedFence}
+		return &platform.RefusedError{Reason: platform.RefusedFenced}
 	}
 	e.token = token
 	return nil
@@ -139,7 +139,7 @@
 func (e *playedExecutor) begin(o platform.StartOrder) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := e.admit(o.Token); err != nil {
+	if err := e.admit(o.FencingToken); err != nil {
 		return err
 	}
 	e.running[o.Run] = time.Now()
@@ -173,7 +173,7 @@
 	}
 	if _, here := e.running[run]; here {
 		delete(e.running, run)
-		e.ended = append(e.ended, platform.EndedRun{Number: uint64(len(e.ended) + 1), Run: run, How: platform.EndStopped})
+		e.ended = append(e.ended, platform.EndedRun{Number: uint64(len(e.ended) + 1), Run: run, Reason: platform.EndStopped})
 	}
 	return e.clock(), nil
 }
@@ -188,13 +188,13 @@
 		return platform.ExecutorReport{}, platform.ErrNoAnswer
 	}
 	e.mu.Lock()
-	err := e.admit(o.Token)
+	err := e.admit(o.FencingToken)
 	e.mu.Unlock()
 	if err != nil {
 		return platform.ExecutorReport{}, err
 	}
 	const look = 10 * time.Millisecond
-	for waited := time.Duration(0); waited < o.Wait && e.seenAll(o.Seen); waited += look {
+	for waited := time.Duration(0); waited < o.MaxWait && e.seenAll(o.Acknowledged); waited += look {
 		select {
 		case <-time.After(look):
 		case <-ctx.Done():
@@ -206,10 +206,10 @@
 	e.holds++
 	report := platform.ExecutorReport{Clock: e.clock()}
 	for run := range e.running {
-		report.Running = append(report.Running, platform.RunningTask{Run: run, Percent: 100})
+		report.Running = append(report.Running, platform.RunningTask{Run: run, ProgressPercent: 100})
 	}
 	for _, end := range e.ended {
-		if end.Number > o.Seen {
+		if end.Number > o.Acknowledged {
 			report.Ended = append(report.Ended, end)
 		}
 	}
--- a/internal/dispatch/registry.go
+++ b/internal/dispatch/registry.go
@@ -29,14 +29,14 @@
 	log       platform.PartitionLog
 	partition platform.Partition
 	decode    DecodeExecutor
-	faults    *platform.UnreadableLog
+	faults    *platform.UnreadableLogger
 	listed    map[string]*fleet.Executor
 	next      platform.Offset
 	read      bool // the newest records were read once
 }
 
 func newRegistry(log platform.PartitionLog, p platform.Partition, decode DecodeExecutor, events *logrus.Entry) *registry {
-	return &registry{log: log, partition: p, decode: decode, faults: &platform.UnreadableLog{Events: events.WithField("topic", p.Topic)}}
+	return &registry{log: log, partition: p, decode: decode, faults: &platform.UnreadableLogger{Logger: events.WithField("topic", p.Topic)}}
 }
 
 // refresh reads what was written since the last call and reports whether
@@ -66,12 +66,12 @@
 // restore reads the newest record of every executor.
 func (g *registry) restore(ctx context.Context) error {
 	fresh := &registry{decode: g.decode, faults: g.faults, listed: make(map[string]*fleet.Executor)}
-	next, err := platform.ReadNewest(ctx, g.log, g.partition, platform.PageTimeout{Least: registryTimeout}, func(records []platform.Record) {
+	next, err := platform.ReadNewest(ctx, g.log, g.partition, platform.PageTimeout{Initial: registryTimeout}, func(records []platform.Record) {
 		for _, r := range records {
 			fresh.apply(r)
 		}
 	}, func(err error) {
-		g.faults.Events.WithError(err).Debug("page of the newest records not read; it is asked for again")
+		g.faults.Logger.WithError(err).Debug("page of the newest records not read; it is asked for again")
 	})
 	if err != nil {
 		return err
@@ -147,10 +147,10 @@
 		e, err = g.decode(r.Key, r.Value)
 	}
 	if err != nil {
-		g.faults.Unreadable(r, err)
+		g.faults.LogUnreadable(r, err)
 		return nil
 	}
-	g.faults.Readable(r.Key)
+	g.faults.MarkReadable(r.Key)
 	return e
 }
 
--- a/internal/dispatch/runner.go
+++ b/internal/dispatch/runner.go
@@ -256,7 +256,7 @@
 // noticeFence tells the elector when an executor has seen the token of another leader.
 func (r *Runner) noticeFence(to platform.ExecutorRef, token uint64, err error) {
 	var refused *platform.RefusedError
-	if !errors.As(err, &refused) || refused.Reason != platform.RefusedFence {
+	if !errors.As(err, &refused) || refused.Reason != platform.RefusedFenced {
 		return
 	}
 	r.mu.Lock()
--- a/internal/dispatch/runner_test.go
+++ b/internal/dispatch/runner_test.go
@@ -86,14 +86,14 @@
 
 func (e *endingExecutor) Hold(_ context.Context, _ platform.ExecutorRef, order platform.HoldOrder) (platform.ExecutorReport, error) {
 	e.mu.Lock()
-	e.seen = append(e.seen, order.Seen)
+	e.seen = append(e.seen, order.Acknowledged)
 	e.mu.Unlock()
 	report := platform.ExecutorReport{Clock: platform.ExecutorClock(time.Now().UnixMilli())}
-	if order.Seen > 0 {
-		time.Sleep(order.Wait)
+	if order.Acknowledged > 0 {
+		time.Sleep(order.MaxWait)
 		return report, nil
 	}
-	report.Ended = []platform.EndedRun{{Number: 1, How: platform.EndDone}}
+	report.Ended = []platform.EndedRun{{Number: 1, Reason: platform.EndDone}}
 	return report, nil
 }
 
@@ -186,7 +186,7 @@
 	if to.Address != address {
 		return platform.ExecutorReport{}, platform.ErrNotReached
 	}
-	time.Sleep(order.Wait)
+	time.Sleep(order.MaxWait)
 	return platform.ExecutorReport{Clock: platform.ExecutorClock(time.Now().UnixMilli())}, nil
 }
 
--- a/internal/drain/server.go
+++ b/internal/drain/server.go
@@ -15,9 +15,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrEnding is the cause with which the contexts of requests are cancelled
+// ErrShuttingDown is the cause with which the contexts of requests are cancelled
 // that are to be answered at once, with what is known.
-var ErrEnding = errors.New("the process is ending")
+var ErrShuttingDown = errors.New("the process is ending")
 
 // Server serves HTTP until it is drained.
 type Server struct {
@@ -137,10 +137,10 @@
 	return d.awaitEnd(ctx)
 }
 
-// Settle cancels the contexts of all requests, with ErrEnding, so that their
+// CancelRequests cancels the contexts of all requests, with ErrEnding, so that their
 // handlers answer with what they know, and waits like Drain, which comes first.
-func (d *Server) Settle(ctx context.Context) error {
-	d.settle(ErrEnding)
+func (d *Server) CancelRequests(ctx context.Context) error {
+	d.settle(ErrShuttingDown)
 	return d.awaitEnd(ctx)
 }
 
--- a/internal/drain/server_test.go
+++ b/internal/drain/server_test.go
@@ -124,7 +124,7 @@
 // read; the connection was closed. Cause: http.Server.Shutdown, which drops a
 // request that was read after its call. The evidence: its source, and these two
 // tests, which failed with it by an unexpected EOF.
-func TestReadWhileDrainingIsAnswered(t *testing.T) {
+func TestRequestReadWhileDrainingIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, s := serve(leaving)
 		c := l.connect()
@@ -141,7 +141,7 @@
 }
 
 // A connection on which the next request has begun to come doesn't rest.
-func TestReadOnOpenConnectionWhileDrainingIsAnswered(t *testing.T) {
+func TestRequestOnReusedConnectionWhileDrainingIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, s := serve(resting)
 		c := l.connect()
@@ -177,7 +177,7 @@
 }
 
 // Connections on which nothing is asked don't hold up the end.
-func TestRestingConnectionsEndAtOnce(t *testing.T) {
+func TestIdleConnectionsCloseAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, s := serve(resting)
 		c := l.connect()
@@ -195,11 +195,11 @@
 
 // What still waits when there is no more time gets its answer from its handler,
 // whose context says why.
-func TestSettleHasWaitingRequestsAnswered(t *testing.T) {
+func TestCancelledRequestsAreAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, s := serve(func(w http.ResponseWriter, r *http.Request) {
 			<-r.Context().Done()
-			if !errors.Is(context.Cause(r.Context()), ErrEnding) {
+			if !errors.Is(context.Cause(r.Context()), ErrShuttingDown) {
 				t.Errorf("ended by %v", context.Cause(r.Context()))
 			}
 			leaving(w, r)
@@ -215,7 +215,7 @@
 			t.Errorf("%d requests wait", n)
 		}
 		settled := make(chan error, 1)
-		go func() { settled <- s.Settle(t.Context()) }()
+		go func() { settled <- s.CancelRequests(t.Context()) }()
 		wantAnswer(t, c)
 		if err := <-settled; err != nil {
 			t.Errorf("settled with %v", err)
@@ -227,7 +227,7 @@
 }
 
 // A handler that doesn't end is counted as cut off.
-func TestCloseCountsWhatItCutsOff(t *testing.T) {
+func TestCloseCountsAbortedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		deaf := make(chan struct{})
 		l, s := serve(func(http.ResponseWriter, *http.Request) { <-deaf })
--- a/internal/jobapi/leaving_test.go
+++ b/internal/jobapi/leaving_test.go
@@ -15,7 +15,7 @@
 func TestLeavingClosesConnections(t *testing.T) {
 	for _, leaving := range []bool{false, true} {
 		api := &API{
-			Forms:   Forms{Remaining: platform.Remaining, EncodeError: platform.EncodeError},
+			Forms:   Forms{Remaining: platform.RemainingTime, EncodeError: platform.EncodeError},
 			Table:   func() *queue.Configuration { return nil },
 			Leaving: func() bool { return leaving },
 			Events:  logging.Silent(),
--- a/internal/jobapi/pending_test.go
+++ b/internal/jobapi/pending_test.go
@@ -37,7 +37,7 @@
 				syncs := 0
 				api := &API{
 					Forms: Forms{
-						Remaining:     platform.Remaining,
+						Remaining:     platform.RemainingTime,
 						EncodePending: platform.EncodePending,
 						EncodeError:   platform.EncodeError,
 					},
--- a/internal/leader/calls.go
+++ b/internal/leader/calls.go
@@ -24,9 +24,9 @@
 	defer cancel()
 	sent := time.Now()
 	offset, err := e.cfg.Log.Append(ctx, platform.Append{
-		Partition: e.cfg.Partition,
-		Records:   []platform.Record{{Value: data}},
-		At:        &at,
+		Partition:   e.cfg.Partition,
+		Records:     []platform.Record{{Value: data}},
+		ExpectedEnd: &at,
 	})
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/leader/elector_test.go
+++ b/internal/leader/elector_test.go
@@ -24,7 +24,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	end := platform.Offset(len(l.records))
-	if *a.At != end {
+	if *a.ExpectedEnd != end {
 		return 0, &platform.ConflictError{End: end}
 	}
 	for _, r := range a.Records {
--- a/internal/node/attach.go
+++ b/internal/node/attach.go
@@ -48,7 +48,7 @@
 
 func (n *Node) attachOnce(ctx context.Context) {
 	current := n.elector.Current()
-	if current.Epoch == 0 || current.Address == n.settings.Peer {
+	if current.Epoch == 0 || current.Address == n.settings.PeerAddress {
 		return
 	}
 	// A machine that stops tells so by its fitness: it answers deliveries up
@@ -56,7 +56,7 @@
 	ctx, cancel := context.WithTimeout(ctx, min(max(attachLeast, n.reader.DeliveryTimeout()/2), attachTimeout))
 	defer cancel()
 	offer := assist.Attachment{
-		Node: n.settings.Node, Address: n.settings.Peer, DataCentre: n.settings.DataCentre,
+		Node: n.settings.Node, Address: n.settings.PeerAddress, DataCentre: n.settings.DataCentre,
 		Fitness: n.fitness(), Whole: n.replica.HasContent(),
 	}
 	epoch, err := assist.Attach(ctx, n.caller, current.Address, offer)
--- a/internal/node/crash_test.go
+++ b/internal/node/crash_test.go
@@ -18,7 +18,7 @@
 	first.awaitReady(t)
 	second.awaitReady(t)
 	const crashing, healthy = "00000000000000a7", "00000000000000a8"
-	first.submit(t, crashing, standin.Crashing, 1)
+	first.submit(t, crashing, standin.CrashSpecification, 1)
 	eventually(t, "the task has been started", func() bool { return o.starts()[crashing+".0.0.0"] > 0 })
 	second.submit(t, healthy, "20ms", 4)
 	first.stop()
@@ -28,7 +28,7 @@
 	if started > mostStarts {
 		t.Errorf("the task was started %d times, want %d at most", started, mostStarts)
 	}
-	second.submit(t, crashing, standin.Crashing, 1) // a late repeat of the submission
+	second.submit(t, crashing, standin.CrashSpecification, 1) // a late repeat of the submission
 	second.awaitState(t, crashing, "failed")
 	if now := o.starts()[crashing+".0.0.0"]; now != started {
 		t.Errorf("the task was started %d times after its job had failed", now-started)
--- a/internal/node/ended_test.go
+++ b/internal/node/ended_test.go
@@ -34,12 +34,12 @@
 	for i := range jobs {
 		a.awaitState(t, id(i), "completed")
 	}
-	client := platform.NewStore(o.store.Address(), nil)
+	client := platform.NewStoreClient(o.store.Address(), nil)
 	defer client.Close()
 	var size int
 	eventually(t, "ended jobs leave little", func() bool {
 		size = 0
-		_, err := product.ReadNewest(context.Background(), client, product.Partition{Topic: topicJobs, Keyed: true}, product.PageTimeout{Least: time.Second}, func(records []product.Record) {
+		_, err := product.ReadNewest(context.Background(), client, product.Partition{Topic: topicJobs, Keyed: true}, product.PageTimeout{Initial: time.Second}, func(records []product.Record) {
 			for _, r := range records {
 				size += r.Size()
 			}
--- a/internal/node/fitness_test.go
+++ b/internal/node/fitness_test.go
@@ -43,7 +43,7 @@
 	}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(server.Close)
-	n := New(&platform.Settings{Node: "a", Peer: address(t), Store: address(t), Processors: 0.8}, logging.Silent())
+	n := New(&platform.Settings{Node: "a", PeerAddress: address(t), StoreAddress: address(t), Processors: 0.8}, logging.Silent())
 	n.elector.ObserveLeader(leader.Leader{Node: "b", Incarnation: 1, Address: listener.Addr().String(), Epoch: silentEpoch})
 	n.draining.Store(true)
 	n.attachOnce(context.Background())
--- a/internal/node/foreign_test.go
+++ b/internal/node/foreign_test.go
@@ -19,7 +19,7 @@
 func (v *visited) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.ids[standin.CalledExecutor(r)]++
+	v.ids[standin.TargetExecutorID(r)]++
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
--- a/internal/node/leading.go
+++ b/internal/node/leading.go
@@ -49,7 +49,7 @@
 	if n.epoch.Load() != uint64(epoch) {
 		return
 	}
-	executors := platform.NewExecutors(n.traffic)
+	executors := platform.NewExecutorClient(n.traffic)
 	defer executors.Close()
 	self := n.self
 	self.Epoch = epoch
@@ -58,7 +58,7 @@
 		Self:      self,
 		Log:       n.store,
 		Jobs:      n.reader.Partition,
-		Registry:  platform.ExecutorRecords,
+		Registry:  platform.ExecutorPartition,
 		Decode:    platform.DecodeExecutor,
 		Executors: executors,
 		Replica:   n.replica,
@@ -67,7 +67,7 @@
 		Caller:    n.caller,
 		Bulk:      n.bulk,
 		Centre:    n.settings.DataCentre,
-		Link:      n.settings.LinkBytes,
+		Link:      n.settings.LinkBytesPerSecond,
 		Full:      n.linkFull.Load,
 		Table:     n.table,
 		MayRenew:  n.elector.MayRenewLeases,
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -55,7 +55,7 @@
 	caller    assist.Caller
 	bulk      assist.Caller // content of records, on connections of its own
 	adviser   product.Adviser
-	executors *platform.Executors // for orders of the leader that go by this machine
+	executors *platform.ExecutorClient // for orders of the leader that go by this machine
 	leading   chan api.Epoch
 	epoch     atomic.Uint64 // that this process leads; 0: none
 	stopLead  atomic.Pointer[context.CancelFunc]
@@ -73,25 +73,25 @@
 		settings:  s,
 		log:       log,
 		traffic:   account,
-		store:     storehealth.Watch(platform.NewStore(s.Store, account)),
+		store:     storehealth.Watch(platform.NewStoreClient(s.StoreAddress, account)),
 		caller:    newCaller(account),
 		bulk:      newCaller(account),
-		executors: platform.NewExecutors(account),
+		executors: platform.NewExecutorClient(account),
 		leading:   make(chan api.Epoch, 1),
 		shutdown:  shutdown{grace: s.Grace},
 	}
-	if s.Advice != "" {
-		n.adviser = platform.NewAdvice(s.Advice, account)
+	if s.AdviceAddress != "" {
+		n.adviser = platform.NewAdviceClient(s.AdviceAddress, account)
 	}
 	jobs := product.Partition{Topic: topicJobs, Number: cellNumber, Keyed: true}
 	n.watch = &queue.Watcher{
 		Log:       n.store,
-		Partition: platform.OperatorRecords,
+		Partition: platform.OperatorPartition,
 		Key:       platform.ConfigurationKey,
 		Decode:    platform.DecodeConfiguration,
 		Logger:    log,
 	}
-	n.replica = replica.New(2*s.StateKept, log)
+	n.replica = replica.New(2*s.JobStateRetention, log)
 	n.reader = &replica.Reader{
 		Replica:   n.replica,
 		Log:       n.store,
@@ -101,10 +101,10 @@
 	}
 	n.intake = intake.New(intake.DefaultConfig(), n.store, jobs, n.relay, n.store.Down, n.replica.HasRequest, log)
 	n.helpers = assist.NewHelpers(s.Node, n.adviser, n.caller)
-	n.self = leader.Leader{Node: s.Node, Incarnation: api.Incarnation(rand.Uint64() | 1), Address: s.Peer}
+	n.self = leader.Leader{Node: s.Node, Incarnation: api.Incarnation(rand.Uint64() | 1), Address: s.PeerAddress}
 	n.elector = leader.New(leader.Config{
 		// On connections of its own: a renewal never waits for a read of jobs.
-		Log:         n.store.WithClient(platform.NewStore(s.Store, account)),
+		Log:         n.store.WithClient(platform.NewStoreClient(s.StoreAddress, account)),
 		Partition:   product.Partition{Topic: topicLeader, Number: cellNumber},
 		Self:        n.self,
 		Timing:      leader.DefaultTiming(),
@@ -120,7 +120,7 @@
 // newCaller returns a client of other machines whose bytes count in account.
 func newCaller(account *traffic.Account) *peer.Client {
 	c := peer.NewClient(peerLimits(), nil)
-	c.Count(account)
+	c.CountTraffic(account)
 	return c
 }
 
@@ -128,7 +128,7 @@
 // are interrupted in the order in which they were added, the servers first: a
 // request that was read is answered by what the loops do.
 func (n *Node) Run(ctx context.Context) error {
-	n.log.WithFields(logrus.Fields{"front": n.settings.Front, "store": n.settings.Store}).Info("process started")
+	n.log.WithFields(logrus.Fields{"front": n.settings.FrontAddress, "store": n.settings.StoreAddress}).Info("process started")
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var g run.Group
@@ -155,11 +155,11 @@
 
 func (n *Node) planConfig() plan.Config {
 	cfg := plan.DefaultConfig()
-	cfg.Lease = min(cfg.Lease, n.settings.LongestLease)
-	cfg.MaxLease = n.settings.LongestLease
-	cfg.DrainMargin = min(cfg.DrainMargin, n.settings.DrainAfter/4)
+	cfg.Lease = min(cfg.Lease, n.settings.MaxLease)
+	cfg.MaxLease = n.settings.MaxLease
+	cfg.DrainMargin = min(cfg.DrainMargin, n.settings.DrainDelay/4)
 	cfg.FormerLeaderRenewal = leader.DefaultTiming().LeaseRenewalWindow
-	cfg.MaxExecutorsPerCall = platform.MostAdvised
+	cfg.MaxExecutorsPerCall = platform.MaxAdvisedExecutors
 	if n.settings.RemoteFactor > 0 {
 		cfg.RemoteFactor = n.settings.RemoteFactor
 	}
@@ -170,7 +170,7 @@
 func (n *Node) api() http.Handler {
 	return &jobapi.API{
 		Forms: jobapi.Forms{
-			Remaining:     platform.Remaining,
+			Remaining:     platform.RemainingTime,
 			DecodeJob:     platform.DecodeSubmission,
 			EncodeState:   platform.EncodeState,
 			EncodePending: platform.EncodePending,
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -84,10 +84,10 @@
 	t.Helper()
 	s := &platform.Settings{
 		Node: api.NodeID(name), DataCentre: "z1",
-		Front: address(t), Ready: address(t), Peer: address(t),
-		Store: o.store.Address(), Advice: o.advice.Address(),
-		MemoryBytes: 1 << 28, LongestLease: 10 * time.Second,
-		Grace: 2 * time.Second, StateKept: time.Minute, DrainAfter: 2 * time.Second,
+		FrontAddress: address(t), ReadinessAddress: address(t), PeerAddress: address(t),
+		StoreAddress: o.store.Address(), AdviceAddress: o.advice.Address(),
+		MemoryBytes: 1 << 28, MaxLease: 10 * time.Second,
+		Grace: 2 * time.Second, JobStateRetention: time.Minute, DrainDelay: 2 * time.Second,
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	n := New(s, logging.Silent())
@@ -100,7 +100,7 @@
 // ask makes a client's request and returns status and body.
 func (p *process) ask(t *testing.T, method, path, body string) (int, string) {
 	t.Helper()
-	req, err := http.NewRequest(method, "http://"+p.settings.Front+path, strings.NewReader(body))
+	req, err := http.NewRequest(method, "http://"+p.settings.FrontAddress+path, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -131,7 +131,7 @@
 func (p *process) awaitReady(t *testing.T) {
 	t.Helper()
 	eventually(t, "process is ready", func() bool {
-		resp, err := http.Get("http://" + p.settings.Ready + platform.ReadinessPath)
+		resp, err := http.Get("http://" + p.settings.ReadinessAddress + platform.ReadinessPath)
 		if err != nil {
 			return false
 		}
@@ -224,13 +224,13 @@
 	a.awaitReady(t)
 	a.submit(t, "00000000000000d1", "20ms", 1)
 	a.awaitState(t, "00000000000000d1", "completed")
-	o.store.Set(standin.FaultDown)
+	o.store.SetFault(standin.FaultDown)
 	status, body := a.ask(t, http.MethodPost, "/q/00000000000000d2", `{"specification":"1ms","steps":[{"count":1}]}`)
 	if status != http.StatusServiceUnavailable {
 		t.Fatalf("a job was answered %d %s without a store", status, body)
 	}
 	a.awaitState(t, "00000000000000d1", "completed") // what is known is told
-	o.store.Set(standin.FaultNone)
+	o.store.SetFault(standin.FaultNone)
 	a.submit(t, "00000000000000d3", "20ms", 1)
 	a.awaitState(t, "00000000000000d3", "completed")
 	if n := o.starts()["00000000000000d2.0.0.0"]; n != 0 {
@@ -242,7 +242,7 @@
 	o := newOutside(t, 2)
 	a := o.start(t, "a")
 	a.awaitReady(t)
-	o.store.Set(standin.FaultLoses)
+	o.store.SetFault(standin.FaultLoseAnswers)
 	for i := range 5 {
 		a.submit(t, fmt.Sprintf("00000000000000e%d", i), "5ms", 2)
 	}
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -49,7 +49,7 @@
 		return s.Store(ctx, records), api.Epoch(n.epoch.Load())
 	}
 	current := n.elector.Current()
-	if current.Epoch == 0 || current.Address == n.settings.Peer {
+	if current.Epoch == 0 || current.Address == n.settings.PeerAddress {
 		return assist.Same(assist.NotLeader, len(records)), 0
 	}
 	ctx, cancel := n.whileLeads(ctx, current.Epoch)
@@ -136,7 +136,7 @@
 		}
 	}
 	current := n.elector.Current()
-	if current.Epoch == 0 || current.Address == n.settings.Peer {
+	if current.Epoch == 0 || current.Address == n.settings.PeerAddress {
 		return product.ErrUnavailable
 	}
 	end, err := assist.Sync(ctx, n.caller, current.Address)
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -42,7 +42,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		caller := &peers{stores: "next"}
 		n := &Node{
-			settings: &platform.Settings{Peer: "self"},
+			settings: &platform.Settings{PeerAddress: "self"},
 			elector:  leader.New(leader.Config{Logger: logging.Silent(), OnLost: func() {}}),
 			reader:   &replica.Reader{Replica: replica.New(time.Minute, logging.Silent()), Timing: replica.DefaultTiming()},
 			caller:   caller,
--- a/internal/node/restart_test.go
+++ b/internal/node/restart_test.go
@@ -10,9 +10,9 @@
 
 func TestTasksEndOnceWhereExecutorsStartAgainUnderTheirIDs(t *testing.T) {
 	o := newOutside(t, 3)
-	ends := standin.NewEnds()
+	ends := standin.NewCompletionTracker()
 	for _, e := range o.executors {
-		e.Ends = ends
+		e.Completions = ends
 		e.ReuseID()
 		e.Register(o.store, "svc")
 	}
@@ -35,7 +35,7 @@
 	for _, id := range ids {
 		second.awaitState(t, id, "completed")
 	}
-	if again := ends.StartedAgain(); len(again) > 0 {
+	if again := ends.RestartedTasks(); len(again) > 0 {
 		t.Errorf("started again after they were acknowledged as done: %v", again)
 	}
 }
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -39,7 +39,7 @@
 // server ends first: its requests need the others.
 func (n *Node) addServers(g *run.Group) {
 	front := drain.New(&http.Server{
-		Addr:              n.settings.Front,
+		Addr:              n.settings.FrontAddress,
 		Handler:           n.api(),
 		ReadHeaderTimeout: readHeaderTimeout,
 		ReadTimeout:       readTimeout,
@@ -47,14 +47,14 @@
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          stdlog.New(n.log.WriterLevel(logrus.DebugLevel), "", 0),
 	})
-	g.Add(func() error { return n.listen(n.settings.Front, traffic.Clients, front.Serve) }, func(error) { n.endFront(front) })
+	g.Add(func() error { return n.listen(n.settings.FrontAddress, traffic.Clients, front.Serve) }, func(error) { n.endFront(front) })
 	n.addPeers(g)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+platform.ReadinessPath, n.serveReadiness)
 	mux.HandleFunc("GET "+countersPath, n.serveCounters)
-	ready := &http.Server{Addr: n.settings.Ready, Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
+	ready := &http.Server{Addr: n.settings.ReadinessAddress, Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
 	g.Add(func() error {
-		return served(n.listen(n.settings.Ready, traffic.Readiness, ready.Serve))
+		return served(n.listen(n.settings.ReadinessAddress, traffic.Readiness, ready.Serve))
 	}, func(error) { n.endReady(ready) })
 }
 
@@ -77,7 +77,7 @@
 
 func (n *Node) addPeers(g *run.Group) {
 	server := peer.NewServer(peerLimits(), n.log)
-	server.Count(n.traffic)
+	server.CountTraffic(n.traffic)
 	handler := &assist.Handler{
 		Leads:      func() api.Epoch { return api.Epoch(n.epoch.Load()) },
 		Storer:     n.storer,
@@ -93,7 +93,7 @@
 		n.log.WithError(err).Error("peer service not registered")
 	}
 	g.Add(func() error {
-		listener, err := net.Listen("tcp", n.settings.Peer)
+		listener, err := net.Listen("tcp", n.settings.PeerAddress)
 		if err != nil {
 			return errors.Wrap(err, "peer listener")
 		}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -97,7 +97,7 @@
 	n.log.WithField("requests", s.InFlight()).Warn("requests still wait as the grace ends; they are answered with what is known")
 	answering, cancel := context.WithDeadline(context.Background(), n.shutdown.answerUntil())
 	defer cancel()
-	err := s.Settle(answering)
+	err := s.CancelRequests(answering)
 	if cut := s.Close(); cut > 0 {
 		n.log.WithError(err).WithField("requests", cut).Error("requests were cut off by the end of the process")
 	}
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -68,7 +68,7 @@
 	t.Cleanup(caller.Close)
 	delivery := &assist.Delivery{Leader: leader.Leader{Node: "silent", Incarnation: 1, Address: l.address, Epoch: silentEpoch}}
 	var known assist.DeliveryAnswer
-	if err := caller.Call(t.Context(), p.settings.Peer, assist.ServiceName+".Deliver", delivery, &known); err != nil {
+	if err := caller.Call(t.Context(), p.settings.PeerAddress, assist.ServiceName+".Deliver", delivery, &known); err != nil {
 		t.Fatal(err)
 	}
 	if known.Epoch != silentEpoch {
@@ -82,7 +82,7 @@
 	o := newOutside(t, 0)
 	p := o.start(t, "a")
 	p.awaitReady(t)
-	o.store.Set(standin.FaultDown)
+	o.store.SetFault(standin.FaultDown)
 	silent := &silentLeader{address: address(t)}
 	silent.lead(t, p)
 	answered := make(chan int, 1)
@@ -113,12 +113,12 @@
 func (p *process) look(wait time.Duration) (int, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.settings.Front+"/q/00000000000000ab", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.settings.FrontAddress+"/q/00000000000000ab", nil)
 	if err != nil {
 		return 0, err
 	}
 	req.Host = standin.Host
-	standin.SetWait(req.Header, wait)
+	standin.SetRemainingTime(req.Header, wait)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return 0, err
--- a/internal/node/traffic.go
+++ b/internal/node/traffic.go
@@ -26,7 +26,7 @@
 
 // watchLoad keeps up how much of the link's rate this process has sent of late.
 func (n *Node) watchLoad(ctx context.Context) error {
-	if n.settings.LinkBytes <= 0 {
+	if n.settings.LinkBytesPerSecond <= 0 {
 		<-ctx.Done()
 		return nil
 	}
@@ -36,7 +36,7 @@
 		_, total := n.traffic.Since(before)
 		before = n.traffic.Snapshot()
 		now := time.Now()
-		share := float64(total.Out) / (n.settings.LinkBytes * now.Sub(at).Seconds())
+		share := float64(total.Out) / (n.settings.LinkBytesPerSecond * now.Sub(at).Seconds())
 		at = now
 		load += loadWeight * (share - load)
 		n.linkFull.Store(load > fullLoad)
@@ -61,7 +61,7 @@
 		before = n.traffic.Snapshot()
 		n.log.WithFields(logrus.Fields{
 			"span_ms": time.Since(began).Milliseconds(), "out": total.Out, "in": total.In,
-			"by_kind": traffic.Line(grown),
+			"by_kind": traffic.FormatLine(grown),
 		}).Info("bytes of this process")
 	}
 	return nil
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// Count has calls' bytes counted by method. It must not be called after Call.
-func (c *Client) Count(a *traffic.Account) { c.traffic = a }
+// CountTraffic has calls' bytes counted by method. It must not be called after Call.
+func (c *Client) CountTraffic(a *traffic.Account) { c.traffic = a }
 
 func dialTCP(ctx context.Context, addr string) (net.Conn, error) {
 	var d net.Dialer
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -70,7 +70,7 @@
 
 // Every failure says truthfully whether the call can have run, and no call
 // ever runs twice.
-func TestFailuresAreTyped(t *testing.T) {
+func TestCallErrors(t *testing.T) {
 	long := strings.Repeat("x", 700)
 	cases := []struct {
 		name, addr, method string
@@ -120,7 +120,7 @@
 }
 
 // A late answer reaches nobody else, and the connection is used again.
-func TestLateAnswer(t *testing.T) {
+func TestLateAnswerIsDiscarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig()
 		defer r.stop()
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -67,8 +67,8 @@
 // caller's choice.
 func (s *Server) Vars() *expvar.Map { return s.vars }
 
-// Count has calls' bytes counted by method. It must not be called after Serve.
-func (s *Server) Count(a *traffic.Account) { s.traffic = a }
+// CountTraffic has calls' bytes counted by method. It must not be called after Serve.
+func (s *Server) CountTraffic(a *traffic.Account) { s.traffic = a }
 
 // Register adds the exported methods of rcvr, in the form that net/rpc asks
 // for, as "name.Method". Each name has its own limit on calls running at
--- a/internal/plan/answers.go
+++ b/internal/plan/answers.go
@@ -45,15 +45,15 @@
 func (c *Cell) handleRefusal(alloc *allocation, reason platform.Refusal, now time.Time) {
 	c.logger.WithFields(logrus.Fields{"executor": alloc.vm.Ref.ID, "task": alloc.run.Task, "run": alloc.run.Number, "reason": reason}).Info("start was refused")
 	switch reason {
-	case platform.RefusedSick:
+	case platform.RefusedUnhealthy:
 		alloc.vm.avoidUntil = now.Add(c.cfg.UnhealthyAvoidTime)
 	case platform.RefusedTicket:
 		delete(alloc.task.step.advice.tickets, alloc.vm)
-	case platform.RefusedRoom, platform.RefusedLate:
+	case platform.RefusedNoCapacity, platform.RefusedLeaseExpired:
 		alloc.vm.lastUnanswered = now // the leader's view of its capacity or clock is wrong until it reports again
-	case platform.RefusedBad, platform.RefusedOld:
+	case platform.RefusedInvalidOrder, platform.RefusedOldRun:
 		alloc.task.step.backOff(now)
-	case platform.RefusedGone:
+	case platform.RefusedOtherIncarnation:
 		c.HandleExecutorLoss(alloc.vm.Ref, OtherIncarnation, now)
 		return
 	}
@@ -86,7 +86,7 @@
 	alloc := v.allocations[s.Run]
 	var refused *platform.RefusedError
 	switch {
-	case errors.As(err, &refused) && refused.Reason == platform.RefusedGone:
+	case errors.As(err, &refused) && refused.Reason == platform.RefusedOtherIncarnation:
 		c.HandleExecutorLoss(s.To, OtherIncarnation, now)
 	case err == nil && alloc != nil && alloc.state == stateUnconfirmed:
 		alloc.state = stateStopping
--- a/internal/plan/avoid_test.go
+++ b/internal/plan/avoid_test.go
@@ -20,8 +20,8 @@
 		So(orders, ShouldHaveLength, 2)
 		w.startAll(orders)
 		w.report("e0", nil, []platform.EndedRun{
-			{Number: 1, Run: orders[0].Start.Run, How: platform.EndFailed},
-			{Number: 2, Run: orders[1].Start.Run, How: platform.EndFailed},
+			{Number: 1, Run: orders[0].Start.Run, Reason: platform.EndFailed},
+			{Number: 2, Run: orders[1].Start.Run, Reason: platform.EndFailed},
 		})
 		cfg := DefaultConfig()
 
@@ -71,7 +71,7 @@
 	orders := w.cycle()
 	w.startAll(orders)
 	for i, o := range orders {
-		failed = append(failed, platform.EndedRun{Number: uint64(i + 1), Run: o.Start.Run, How: platform.EndFailed})
+		failed = append(failed, platform.EndedRun{Number: uint64(i + 1), Run: o.Start.Run, Reason: platform.EndFailed})
 	}
 	w.report("e0", nil, failed)
 	for n := byte(1); n <= 2; n++ {
--- a/internal/plan/bench_test.go
+++ b/internal/plan/bench_test.go
@@ -49,7 +49,7 @@
 	rosters := c.jobs[work.ID{3}].activeOccurrences[0].steps[0]
 	c.waitingSteps = nil // all of it is at work
 	for i, v := range c.sortedVMs {
-		c.HandleReport(Hold{To: v.Ref, Order: platform.HoldOrder{Token: c.fencingToken(v)}}, platform.ExecutorReport{Clock: 1}, now, now)
+		c.HandleReport(Hold{To: v.Ref, Order: platform.HoldOrder{FencingToken: c.fencingToken(v)}}, platform.ExecutorReport{Clock: 1}, now, now)
 		for k := range 4 + random.IntN(2) {
 			run := platform.Run{Task: work.TaskKey{StepKey: work.StepKey{Job: work.ID{1, byte(i), byte(i >> 8)}}, Index: k}, Number: 1}
 			cl := &allocation{run: run, resources: api.Resources{MilliCPU: 5500, MemoryMB: 7900}, state: stateRunning, runningSince: now.Add(-time.Second), expectedEnd: now.Add(time.Duration(random.IntN(3000)) * time.Millisecond)}
--- a/internal/plan/canary.go
+++ b/internal/plan/canary.go
@@ -106,7 +106,7 @@
 }
 
 // checkEndedCanary ends the canary of a step if a run of it has ended as done.
-func (c *Cell) checkEndedCanary(alloc *allocation, reason platform.How) {
+func (c *Cell) checkEndedCanary(alloc *allocation, reason platform.EndReason) {
 	if alloc.task != nil && reason == platform.EndDone && alloc.task.step.job.canaries[alloc.task.step.index] != nil {
 		c.endCanary(alloc.task.step)
 	}
--- a/internal/plan/crash_play_test.go
+++ b/internal/plan/crash_play_test.go
@@ -24,7 +24,7 @@
 func (p *play) answerOfCrashed(to platform.ExecutorRef) error {
 	for id := range p.executors {
 		if e := p.listed[id]; e != nil && e.Ref.Address == to.Address {
-			return &platform.RefusedError{Reason: platform.RefusedGone}
+			return &platform.RefusedError{Reason: platform.RefusedOtherIncarnation}
 		}
 	}
 	return platform.ErrNotReached
@@ -99,7 +99,7 @@
 	p.sameID, p.away = true, away
 	for i, id := range p.ids() {
 		p.executors[id].born = p.now.UnixMilli() - int64(i)
-		p.listed[id].Ref.Born = p.executors[id].born
+		p.listed[id].Ref.StartTimeMs = p.executors[id].born
 	}
 	p.list(p.listed)
 }
@@ -137,7 +137,7 @@
 	for _, e := range p.executors {
 		for run := range e.running {
 			if run.Task.StepKey == lost.Task.StepKey {
-				e.stop(run, platform.EndBroken)
+				e.stop(run, platform.EndGangBroken)
 			}
 		}
 	}
@@ -160,7 +160,7 @@
 func (p *crashPlay) startAgain(record fleet.Executor) {
 	e := p.newPlayedExecutor(p.clock)
 	e.born = p.now.UnixMilli()
-	record.Ref.Born = e.born
+	record.Ref.StartTimeMs = e.born
 	p.executors[record.Ref.ID] = e
 	p.everyLife = append(p.everyLife, e)
 	listed := maps.Clone(p.listed)
--- a/internal/plan/deferral.go
+++ b/internal/plan/deferral.go
@@ -48,7 +48,7 @@
 	if t == nil || t.phase != work.Pending || t.lastRun != alloc.run.Number || t.step.job.state.Final() {
 		return
 	}
-	reusesID := t.incarnation.StartTimeMs != 0 || alloc.vm.Ref.Born != 0
+	reusesID := t.incarnation.StartTimeMs != 0 || alloc.vm.Ref.StartTimeMs != 0
 	if !reusesID || alloc.orderExpiry.IsZero() || alloc.ticketBound && !unresponsive {
 		return
 	}
@@ -91,7 +91,7 @@
 	}
 	t.deferral = nil
 	t.phase = work.Started
-	t.incarnation = v.Ref.Life()
+	t.incarnation = v.Ref.Incarnation()
 	alloc := &allocation{run: run, task: t, resources: t.step.spec.TaskResources, expectedEnd: c.now.Add(t.step.spec.Estimate)}
 	v.addAllocation(alloc)
 	c.markDirty(t.step.job)
--- a/internal/plan/executors.go
+++ b/internal/plan/executors.go
@@ -63,7 +63,7 @@
 // everything that ran on it.
 func (c *Cell) HandleExecutorLoss(ref platform.ExecutorRef, e Evidence, now time.Time) {
 	v := c.vms[ref.ID]
-	if v == nil || !v.Ref.Life().Matches(ref.Life()) || ref.Address != v.Ref.Address {
+	if v == nil || !v.Ref.Incarnation().Matches(ref.Incarnation()) || ref.Address != v.Ref.Address {
 		return
 	}
 	l := c.describeLoss(v, e, now)
@@ -92,7 +92,7 @@
 	}
 	var ended []*allocation
 	for _, alloc := range v.newestFirst() {
-		if alloc.task == nil || alloc.task.incarnation.Matches(v.Ref.Life()) {
+		if alloc.task == nil || alloc.task.incarnation.Matches(v.Ref.Incarnation()) {
 			ended = append(ended, alloc)
 		}
 	}
--- a/internal/plan/gang_test.go
+++ b/internal/plan/gang_test.go
@@ -47,7 +47,7 @@
 				for id, runs := range byExecutor {
 					var rows []platform.EndedRun
 					for i, r := range runs {
-						rows = append(rows, platform.EndedRun{Number: uint64(i + 2), Run: r, How: platform.EndStopped})
+						rows = append(rows, platform.EndedRun{Number: uint64(i + 2), Run: r, Reason: platform.EndStopped})
 					}
 					w.report(id, nil, rows)
 				}
--- a/internal/plan/harness_test.go
+++ b/internal/plan/harness_test.go
@@ -185,14 +185,14 @@
 
 func cpus(n int64) api.Resources { return api.Resources{MilliCPU: n * 1000, MemoryMB: 100} }
 
-func ended(number uint64, run platform.Run, how platform.How) []platform.EndedRun {
-	return []platform.EndedRun{{Number: number, Run: run, How: how}}
+func ended(number uint64, run platform.Run, how platform.EndReason) []platform.EndedRun {
+	return []platform.EndedRun{{Number: number, Run: run, Reason: how}}
 }
 
 func running(runs ...platform.Run) []platform.RunningTask {
 	var rows []platform.RunningTask
 	for _, r := range runs {
-		rows = append(rows, platform.RunningTask{Run: r, Percent: 100})
+		rows = append(rows, platform.RunningTask{Run: r, ProgressPercent: 100})
 	}
 	return rows
 }
--- a/internal/plan/incarnation.go
+++ b/internal/plan/incarnation.go
@@ -25,14 +25,14 @@
 	if !v.hasReported {
 		return false
 	}
-	return !v.Ref.Life().Matches(work.ExecutorIncarnation{ID: v.Ref.ID, StartTimeMs: r.Born}) || r.Clock < v.clock
+	return !v.Ref.Incarnation().Matches(work.ExecutorIncarnation{ID: v.Ref.ID, StartTimeMs: r.StartTimeMs}) || r.Clock < v.clock
 }
 
 // holdAddress returns the address for a hold that opens a connection. If the newest record
 // is of another incarnation, which may run elsewhere, holds alternate between its address
 // and the known one.
 func (v *vm) holdAddress() string {
-	if v.registryRecord == nil || v.registryRecord.Ref.Life().Matches(v.Ref.Life()) {
+	if v.registryRecord == nil || v.registryRecord.Ref.Incarnation().Matches(v.Ref.Incarnation()) {
 		return v.Ref.Address
 	}
 	v.useRegisteredAddress = !v.useRegisteredAddress
@@ -44,11 +44,11 @@
 
 // setIncarnation records which incarnation has answered, if the answer says so.
 func (v *vm) setIncarnation(startedMillis int64) {
-	if startedMillis == 0 || startedMillis == v.Ref.Born {
+	if startedMillis == 0 || startedMillis == v.Ref.StartTimeMs {
 		return
 	}
-	v.Ref.Born = startedMillis
-	v.hasOwnRecord = v.registryRecord != nil && v.registryRecord.Ref.Life().Matches(v.Ref.Life())
+	v.Ref.StartTimeMs = startedMillis
+	v.hasOwnRecord = v.registryRecord != nil && v.registryRecord.Ref.Incarnation().Matches(v.Ref.Incarnation())
 }
 
 // replaceIncarnation replaces an executor by its next incarnation, which has just answered.
@@ -57,12 +57,12 @@
 func (c *Cell) replaceIncarnation(v *vm, ref platform.ExecutorRef, r platform.ExecutorReport, now time.Time) {
 	l := c.describeLoss(v, OtherIncarnation, now)
 	c.logRestart(v, r)
-	ref.Born = r.Born
+	ref.StartTimeMs = r.StartTimeMs
 	next := newVM(ref)
 	next.Executor = v.Executor // until its own record is read
 	next.Ref = ref
 	next.registered, next.registeredAddress, next.registryRecord, next.formerIncarnations = v.registered, v.registeredAddress, v.registryRecord, v.formerIncarnations+1
-	if next.registryRecord != nil && next.registryRecord.Ref.Life().Matches(ref.Life()) {
+	if next.registryRecord != nil && next.registryRecord.Ref.Incarnation().Matches(ref.Incarnation()) {
 		next.describe(next.registryRecord, now)
 	}
 	next.inheritedLeaseExpiry = now.Add(c.cfg.maxLeaseDuration())
@@ -153,7 +153,7 @@
 // removed or another incarnation has answered since.
 func (c *Cell) currentVM(ref platform.ExecutorRef, token uint64) *vm {
 	v := c.vms[ref.ID]
-	if v == nil || !v.Ref.Life().Matches(ref.Life()) || token != c.fencingToken(v) {
+	if v == nil || !v.Ref.Incarnation().Matches(ref.Incarnation()) || token != c.fencingToken(v) {
 		return nil
 	}
 	return v
@@ -178,7 +178,7 @@
 // logRestart logs that an executor has restarted under its ID.
 func (c *Cell) logRestart(v *vm, r platform.ExecutorReport) {
 	c.logger.WithFields(logrus.Fields{
-		"executor": v.Ref.ID, "address": v.Ref.Address, "born_ms": r.Born, "former_born_ms": v.Ref.Born,
+		"executor": v.Ref.ID, "address": v.Ref.Address, "born_ms": r.StartTimeMs, "former_born_ms": v.Ref.StartTimeMs,
 		"clock_ms": int64(r.Clock), "former_clock_ms": int64(v.clock), "ends_listed": len(r.Ended),
 		"ends_applied": v.appliedEnds, "ends_acknowledged": v.durableEnds, "runs": len(v.allocations), "lost": v.describeRuns(),
 	}).Info("executor has started again under its id")
--- a/internal/plan/life_test.go
+++ b/internal/plan/life_test.go
@@ -27,7 +27,7 @@
 			if !end.acked || last[run.Task] <= run.Number {
 				continue
 			}
-			switch end.How {
+			switch end.Reason {
 			case platform.EndDone:
 				p.t.Errorf("task %v: run %d had ended as done, which was acknowledged, and run %d was started", run.Task, run.Number, last[run.Task])
 			case platform.EndFailed:
@@ -85,7 +85,7 @@
 	if len(orders) != 2 {
 		t.Fatalf("%d orders, want 2", len(orders))
 	}
-	w.cell.HandleStartAnswer(orders[0].Start, &platform.RefusedError{Reason: platform.RefusedGone}, w.now)
+	w.cell.HandleStartAnswer(orders[0].Start, &platform.RefusedError{Reason: platform.RefusedOtherIncarnation}, w.now)
 	w.cell.HandleStartAnswer(orders[1].Start, nil, w.now)
 	w.report(orders[1].Start.To.ID, nil, ended(1, orders[1].Start.Run, platform.EndDone))
 	again := w.cycle()
@@ -106,12 +106,12 @@
 	w.cell.MarkEndsDurable(h, w.cell.AppliedEnds(h))
 	h, _ = w.cell.NextHold("e0", HoldTerms{Connected: true, Renew: true})
 	renewal := h.Order
-	if renewal.Seen != 3 || renewal.LeaseUntil == 0 || !renewal.Connected {
+	if renewal.Acknowledged != 3 || renewal.LeaseExpiry == 0 || !renewal.ReuseConnection {
 		t.Errorf("renewal %+v", renewal)
 	}
 	h, _ = w.cell.NextHold("e0", HoldTerms{Renew: true, Wait: time.Second})
 	first := h.Order
-	if first.Seen != 0 || first.LeaseUntil != renewal.LeaseUntil || first.Wait != 0 || first.Connected {
+	if first.Acknowledged != 0 || first.LeaseExpiry != renewal.LeaseExpiry || first.MaxWait != 0 || first.ReuseConnection {
 		t.Errorf("first hold on a connection %+v", first)
 	}
 }
@@ -125,7 +125,7 @@
 // tell has an executor's record and its next report tell a life.
 func (w *world) tell(id string, born int64) {
 	record := *w.listed[id]
-	record.Ref.Born = born
+	record.Ref.StartTimeMs = born
 	w.listed = maps.Clone(w.listed)
 	w.listed[id] = &record
 	w.cell.UpdateExecutors(w.listed, w.now)
@@ -143,25 +143,25 @@
 	w := newWorld(t, executors)
 	for id := range w.listed {
 		w.tell(id, bornFirst)
-		w.answer(id, platform.ExecutorReport{Born: bornFirst, Clock: w.clock})
+		w.answer(id, platform.ExecutorReport{StartTimeMs: bornFirst, Clock: w.clock})
 	}
 	return w
 }
 
 func TestCallsToTheNextLifeCarryAHigherToken(t *testing.T) {
 	w := newWorldOfLives(t, 1)
-	former := w.answer("e0", platform.ExecutorReport{Born: bornNext, Clock: 10})
+	former := w.answer("e0", platform.ExecutorReport{StartTimeMs: bornNext, Clock: 10})
 	next, _ := w.cell.NextHold("e0", HoldTerms{Connected: true, Renew: true})
-	if next.Order.Token <= former.Order.Token {
-		t.Errorf("token %d after %d", next.Order.Token, former.Order.Token)
+	if next.Order.FencingToken <= former.Order.FencingToken {
+		t.Errorf("token %d after %d", next.Order.FencingToken, former.Order.FencingToken)
 	}
-	if !w.cell.IsTokenOutdated("e0", former.Order.Token) || w.cell.IsTokenOutdated("e0", next.Order.Token) {
+	if !w.cell.IsTokenOutdated("e0", former.Order.FencingToken) || w.cell.IsTokenOutdated("e0", next.Order.FencingToken) {
 		t.Error("a call to the former life isn't told from one to the next")
 	}
 	w.takeOver()
 	later, _ := w.cell.NextHold("e0", HoldTerms{})
-	if later.Order.Token <= next.Order.Token {
-		t.Errorf("token %d of a later leader after %d", later.Order.Token, next.Order.Token)
+	if later.Order.FencingToken <= next.Order.FencingToken {
+		t.Errorf("token %d of a later leader after %d", later.Order.FencingToken, next.Order.FencingToken)
 	}
 }
 
@@ -171,7 +171,7 @@
 	orders := w.cycle()
 	w.startAll(orders)
 	for range 2 {
-		w.answer("e0", platform.ExecutorReport{Born: bornFirst, Clock: 10})
+		w.answer("e0", platform.ExecutorReport{StartTimeMs: bornFirst, Clock: 10})
 	}
 	if len(w.cell.vms["e0"].allocations) != 0 {
 		t.Error("a run of the former life is held to go on")
@@ -180,7 +180,7 @@
 
 func TestRecordOfAnotherLifeDescribesNothing(t *testing.T) {
 	w := newWorldOfLives(t, 1)
-	next := platform.ExecutorReport{Born: bornNext, Clock: 10}
+	next := platform.ExecutorReport{StartTimeMs: bornNext, Clock: 10}
 	w.answer("e0", next)
 	w.answer("e0", next)
 	w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Second})
@@ -195,8 +195,8 @@
 	}
 	w.listed["e0"].Capacity = cpus(8)
 	w.tell("e0", bornFirst) // a read that is behind
-	if v := w.cell.vms["e0"]; v.Ref.Born != bornNext || v.Capacity != cpus(2) {
-		t.Errorf("a late record makes it the life %d with %v", v.Ref.Born, v.Capacity)
+	if v := w.cell.vms["e0"]; v.Ref.StartTimeMs != bornNext || v.Capacity != cpus(2) {
+		t.Errorf("a late record makes it the life %d with %v", v.Ref.StartTimeMs, v.Capacity)
 	}
 	w.tell("e0", bornNext)
 	if orders := w.cycle(); len(orders) != 1 {
@@ -212,7 +212,7 @@
 			orders := w.advisedCycle()
 			w.startAll(orders)
 			run := orders[0].Start.Run
-			next := platform.ExecutorReport{Born: bornNext, Clock: 10}
+			next := platform.ExecutorReport{StartTimeMs: bornNext, Clock: 10}
 			w.answer(orders[0].Start.To.ID, next)
 			if len(w.advisedCycle()) > 0 {
 				t.Fatal("it starts again while an order to the former life may still arrive")
@@ -234,7 +234,7 @@
 	w.job(1, testAdvised, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Second})
 	w.cycle()
 	asks := w.cell.AdviceCalls(w.now, anybody{})
-	next := platform.ExecutorReport{Born: bornNext, Clock: 10}
+	next := platform.ExecutorReport{StartTimeMs: bornNext, Clock: 10}
 	w.answer("e0", next)
 	w.tell("e0", bornNext)
 	w.answer("e0", next)
@@ -267,7 +267,7 @@
 	began := w.now
 	for w.now.Sub(began) < time.Minute {
 		w.pass(100 * time.Millisecond)
-		w.answer(other, platform.ExecutorReport{Born: born, Clock: w.clock})
+		w.answer(other, platform.ExecutorReport{StartTimeMs: born, Clock: w.clock})
 		h, _ := w.cell.NextHold(silent, HoldTerms{Renew: true})
 		w.cell.HandleNoReport(h, w.now)
 		w.advise()
@@ -295,8 +295,8 @@
 			if c.born != 0 {
 				w = newWorldOfLives(t, 2)
 				w.pass(cfg.MaxLease) // what others may have extended is over
-				w.answer("e0", platform.ExecutorReport{Born: c.born, Clock: w.clock})
-				w.answer("e1", platform.ExecutorReport{Born: c.born, Clock: w.clock})
+				w.answer("e0", platform.ExecutorReport{StartTimeMs: c.born, Clock: w.clock})
+				w.answer("e1", platform.ExecutorReport{StartTimeMs: c.born, Clock: w.clock})
 			}
 			w.job(1, c.queue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Second})
 			orders := w.advisedCycle()
@@ -319,7 +319,7 @@
 	silent := orders[0].Start.To.ID
 	other := map[string]string{"e0": "e1", "e1": "e0"}[silent]
 	// The order has reached the next life, whose clock is far behind what it names.
-	at := platform.ExecutorReport{Born: bornNext, Clock: 10, Running: running(orders[0].Start.Run)}
+	at := platform.ExecutorReport{StartTimeMs: bornNext, Clock: 10, Running: running(orders[0].Start.Run)}
 	w.answer(silent, at)
 	w.answer(silent, at)
 	if took := w.startedElsewhere(silent, other, bornFirst); took < cfg.MaxLease {
@@ -341,7 +341,7 @@
 	for answers, want := range map[int64]int{bornNext: 1, bornFirst: 0} {
 		w := newWorldOfLives(t, 1)
 		task, id := w.startedByFormerLeader()
-		w.answer(id, platform.ExecutorReport{Born: answers, Clock: w.clock})
+		w.answer(id, platform.ExecutorReport{StartTimeMs: answers, Clock: w.clock})
 		if got := task.losses.total(); got != want {
 			t.Errorf("%d losses are counted where the life %d answers, want %d", got, answers, want)
 		}
@@ -352,8 +352,8 @@
 	w := newWorldOfLives(t, 2)
 	for id := range w.listed {
 		w.tell(id, bornNext)
-		w.answer(id, platform.ExecutorReport{Born: bornNext, Clock: w.clock})
-		w.answer(id, platform.ExecutorReport{Born: bornNext, Clock: w.clock})
+		w.answer(id, platform.ExecutorReport{StartTimeMs: bornNext, Clock: w.clock})
+		w.answer(id, platform.ExecutorReport{StartTimeMs: bornNext, Clock: w.clock})
 	}
 	job := w.job(1, testAdvised, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Minute})
 	orders := w.advisedCycle()
@@ -362,7 +362,7 @@
 	other := map[string]string{"e0": "e1", "e1": "e0"}[id]
 	w.tell(id, bornFirst) // the new leader's read is behind
 	w.takeOver()
-	w.answer(other, platform.ExecutorReport{Born: bornNext, Clock: w.clock})
+	w.answer(other, platform.ExecutorReport{StartTimeMs: bornNext, Clock: w.clock})
 	w.cell.HandleExecutorLoss(w.ref(id), OtherIncarnation, w.now) // somebody else is where the former life was
 	w.pass(10 * time.Millisecond)
 	if orders := w.advisedCycle(); len(orders) > 0 {
@@ -417,10 +417,10 @@
 		if len(w.cell.vms["e0"].allocations) == 0 {
 			t.Fatal("a run counts as over since somebody else is where a record says")
 		}
-		w.cell.HandleReport(h, platform.ExecutorReport{Born: bornNext, Clock: 10}, w.now, w.now)
+		w.cell.HandleReport(h, platform.ExecutorReport{StartTimeMs: bornNext, Clock: 10}, w.now, w.now)
 		break
 	}
-	if got := w.cell.vms["e0"].Ref; got.Address != elsewhere || got.Born != bornNext {
+	if got := w.cell.vms["e0"].Ref; got.Address != elsewhere || got.StartTimeMs != bornNext {
 		t.Errorf("the executor is %+v", got)
 	}
 }
--- a/internal/plan/loss_log.go
+++ b/internal/plan/loss_log.go
@@ -89,7 +89,7 @@
 
 // HandleNoReport records that a hold got no answer.
 func (c *Cell) HandleNoReport(h Hold, now time.Time) {
-	if v := c.currentVM(h.To, h.Order.Token); v != nil && !v.unresponsiveSince.After(v.reportedAt) {
+	if v := c.currentVM(h.To, h.Order.FencingToken); v != nil && !v.unresponsiveSince.After(v.reportedAt) {
 		v.unresponsiveSince = now
 	}
 }
--- a/internal/plan/losses.go
+++ b/internal/plan/losses.go
@@ -54,7 +54,7 @@
 // loseRun ends a run that was lost with its executor, and the job if its task has lost too
 // many runs.
 func (c *Cell) loseRun(alloc *allocation, l loss) {
-	c.endRun(alloc, platform.EndLapsed, "")
+	c.endRun(alloc, platform.EndLeaseExpired, "")
 	if !l.replaced {
 		c.deferTask(alloc, l.unresponsive)
 	}
@@ -64,7 +64,7 @@
 // expireRun ends a run whose executor is unresponsive and may be alive. It counts as a loss
 // until that is known.
 func (c *Cell) expireRun(alloc *allocation) {
-	c.loseRun(alloc, loss{executor: alloc.vm.Ref.Life(), unresponsiveSince: alloc.vm.lostSince(), evidence: Unregistered, unresponsive: true})
+	c.loseRun(alloc, loss{executor: alloc.vm.Ref.Incarnation(), unresponsiveSince: alloc.vm.lostSince(), evidence: Unregistered, unresponsive: true})
 	alloc.vm.expiredRuns = append(alloc.vm.expiredRuns, alloc)
 }
 
@@ -98,7 +98,7 @@
 
 // countRestart counts a run that has ended without a result, if its task has lost so many
 // runs that its restarts are bounded.
-func (c *Cell) countRestart(alloc *allocation, reason platform.How) {
+func (c *Cell) countRestart(alloc *allocation, reason platform.EndReason) {
 	t := alloc.task
 	if t == nil || reason == platform.EndDone || t.losses.total() < boundedRestartLosses || t.phase == work.Done || t.step.job.state.Final() {
 		return
@@ -106,7 +106,7 @@
 	t.losses.unproven++
 	c.markDirty(t.step.job)
 	if t.losses.total() >= maxLosses {
-		c.failCrashingJob(alloc, loss{executor: alloc.vm.Ref.Life()})
+		c.failCrashingJob(alloc, loss{executor: alloc.vm.Ref.Incarnation()})
 	}
 }
 
--- a/internal/plan/move_test.go
+++ b/internal/plan/move_test.go
@@ -12,7 +12,7 @@
 func (w *world) advance(run platform.Run, id string, percents ...int) bool {
 	for _, p := range percents {
 		w.pass(minPaceSpan)
-		w.report(id, []platform.RunningTask{{Run: run, Percent: p}}, nil)
+		w.report(id, []platform.RunningTask{{Run: run, ProgressPercent: p}}, nil)
 	}
 	return len(w.cell.TakeStops(w.now)) > 0
 }
--- a/internal/plan/place.go
+++ b/internal/plan/place.go
@@ -246,7 +246,7 @@
 	t, s := placed.task, placed.task.step
 	t.lastRun = c.nextRunNumber(t)
 	t.phase = work.Started
-	t.incarnation = placed.vm.Ref.Life()
+	t.incarnation = placed.vm.Ref.Incarnation()
 	alloc := &allocation{
 		run:         platform.Run{Task: t.key(), Number: t.lastRun},
 		task:        t,
@@ -341,8 +341,8 @@
 		Run:           st.Run,
 		Specification: st.Specification,
 		Checkpoint:    st.Checkpoint,
-		LeaseUntil:    alloc.orderVoidAt,
-		Token:         st.Token,
+		LeaseExpiry:   alloc.orderVoidAt,
+		FencingToken:  st.Token,
 		Ticket:        st.Ticket,
 	}
 }
--- a/internal/plan/play_test.go
+++ b/internal/plan/play_test.go
@@ -88,13 +88,13 @@
 	e.lease = max(e.lease, min(lease, e.clock().Add(playMaxHold)))
 }
 
-func (e *playedExecutor) stop(run platform.Run, how platform.How) {
+func (e *playedExecutor) stop(run platform.Run, how platform.EndReason) {
 	e.highest[run.Task] = max(e.highest[run.Task], run.Number)
 	if !e.running[run] {
 		return
 	}
 	delete(e.running, run)
-	end := platform.EndedRun{Number: uint64(len(e.ended) + 1), Run: run, How: how}
+	end := platform.EndedRun{Number: uint64(len(e.ended) + 1), Run: run, Reason: how}
 	e.ended = append(e.ended, end)
 	e.listed = append(e.listed, &listedEnd{EndedRun: end, clock: e.clock()})
 }
@@ -123,9 +123,9 @@
 func (e *playedExecutor) news() bool { return uint64(len(e.ended)) > e.forgotten }
 
 func (e *playedExecutor) report() platform.ExecutorReport {
-	r := platform.ExecutorReport{Born: e.born, Clock: e.clock()}
+	r := platform.ExecutorReport{StartTimeMs: e.born, Clock: e.clock()}
 	for run := range e.running {
-		r.Running = append(r.Running, platform.RunningTask{Run: run, Percent: 100})
+		r.Running = append(r.Running, platform.RunningTask{Run: run, ProgressPercent: 100})
 	}
 	for _, end := range e.ended {
 		if end.Number > e.forgotten {
@@ -302,7 +302,7 @@
 	}
 	e.lapsed = e.clock()
 	for run := range e.running {
-		e.stop(run, platform.EndLapsed)
+		e.stop(run, platform.EndLeaseExpired)
 	}
 }
 
@@ -358,11 +358,11 @@
 		return
 	}
 	order := hold.Order
-	if order.Connected && h.by != e {
+	if order.ReuseConnection && h.by != e {
 		h.by = nil
 		return
 	}
-	h.asked, h.to, h.hold, h.wait = p.now, e, hold, order.Wait
+	h.asked, h.to, h.hold, h.wait = p.now, e, hold, order.MaxWait
 	if e.mute > 0 {
 		e.mute--
 		h.lost = true
@@ -375,9 +375,9 @@
 	if p.drawFate != nil {
 		f = p.drawFate()
 	}
-	h.lost = f != fate{} || order.Token < e.token
+	h.lost = f != fate{} || order.FencingToken < e.token
 	here := func() *playedExecutor { return e } // a connection ends with the life that has accepted it
-	p.carryOut(here, order.Token, f, func(e *playedExecutor) { e.renew(order.LeaseUntil, order.Seen) })
+	p.carryOut(here, order.FencingToken, f, func(e *playedExecutor) { e.renew(order.LeaseExpiry, order.Acknowledged) })
 }
 
 func (p *play) cycleOnce() {
@@ -400,7 +400,7 @@
 }
 
 func (p *play) sendStart(o ConfirmedStart) {
-	e, token, cell := p.executors[o.Start.To.ID], o.Order.Token, p.cell
+	e, token, cell := p.executors[o.Start.To.ID], o.Order.FencingToken, p.cell
 	if e == nil {
 		cell.HandleStartAnswer(o.Start, p.answerOfCrashed(o.Start.To), p.now)
 		return
@@ -418,7 +418,7 @@
 		}
 		p.carryOut(there, token, f, func(e *playedExecutor) {
 			if e.takesTicket(o.Order.Ticket) {
-				e.start(o.Start.Run, o.Order.LeaseUntil)
+				e.start(o.Start.Run, o.Order.LeaseExpiry)
 			}
 		})
 	}
@@ -458,7 +458,7 @@
 		cell.HandleStopAnswer(s, platform.ErrNotReached, p.now)
 		return
 	case f.refused:
-		cell.HandleStopAnswer(s, &platform.RefusedError{Reason: platform.RefusedSick}, p.now)
+		cell.HandleStopAnswer(s, &platform.RefusedError{Reason: platform.RefusedUnhealthy}, p.now)
 		return
 	case f.late > 0:
 		p.after(f.late, do)
--- a/internal/plan/progress_test.go
+++ b/internal/plan/progress_test.go
@@ -19,7 +19,7 @@
 	start := w.now
 	report := func(after time.Duration, percent int) {
 		w.pass(start.Add(after).Sub(w.now))
-		w.report("e0", []platform.RunningTask{{Run: run, Percent: percent}}, nil)
+		w.report("e0", []platform.RunningTask{{Run: run, ProgressPercent: percent}}, nil)
 	}
 	for _, c := range []struct {
 		after   time.Duration
--- a/internal/plan/refused_test.go
+++ b/internal/plan/refused_test.go
@@ -31,7 +31,7 @@
 func TestRefusedStartsAreNotRepeatedAtFullPace(t *testing.T) {
 	const most = 4 * 10 // one a second and executor, and one more each
 	for _, reason := range []platform.Refusal{
-		platform.RefusedRoom, platform.RefusedLate, platform.RefusedBad, platform.RefusedSick, platform.RefusedOld,
+		platform.RefusedNoCapacity, platform.RefusedLeaseExpired, platform.RefusedInvalidOrder, platform.RefusedUnhealthy, platform.RefusedOldRun,
 	} {
 		t.Run(string(reason), func(t *testing.T) {
 			if sent := refuseFor(t, 10*time.Second, reason); sent > most {
--- a/internal/plan/report.go
+++ b/internal/plan/report.go
@@ -39,21 +39,21 @@
 		return h, false
 	}
 	h.To = v.Ref
-	h.Order.Token = c.fencingToken(v)
+	h.Order.FencingToken = c.fencingToken(v)
 	if !v.hasReported {
 		return h, true
 	}
 	if terms.Renew {
-		h.Order.LeaseUntil = v.clock.Add(c.cfg.Lease)
-		v.leaseEnd = max(v.leaseEnd, h.Order.LeaseUntil)
+		h.Order.LeaseExpiry = v.clock.Add(c.cfg.Lease)
+		v.leaseEnd = max(v.leaseEnd, h.Order.LeaseExpiry)
 	}
 	if !terms.Connected {
 		h.To.Address = v.holdAddress()
 		return h, true
 	}
-	h.Order.Connected = true
-	h.Order.Seen = v.durableEnds
-	h.Order.Wait = terms.Wait
+	h.Order.ReuseConnection = true
+	h.Order.Acknowledged = v.durableEnds
+	h.Order.MaxWait = terms.Wait
 	return h, true
 }
 
@@ -61,7 +61,7 @@
 // whether ends were applied that have to be made durable.
 func (c *Cell) HandleReport(h Hold, r platform.ExecutorReport, sentAt, now time.Time) bool {
 	c.now = now
-	v := c.currentVM(h.To, h.Order.Token)
+	v := c.currentVM(h.To, h.Order.FencingToken)
 	if v == nil {
 		return false
 	}
@@ -70,13 +70,13 @@
 		return false
 	}
 	firstReport := !v.hasReported
-	v.setIncarnation(r.Born)
+	v.setIncarnation(r.StartTimeMs)
 	if firstReport {
 		// A former leader may have extended the lease until this report, when the executor
 		// saw this leader's fencing token, and by the clock of a former incarnation.
 		v.hasReported = true
 		maxLease := c.cfg.Lease
-		if v.Ref.Born != 0 {
+		if v.Ref.StartTimeMs != 0 {
 			maxLease = c.cfg.MaxLease
 		}
 		v.leaseEnd = max(v.leaseEnd, r.Clock.Add(maxLease))
@@ -117,10 +117,10 @@
 		if alloc.task != nil {
 			c.markRunning(alloc.task.step.job, c.now)
 		}
-		c.learnFromEnd(alloc, e.How)
-		c.checkEndedCanary(alloc, e.How)
-		c.endRun(alloc, e.How, e.Checkpoint)
-		c.countRestart(alloc, e.How)
+		c.learnFromEnd(alloc, e.Reason)
+		c.checkEndedCanary(alloc, e.Reason)
+		c.endRun(alloc, e.Reason, e.Checkpoint)
+		c.countRestart(alloc, e.Reason)
 	}
 	return applied
 }
@@ -128,7 +128,7 @@
 // MarkEndsDurable records that the ends of an executor that answered a hold are durable up
 // to a number.
 func (c *Cell) MarkEndsDurable(h Hold, upTo uint64) {
-	if v := c.currentVM(h.To, h.Order.Token); v != nil {
+	if v := c.currentVM(h.To, h.Order.FencingToken); v != nil {
 		v.durableEnds = max(v.durableEnds, upTo)
 	}
 }
@@ -136,7 +136,7 @@
 // AppliedEnds returns up to which number the ends of an executor that answered a hold have
 // been applied.
 func (c *Cell) AppliedEnds(h Hold) uint64 {
-	if v := c.currentVM(h.To, h.Order.Token); v != nil {
+	if v := c.currentVM(h.To, h.Order.FencingToken); v != nil {
 		return v.appliedEnds
 	}
 	return 0
@@ -152,9 +152,9 @@
 	deferred := t.deferral != nil
 	t.deferral = nil
 	switch {
-	case e.How == platform.EndDone:
+	case e.Reason == platform.EndDone:
 		c.finishTask(t)
-	case e.How == platform.EndFailed && deferred: // otherwise a former leader may have counted it
+	case e.Reason == platform.EndFailed && deferred: // otherwise a former leader may have counted it
 		c.markDirty(t.step.job)
 		c.failTask(t, e.Run.Number)
 	}
@@ -189,7 +189,7 @@
 			c.forgetLosses(alloc, now)
 			c.checkRunningCanary(alloc, now)
 		}
-		alloc.progress.add(row.Percent, r.Clock, alloc.runningSince, alloc.resumed, now)
+		alloc.progress.add(row.ProgressPercent, r.Clock, alloc.runningSince, alloc.resumed, now)
 		c.learnFromRunning(alloc, now)
 		c.checkPace(alloc, now)
 		if alloc.task != nil && alloc.task.phase == work.Done {
@@ -226,7 +226,7 @@
 func (c *Cell) handleUnlisted(alloc *allocation, clock platform.ExecutorClock, sentAt time.Time) {
 	switch alloc.state {
 	case stateInherited:
-		if current := alloc.vm.Ref.Life(); alloc.task != nil && !alloc.task.incarnation.Matches(current) {
+		if current := alloc.vm.Ref.Incarnation(); alloc.task != nil && !alloc.task.incarnation.Matches(current) {
 			c.endIncarnation([]*allocation{alloc}, nil, loss{executor: alloc.task.incarnation, unresponsiveSince: alloc.vm.lostSince(), evidence: OtherIncarnation})
 			return
 		}
@@ -247,7 +247,7 @@
 				"executor": alloc.vm.Ref.ID, "task": alloc.run.Task, "run": alloc.run.Number, "clock_ms": int64(clock),
 				"ends_applied": alloc.vm.appliedEnds, "ends_acknowledged": alloc.vm.durableEnds,
 			}).Warn("run vanished without an end")
-			c.endRun(alloc, platform.EndLapsed, "")
+			c.endRun(alloc, platform.EndLeaseExpired, "")
 		}
 	}
 }
@@ -260,7 +260,7 @@
 }
 
 // learnFromEnd updates the failures and the speed of an executor with the end of a run.
-func (c *Cell) learnFromEnd(alloc *allocation, reason platform.How) {
+func (c *Cell) learnFromEnd(alloc *allocation, reason platform.EndReason) {
 	v := alloc.vm
 	switch reason {
 	case platform.EndDone:
@@ -300,7 +300,7 @@
 }
 
 // endRun frees a run's capacity and applies its end to its task.
-func (c *Cell) endRun(alloc *allocation, reason platform.How, checkpoint string) {
+func (c *Cell) endRun(alloc *allocation, reason platform.EndReason, checkpoint string) {
 	alloc.vm.removeAllocation(alloc)
 	t := alloc.task
 	if t == nil {
--- a/internal/plan/restart_random_test.go
+++ b/internal/plan/restart_random_test.go
@@ -85,7 +85,7 @@
 	r.used[e.born] = true
 	r.executors[record.Ref.ID] = e
 	r.everyLife = append(r.everyLife, e)
-	record.Ref.Born = e.born
+	record.Ref.StartTimeMs = e.born
 	r.after(recordAfter, func() { r.writeRecord(e, &record) })
 }
 
--- a/internal/plan/suspect.go
+++ b/internal/plan/suspect.go
@@ -59,7 +59,7 @@
 // time of the loss.
 func (c *Cell) describeLoss(v *vm, e Evidence, now time.Time) loss {
 	_, leaving := v.isLeaving(now)
-	l := loss{executor: v.Ref.Life(), unresponsiveSince: v.lostSince(), evidence: e, leaving: leaving, correlated: c.correlatedLoss(v), unresponsive: e == Unregistered}
+	l := loss{executor: v.Ref.Incarnation(), unresponsiveSince: v.lostSince(), evidence: e, leaving: leaving, correlated: c.correlatedLoss(v), unresponsive: e == Unregistered}
 	if !v.reportedAt.IsZero() { // otherwise it isn't known what ran there
 		l.soleJob = v.findSoleJob()
 	}
--- a/internal/plan/vm.go
+++ b/internal/plan/vm.go
@@ -98,7 +98,7 @@
 	v.registeredAddress = e.Ref.Address
 	v.registered = true
 	v.registryRecord = e
-	if !v.hasReported || v.Ref.Life().Matches(e.Ref.Life()) {
+	if !v.hasReported || v.Ref.Incarnation().Matches(e.Ref.Incarnation()) {
 		v.describe(e, now)
 	}
 }
--- a/internal/plan/yield_test.go
+++ b/internal/plan/yield_test.go
@@ -53,7 +53,7 @@
 				runs = append(runs, run)
 			}
 		}
-		w.report(s.To.ID, running(runs...), []platform.EndedRun{{Number: v.appliedEnds + 1, Run: s.Run, How: platform.EndStopped, Checkpoint: "saved"}})
+		w.report(s.To.ID, running(runs...), []platform.EndedRun{{Number: v.appliedEnds + 1, Run: s.Run, Reason: platform.EndStopped, Checkpoint: "saved"}})
 	}
 }
 
@@ -150,10 +150,10 @@
 			switch {
 			case cl.stopRequested:
 				number++
-				ended = append(ended, platform.EndedRun{Number: number, Run: run, How: platform.EndStopped, Checkpoint: "saved"})
+				ended = append(ended, platform.EndedRun{Number: number, Run: run, Reason: platform.EndStopped, Checkpoint: "saved"})
 			case timed && !end.After(p.now):
 				number++
-				ended = append(ended, platform.EndedRun{Number: number, Run: run, How: platform.EndDone})
+				ended = append(ended, platform.EndedRun{Number: number, Run: run, Reason: platform.EndDone})
 			default:
 				runs = append(runs, run)
 			}
--- a/internal/platform/executor.go
+++ b/internal/platform/executor.go
@@ -25,14 +25,14 @@
 
 // ExecutorRef names one life of an executor and where to reach it.
 type ExecutorRef struct {
-	ID      string // a later life may have it again
-	Born    int64  // when the life began, by its own clock: Unix milliseconds; 0: not told
-	Address string // IP:port
+	ID          string // a later life may have it again
+	StartTimeMs int64  // when the life began, by its own clock: Unix milliseconds; 0: not told
+	Address     string // IP:port
 }
 
-// Life returns the name of the life.
-func (r ExecutorRef) Life() work.ExecutorIncarnation {
-	return work.ExecutorIncarnation{ID: r.ID, StartTimeMs: r.Born}
+// Incarnation returns the name of the life.
+func (r ExecutorRef) Incarnation() work.ExecutorIncarnation {
+	return work.ExecutorIncarnation{ID: r.ID, StartTimeMs: r.StartTimeMs}
 }
 
 // livesOfEpoch is how many lives of one executor a leader's fencing tokens tell apart.
@@ -56,63 +56,63 @@
 	Run           Run
 	Specification string
 	Checkpoint    string        // to resume from; empty: from the beginning
-	LeaseUntil    ExecutorClock // the order is void from then on
-	Token         uint64        // fencing token
+	LeaseExpiry   ExecutorClock // the order is void from then on
+	FencingToken  uint64        // fencing token
 	Ticket        string        // permission of the advice service; empty: none
 }
 
 // HoldOrder renews the lease of everything on an executor and asks what runs
 // there.
 type HoldOrder struct {
-	LeaseUntil ExecutorClock // 0: the lease stays as it is
-	Token      uint64        // fencing token
-	Seen       uint64        // ends up to this number may be forgotten
-	Wait       time.Duration // how long the answer may wait for an end
-	Connected  bool          // only by a connection on which the executor has answered before
+	LeaseExpiry     ExecutorClock // 0: the lease stays as it is
+	FencingToken    uint64        // fencing token
+	Acknowledged    uint64        // ends up to this number may be forgotten
+	MaxWait         time.Duration // how long the answer may wait for an end
+	ReuseConnection bool          // only by a connection on which the executor has answered before
 }
 
-// How says how a run ended.
-type How uint8
+// EndReason says how a run ended.
+type EndReason uint8
 
 // The ways in which a run ends.
 const (
-	EndUnknown How = iota // a word that this version doesn't know; counts as stopped
-	EndDone               //
-	EndFailed             // through its own fault or the executor's
-	EndStopped            // by an order
-	EndLapsed             // its lease expired
-	EndBroken             // another member of its gang ended
-	EndAlone              // the rest of its gang didn't come in time
+	EndUnknown        EndReason = iota // a word that this version doesn't know; counts as stopped
+	EndDone                            //
+	EndFailed                          // through its own fault or the executor's
+	EndStopped                         // by an order
+	EndLeaseExpired                    // its lease expired
+	EndGangBroken                      // another member of its gang ended
+	EndGangIncomplete                  // the rest of its gang didn't come in time
 )
 
 // String returns the way's name in logs.
-func (h How) String() string {
+func (h EndReason) String() string {
 	return [...]string{"unknown", "done", "failed", "stopped", "lapsed", "broken", "alone"}[h]
 }
 
 // RunningTask is one task at work on an executor.
 type RunningTask struct {
-	Run        Run
-	Checkpoint string // newest that it has saved
-	Percent    int    // of its work that is done; of a task that lasts: 100 while it is at work
-	Load       int    // rough: processors used (thousandths), or for a task with users their tail response time (ms)
+	Run             Run
+	Checkpoint      string // newest that it has saved
+	ProgressPercent int    // of its work that is done; of a task that lasts: 100 while it is at work
+	Load            int    // rough: processors used (thousandths), or for a task with users their tail response time (ms)
 }
 
 // EndedRun is one end that an executor lists until it is told that it was seen.
 type EndedRun struct {
 	Number     uint64 // rises within one life of the executor, from 1
 	Run        Run
-	How        How
+	Reason     EndReason
 	Checkpoint string
 }
 
 // ExecutorReport is an executor's answer to a hold.
 type ExecutorReport struct {
-	Born    int64 // of the life that reports: Unix milliseconds; 0: not told
-	Fault   error // why it can't be read which life reports; nil: it can, or isn't told
-	Clock   ExecutorClock
-	Running []RunningTask
-	Ended   []EndedRun
+	StartTimeMs  int64 // of the life that reports: Unix milliseconds; 0: not told
+	StartTimeErr error // why it can't be read which life reports; nil: it can, or isn't told
+	Clock        ExecutorClock
+	Running      []RunningTask
+	Ended        []EndedRun
 }
 
 // Refusal is the reason why an executor refused a start.
@@ -120,14 +120,14 @@
 
 // Reasons of refusal.
 const (
-	RefusedFence  Refusal = "fenced"     // it has seen a higher token
-	RefusedOld    Refusal = "old_run"    // this run, or a later one, has ended or been stopped there
-	RefusedLate   Refusal = "late"       // the order's lease is over
-	RefusedRoom   Refusal = "no_room"    // it guards its capacity
-	RefusedTicket Refusal = "ticket"     // missing, lapsed or for another step
-	RefusedBad    Refusal = "bad_order"  // it can't read the order
-	RefusedSick   Refusal = "unhealthy"  // it did nothing and isn't well
-	RefusedGone   Refusal = "other_life" // another life of the executor answers at the address
+	RefusedFenced           Refusal = "fenced"     // it has seen a higher token
+	RefusedOldRun           Refusal = "old_run"    // this run, or a later one, has ended or been stopped there
+	RefusedLeaseExpired     Refusal = "late"       // the order's lease is over
+	RefusedNoCapacity       Refusal = "no_room"    // it guards its capacity
+	RefusedTicket           Refusal = "ticket"     // missing, lapsed or for another step
+	RefusedInvalidOrder     Refusal = "bad_order"  // it can't read the order
+	RefusedUnhealthy        Refusal = "unhealthy"  // it did nothing and isn't well
+	RefusedOtherIncarnation Refusal = "other_life" // another life of the executor answers at the address
 )
 
 // RefusedError is an executor's refusal; the order had no effect.
--- a/internal/platform/httpendpoint/attempt_test.go
+++ b/internal/platform/httpendpoint/attempt_test.go
@@ -80,7 +80,7 @@
 
 // A request on a reused connection that breaks after it was read is sent
 // once. The control shows that the plain transport sends each of them twice.
-func TestNoHiddenRepeat(t *testing.T) {
+func TestReusedConnectionRequestSentOnce(t *testing.T) {
 	warm := &api.Request{Method: "POST", Path: "/warm", Body: []byte("x")}
 	for _, tc := range repeatable {
 		t.Run(tc.name, func(t *testing.T) {
@@ -134,7 +134,7 @@
 
 // Every way an attempt fails has the certainty that the stand-in's record
 // bears out.
-func TestCertaintyAgainstRecord(t *testing.T) {
+func TestFailureCertaintyMatchesExecutorRecord(t *testing.T) {
 	cases := []struct {
 		name      string
 		faults    executor.Faults
--- a/internal/platform/httpendpoint/truth_test.go
+++ b/internal/platform/httpendpoint/truth_test.go
@@ -17,7 +17,7 @@
 
 // Router, adapter and stand-ins together over TCP, with a different fault at
 // each endpoint: what each attempt says agrees with the endpoints' records.
-func TestOutcomesAgreeWithRecords(t *testing.T) {
+func TestAttemptOutcomesMatchExecutorRecords(t *testing.T) {
 	faults := []executor.Faults{{}, {CloseAfterRead: true}, {BreakHalfway: true}, {Leaving: true}, {FailRate: 0.5}, {}}
 	stands := make(map[api.EndpointID]*executor.Executor)
 	var held []router.Held
--- a/internal/platform/httplog/client_test.go
+++ b/internal/platform/httplog/client_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestClientAgainstTheStandIn(t *testing.T) {
+func TestClientAgainstStandin(t *testing.T) {
 	log := logserver.New(logserver.Config{MaxRecordBytes: 100, RetainRecords: 8})
 	server := httptest.NewServer(log.Handler())
 	defer server.Close()
@@ -81,9 +81,9 @@
 	wantErr(t, err, platform.ErrUnavailable)
 }
 
-// TestAppendIsNeverRepeatedByTheTransport breaks a reused connection after
+// TestAppendIsNotRetriedByTransport breaks a reused connection after
 // the request has arrived, which is when net/http repeats what it can.
-func TestAppendIsNeverRepeatedByTheTransport(t *testing.T) {
+func TestAppendIsNotRetriedByTransport(t *testing.T) {
 	var calls atomic.Int32
 	handler := func(w http.ResponseWriter, req *http.Request) {
 		_, _ = io.ReadAll(req.Body)
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestUnclearAnswersAreUncertain(t *testing.T) {
+func TestAmbiguousAnswersAreUncertain(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	giveUp := func(_ http.ResponseWriter, req *http.Request) {
--- a/internal/platform/httpworker/httpworker.go
+++ b/internal/platform/httpworker/httpworker.go
@@ -22,8 +22,8 @@
 const (
 	// StatusFenced answers an exchange with a lower epoch than seen.
 	StatusFenced = http.StatusPreconditionFailed
-	// MaxBody bounds a message and a report, in bytes.
-	MaxBody = 4 << 20
+	// MaxBodyBytes bounds a message and a report, in bytes.
+	MaxBodyBytes = 4 << 20
 
 	contentType     = "application/cbor"
 	maxIdlePerHost  = 1
@@ -137,12 +137,12 @@
 }
 
 func decode(r io.Reader, v any) error {
-	data, err := io.ReadAll(io.LimitReader(r, MaxBody+1))
+	data, err := io.ReadAll(io.LimitReader(r, MaxBodyBytes+1))
 	if err != nil {
 		return err
 	}
-	if len(data) > MaxBody {
-		return fmt.Errorf("body over %d bytes", MaxBody)
+	if len(data) > MaxBodyBytes {
+		return fmt.Errorf("body over %d bytes", MaxBodyBytes)
 	}
 	return cbor.Unmarshal(data, v)
 }
--- a/internal/platform/httpworker/httpworker_test.go
+++ b/internal/platform/httpworker/httpworker_test.go
@@ -34,7 +34,7 @@
 }
 
 // An answer lost on a reused connection is where net/http likes to repeat.
-func TestLostAnswerIsUncertainAndNeverRepeated(t *testing.T) {
+func TestLostAnswerIsUncertainAndNotRetried(t *testing.T) {
 	v, vm, count, server := serve(t)
 	c := httpworker.New(time.Second)
 	report, err := c.Sync(t.Context(), vm, platform.WorkerSync{Epoch: 1})
--- a/internal/platform/newest.go
+++ b/internal/platform/newest.go
@@ -20,8 +20,8 @@
 // and no longer, since a call that a silent store leaves unanswered is lost for all
 // of it.
 type PageTimeout struct {
-	Least time.Duration
-	Most  time.Duration // up to which it doubles; 0: not at all
+	Initial time.Duration
+	Max     time.Duration // up to which it doubles; 0: not at all
 }
 
 // ReadNewest passes the newest record of every key of a keyed partition to
@@ -36,7 +36,7 @@
 // doubles after a try that took longer. The error of each is passed to failed, unless that
 // is nil.
 func ReadNewest(ctx context.Context, log PartitionLog, p Partition, timeout PageTimeout, each func([]Record), failed func(error)) (Offset, error) {
-	pages := newestPages{log: log, partition: p, timeout: timeout.Least, most: timeout.Most, failed: failed}
+	pages := newestPages{log: log, partition: p, timeout: timeout.Initial, most: timeout.Max, failed: failed}
 	page, err := pages.after(ctx, beyondKeys)
 	if err != nil {
 		return 0, err
--- a/internal/platform/newest_test.go
+++ b/internal/platform/newest_test.go
@@ -27,10 +27,10 @@
 
 // What ReadNewest says to be passed has been passed, also where a page's end
 // is later than its records.
-func TestReadNewestMissesNothing(t *testing.T) {
+func TestReadNewestPassesAllRecords(t *testing.T) {
 	l := &lateEnd{keys: []string{"a", "b"}}
 	got := make(map[Offset]bool)
-	next, err := ReadNewest(context.Background(), l, Partition{}, PageTimeout{Least: time.Second}, func(records []Record) {
+	next, err := ReadNewest(context.Background(), l, Partition{}, PageTimeout{Initial: time.Second}, func(records []Record) {
 		for _, r := range records {
 			got[r.Offset] = true
 		}
@@ -59,13 +59,13 @@
 
 // A page that names no key to go on after ends the reading with an error: what
 // follows can't be reached.
-func TestReadNewestEndsWithoutAKeyToGoOnAfter(t *testing.T) {
+func TestReadNewestFailsOnPageWithoutNewKey(t *testing.T) {
 	for name, records := range map[string][]Record{
 		"no keys":      {{Err: ErrMalformed}, {Err: ErrMalformed}},
 		"the same key": {{Key: "a", Value: []byte("x")}, {Err: ErrMalformed}},
 	} {
 		o := &onePage{records: records}
-		if _, err := ReadNewest(context.Background(), o, Partition{Topic: "x"}, PageTimeout{Least: time.Second}, func([]Record) {}, nil); err == nil {
+		if _, err := ReadNewest(context.Background(), o, Partition{Topic: "x"}, PageTimeout{Initial: time.Second}, func([]Record) {}, nil); err == nil {
 			t.Errorf("%s: read to the end", name)
 		}
 		if o.calls > 3 {
--- a/internal/platform/partition.go
+++ b/internal/platform/partition.go
@@ -33,10 +33,10 @@
 // Append is one append. Its records are stored all or none, next to each
 // other.
 type Append struct {
-	Partition Partition
-	Records   []Record
-	At        *Offset   // only if the partition ends here; nil: wherever it ends
-	Producer  *Producer // nil: no fencing
+	Partition   Partition
+	Records     []Record
+	ExpectedEnd *Offset   // only if the partition ends here; nil: wherever it ends
+	Producer    *Producer // nil: no fencing
 }
 
 // Producer numbers the appends of one writer, so that a repeat is told from a
--- a/internal/platform/unreadable.go
+++ b/internal/platform/unreadable.go
@@ -7,17 +7,17 @@
 // forgotten, and logged once more, rather than kept in memory for good.
 const maxUnreadable = 1000
 
-// UnreadableLog logs records that can't be read, each key once until a record
+// UnreadableLogger logs records that can't be read, each key once until a record
 // of it can be: writers repeat their records, and pages of the newest records
 // bring the same one again. It is for one partition and one goroutine.
-type UnreadableLog struct {
-	Events *logrus.Entry
+type UnreadableLogger struct {
+	Logger *logrus.Entry
 	logged map[string]Offset // by key, where
 }
 
-// Unreadable notes that a record can't be read. Malformed records whose keys
+// LogUnreadable notes that a record can't be read. Malformed records whose keys
 // aren't known are told apart by their places.
-func (u *UnreadableLog) Unreadable(r Record, err error) {
+func (u *UnreadableLogger) LogUnreadable(r Record, err error) {
 	at, known := u.logged[r.Key]
 	keyless := r.Err != nil && r.Key == ""
 	if known && (!keyless || r.Offset <= at) {
@@ -27,8 +27,8 @@
 		u.logged = make(map[string]Offset)
 	}
 	u.logged[r.Key] = r.Offset
-	u.Events.WithError(err).WithFields(logrus.Fields{"key": r.Key, "offset": r.Offset}).Error("unreadable record is skipped")
+	u.Logger.WithError(err).WithFields(logrus.Fields{"key": r.Key, "offset": r.Offset}).Error("unreadable record is skipped")
 }
 
-// Readable notes that the newest record of a key can be read, or is deleted.
-func (u *UnreadableLog) Readable(key string) { delete(u.logged, key) }
+// MarkReadable notes that the newest record of a key can be read, or is deleted.
+func (u *UnreadableLogger) MarkReadable(key string) { delete(u.logged, key) }
--- a/internal/platform/worker.go
+++ b/internal/platform/worker.go
@@ -60,7 +60,7 @@
 const (
 	RunRunning      RunState = iota + 1
 	RunSucceeded             // ended well
-	RunErrored               // ended badly, by itself
+	RunFailed                // ended badly, by itself
 	RunCheckpointed          // stopped after a checkpoint
 	RunKilled                // stopped, by request or by a lapsed lease
 )
--- a/internal/queue/watch.go
+++ b/internal/queue/watch.go
@@ -32,7 +32,7 @@
 	current    atomic.Pointer[Configuration]
 	nextOffset platform.Offset
 	newestRead bool // false until the newest records have been read, and again after log truncation
-	unreadable platform.UnreadableLog
+	unreadable platform.UnreadableLogger
 }
 
 // Configuration returns the configuration in force, or nil before the first one.
@@ -40,7 +40,7 @@
 
 // Run follows the configuration until ctx ends.
 func (w *Watcher) Run(ctx context.Context) error {
-	w.unreadable.Events = w.Logger.WithField("topic", w.Partition.Topic)
+	w.unreadable.Logger = w.Logger.WithField("topic", w.Partition.Topic)
 	for ctx.Err() == nil {
 		if err := w.poll(ctx); err != nil {
 			w.Logger.WithError(err).Debug("reading the configuration failed, will retry")
@@ -74,7 +74,7 @@
 
 // readNewest applies the newest records and sets the offset from which to continue.
 func (w *Watcher) readNewest(ctx context.Context) error {
-	next, err := platform.ReadNewest(ctx, w.Log, w.Partition, platform.PageTimeout{Least: readTimeout}, func(records []platform.Record) {
+	next, err := platform.ReadNewest(ctx, w.Log, w.Partition, platform.PageTimeout{Initial: readTimeout}, func(records []platform.Record) {
 		for _, r := range records {
 			w.apply(r)
 		}
@@ -93,7 +93,7 @@
 // configuration in force unchanged.
 func (w *Watcher) apply(r platform.Record) {
 	if r.Err != nil {
-		w.unreadable.Unreadable(r, r.Err)
+		w.unreadable.LogUnreadable(r, r.Err)
 		return
 	}
 	if r.Key != w.Key || len(r.Value) == 0 {
@@ -101,10 +101,10 @@
 	}
 	configuration, err := w.Decode(r.Value)
 	if err != nil {
-		w.unreadable.Unreadable(r, err)
+		w.unreadable.LogUnreadable(r, err)
 		return
 	}
-	w.unreadable.Readable(r.Key)
+	w.unreadable.MarkReadable(r.Key)
 	if previous := w.current.Load(); previous != nil && configuration.Version <= previous.Version {
 		return
 	}
--- a/internal/queue/watch_test.go
+++ b/internal/queue/watch_test.go
@@ -60,7 +60,7 @@
 		logger.SetOutput(&buf)
 		ctx, cancel := context.WithCancel(t.Context())
 		l.allRead = cancel
-		w := &queue.Watcher{Log: l, Partition: adapter.OperatorRecords, Key: adapter.ConfigurationKey, Decode: adapter.DecodeConfiguration, Logger: logrus.NewEntry(logger)}
+		w := &queue.Watcher{Log: l, Partition: adapter.OperatorPartition, Key: adapter.ConfigurationKey, Decode: adapter.DecodeConfiguration, Logger: logrus.NewEntry(logger)}
 		if err := w.Run(ctx); err != nil {
 			t.Error(err)
 		}
--- a/internal/replica/reader.go
+++ b/internal/replica/reader.go
@@ -277,7 +277,7 @@
 	}
 	began, read, size := time.Now(), 0, 0
 	contentBefore := f.Replica.beginRestore()
-	next, err := platform.ReadNewest(ctx, f.Log, f.Partition, platform.PageTimeout{Least: f.Timing.MinReadTimeout, Most: f.Timing.MaxPageTimeout}, func(records []platform.Record) {
+	next, err := platform.ReadNewest(ctx, f.Log, f.Partition, platform.PageTimeout{Initial: f.Timing.MinReadTimeout, Max: f.Timing.MaxPageTimeout}, func(records []platform.Record) {
 		f.Replica.apply(records, 0, time.Now())
 		read += len(records)
 		for i := range records {
--- a/internal/replica/record.go
+++ b/internal/replica/record.go
@@ -15,10 +15,10 @@
 func (r *Replica) applyRecord(rec platform.Record, now time.Time) (Change, *work.Summary, bool) {
 	c, summary, changed, err := r.decodeAndApply(rec, now)
 	if err != nil {
-		r.unreadable.Unreadable(rec, err)
+		r.unreadable.LogUnreadable(rec, err)
 		return Change{}, nil, false
 	}
-	r.unreadable.Readable(rec.Key)
+	r.unreadable.MarkReadable(rec.Key)
 	return c, summary, changed
 }
 
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -27,7 +27,7 @@
 	synced       chan struct{} // closed when everything up to next has been applied
 	lastContact  time.Time     // of the store's last answer or the leader's last delivery
 	completeAt   time.Time     // latest time at which the replica held everything that the store held
-	unreadable   *platform.UnreadableLog
+	unreadable   *platform.UnreadableLogger
 	listener     func([]Change)
 	publish      func(AppliedBatch) // set on the leader
 }
@@ -57,7 +57,7 @@
 		retention:  retention,
 		synced:     make(chan struct{}),
 		content:    contentState{enabled: true, complete: true}, // up to offset 0
-		unreadable: &platform.UnreadableLog{Events: logger.WithField("records", "jobs")},
+		unreadable: &platform.UnreadableLogger{Logger: logger.WithField("records", "jobs")},
 	}
 	for i := range r.shards {
 		r.shards[i].jobs = make(map[work.ID]*Entry)
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestBudgetIsTheRatioInTheLongRun(t *testing.T) {
+func TestBudgetGrantsRatioOfRequests(t *testing.T) {
 	b := NewBudget()
 	retries := 0
 	for range 1000 {
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -226,7 +226,7 @@
 	})
 	v.inUse = v.inUse.Add(s.Resources)
 	if v.faults.FailEverything {
-		v.end(a, platform.RunErrored, v.clock())
+		v.end(a, platform.RunFailed, v.clock())
 		return
 	}
 	m := &v.record.MaxInUse
--- a/internal/traffic/call.go
+++ b/internal/traffic/call.go
@@ -18,7 +18,7 @@
 // Begin notes the connection that the call got.
 func (c *Call) Begin(conn net.Conn) {
 	if m, ok := conn.(*Meter); ok {
-		c.out, c.in = m.Reading()
+		c.out, c.in = m.Totals()
 		c.meter.Store(m)
 	}
 }
@@ -31,36 +31,36 @@
 	if m == nil {
 		return
 	}
-	out, in := m.Reading()
+	out, in := m.Totals()
 	a.Add(kind, out-c.out, in-c.in)
 }
 
-// Long reports whether answers of the kind can be long for a thin link.
-func (k Kind) Long() bool { return k == Reads || k == NewestRecords }
+// HasLongAnswers reports whether answers of the kind can be long for a thin link.
+func (k Kind) HasLongAnswers() bool { return k == Reads || k == NewestRecords }
 
 // Times of answers that are long for the link.
 const (
-	// StalledAfter is the silence after which an answer that is past its time is
+	// StallTimeout is the silence after which an answer that is past its time is
 	// given up. While its bytes come it is read on: given up at a fixed time and asked
 	// for again, an answer that is long for the link might never arrive, and would fill
 	// the link meanwhile.
-	StalledAfter = 400 * time.Millisecond
-	// ArrivingMost bounds for how long an answer is read on past its time.
-	ArrivingMost = 10 * time.Second
+	StallTimeout = 400 * time.Millisecond
+	// MaxArrivalExtension bounds for how long an answer is read on past its time.
+	MaxArrivalExtension = 10 * time.Second
 	// stallLook is the time between two looks at that.
 	stallLook = 50 * time.Millisecond
 )
 
-// WhileArriving returns a context that ends with ctx; but where that ends by its
+// ExtendWhileArriving returns a context that ends with ctx; but where that ends by its
 // deadline, not before the answer's bytes have ceased to come. The function that
 // it returns ends it in any case.
-func (c *Call) WhileArriving(ctx context.Context) (context.Context, func()) {
+func (c *Call) ExtendWhileArriving(ctx context.Context) (context.Context, func()) {
 	own, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, func() {
 		for past := time.Now(); errors.Is(ctx.Err(), context.DeadlineExceeded); {
 			m := c.meter.Load()
 			now := time.Now()
-			if m == nil || m.Silence(now) > StalledAfter || now.Sub(past) > ArrivingMost {
+			if m == nil || m.SinceLastRead(now) > StallTimeout || now.Sub(past) > MaxArrivalExtension {
 				break
 			}
 			select {
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -125,9 +125,9 @@
 	return string(text)
 }
 
-// Line returns usages as one field of a line of the log: kind, calls, bytes out
+// FormatLine returns usages as one field of a line of the log: kind, calls, bytes out
 // and in, the largest first.
-func Line(usages map[Kind]Usage) string {
+func FormatLine(usages map[Kind]Usage) string {
 	kinds := make([]Kind, 0, len(usages))
 	for k := range usages {
 		kinds = append(kinds, k)
@@ -214,8 +214,8 @@
 	return n, err
 }
 
-// Silence returns for how long no bytes have come.
-func (m *Meter) Silence(now time.Time) time.Duration {
+// SinceLastRead returns for how long no bytes have come.
+func (m *Meter) SinceLastRead(now time.Time) time.Duration {
 	return time.Duration(now.UnixNano() - m.arrived.Load())
 }
 
@@ -226,5 +226,5 @@
 	return n, err
 }
 
-// Reading returns the bytes sent and received so far.
-func (m *Meter) Reading() (out, in int64) { return m.out.Load(), m.in.Load() }
+// Totals returns the bytes sent and received so far.
+func (m *Meter) Totals() (out, in int64) { return m.out.Load(), m.in.Load() }
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -30,7 +30,7 @@
 			So(total, ShouldResemble, Usage{Calls: 1, Out: 500, In: 10})
 		})
 		Convey("a line names the largest first", func() {
-			So(Line(a.Snapshot()), ShouldEqual, "executor_hold:2:300:350 Assist.Deliver:0:7:0")
+			So(FormatLine(a.Snapshot()), ShouldEqual, "executor_hold:2:300:350 Assist.Deliver:0:7:0")
 		})
 		Convey("its text is JSON", func() {
 			var read map[Kind]Usage
