--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -14,28 +14,28 @@
 	"github.com/skylarklock/skylarklock/internal/traffic"
 )
 
-// maxSilent is how many calls in a row may time out on a connection before
-// it takes no further ones.
-const maxSilent = 3
+// maxConsecutiveTimeouts is the number of consecutive calls that may time out on a
+// connection before it is not used for further ones.
+const maxConsecutiveTimeouts = 3
 
 // Names of the counters in Client.Vars.
 const (
-	varDials     = "dials"
-	varDialFails = "dial_failures"
-	varNotSent   = "calls_not_sent"
-	varUncertain = "calls_uncertain"
+	varDials        = "dials"
+	varDialFailures = "dial_failures"
+	varNotSent      = "calls_not_sent"
+	varUncertain    = "calls_uncertain"
 )
 
 // Dialer opens a connection to a peer.
 type Dialer func(ctx context.Context, addr string) (net.Conn, error)
 
-// Client calls peers. It keeps one connection to each address. Calls of
-// unlike size (heartbeats, requests handed over) belong on separate clients.
+// Client calls peers. It keeps one connection to each address. Calls of different
+// sizes, such as heartbeats and forwarded requests, should use separate clients.
 type Client struct {
 	limits Limits
 	dial   Dialer
 	vars   *expvar.Map
-	// traffic counts calls' bytes by method; nil: nowhere. Set by Count.
+	// traffic counts the bytes of calls by method; nil: not counted. Set by CountTraffic.
 	traffic *traffic.Account
 
 	mu     sync.Mutex
@@ -43,11 +43,11 @@
 	closed bool
 }
 
-// errClosed ends calls on a closed client.
+// errClosed is the error of calls on a closed client.
 var errClosed = errors.New("client closed")
 
-// NewClient returns a client. Zero limits take their defaults; a nil dialer
-// means TCP.
+// NewClient returns a client. Zero limits take their defaults. If dial is nil, the
+// client uses TCP.
 func NewClient(limits Limits, dial Dialer) *Client {
 	if dial == nil {
 		dial = dialTCP
@@ -60,7 +60,8 @@
 	}
 }
 
-// CountTraffic has calls' bytes counted by method. It must not be called after Call.
+// CountTraffic counts the bytes of calls in a, by method. It must not be called after
+// Call.
 func (c *Client) CountTraffic(a *traffic.Account) { c.traffic = a }
 
 func dialTCP(ctx context.Context, addr string) (net.Conn, error) {
@@ -71,9 +72,9 @@
 // Vars returns the client's counters.
 func (c *Client) Vars() *expvar.Map { return c.vars }
 
-// Call calls method at addr once and decodes its answer into reply. It ends
-// with the context or after the limit for calls, whichever comes first. A
-// failure wraps ErrNotSent, ErrUncertain or *RemoteError.
+// Call calls method at addr once and decodes the answer into reply. It returns at the
+// end of ctx or after Limits.Call, whichever comes first. Its errors wrap ErrNotSent,
+// ErrUncertain or *RemoteError.
 func (c *Client) Call(ctx context.Context, addr, method string, args, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.limits.Call)
 	defer cancel()
@@ -82,14 +83,14 @@
 		c.vars.Add(varNotSent, 1)
 		return fmt.Errorf("%w: %s %s: %w", ErrNotSent, addr, method, err)
 	}
-	defer c.leave(conn)
+	defer c.releaseConn(conn)
 	err = conn.call(ctx, method, args, reply)
-	c.count(err)
+	c.countFailure(err)
 	return err
 }
 
-// count counts the kind of a failure.
-func (c *Client) count(err error) {
+// countFailure counts err by its kind.
+func (c *Client) countFailure(err error) {
 	switch {
 	case errors.Is(err, ErrNotSent):
 		c.vars.Add(varNotSent, 1)
@@ -98,8 +99,8 @@
 	}
 }
 
-// Close closes every connection; calls in flight end with ErrUncertain and
-// later ones with ErrNotSent.
+// Close closes every connection. Calls in flight fail with ErrUncertain, and later
+// calls with ErrNotSent.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,9 +111,10 @@
 	}
 }
 
-// connect returns the usable connection to addr, entered by one more call.
+// connect returns a connection to addr that is acquired for one call. It dials if there
+// is no usable one.
 func (c *Client) connect(ctx context.Context, addr string) (*clientConn, error) {
-	if conn := c.enter(addr); conn != nil {
+	if conn := c.acquireConn(addr); conn != nil {
 		return conn, nil
 	}
 	c.vars.Add(varDials, 1)
@@ -120,14 +122,15 @@
 	defer cancel()
 	raw, err := c.dial(dialCtx, addr)
 	if err != nil {
-		c.vars.Add(varDialFails, 1)
+		c.vars.Add(varDialFailures, 1)
 		return nil, err
 	}
-	return c.keep(raw, addr)
+	return c.addConn(raw, addr)
 }
 
-// enter returns the kept connection to addr, if it may take another call.
-func (c *Client) enter(addr string) *clientConn {
+// acquireConn returns the open connection to addr for one more call, or nil if there is
+// no usable one.
+func (c *Client) acquireConn(addr string) *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	conn := c.conns[addr]
@@ -135,24 +138,24 @@
 		return nil
 	}
 	if !conn.usable(time.Now(), c.limits.Idle/2) {
-		c.retire(conn)
+		c.retireConn(conn)
 		return nil
 	}
 	conn.calls++
 	return conn
 }
 
-// keep makes raw the connection of addr. When two calls dialled at once the
-// later connection stays and the earlier is retired.
-func (c *Client) keep(raw net.Conn, addr string) (*clientConn, error) {
+// addConn makes raw the connection to addr. If two calls have dialled at the same time,
+// the later connection is kept and the earlier one is retired.
+func (c *Client) addConn(raw net.Conn, addr string) (*clientConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		raw.Close()
 		return nil, errClosed
 	}
-	if former := c.conns[addr]; former != nil {
-		c.retire(former)
+	if previous := c.conns[addr]; previous != nil {
+		c.retireConn(previous)
 	}
 	conn := newClientConn(raw, addr, c.limits, c.vars, c.traffic)
 	c.conns[addr] = conn
@@ -160,9 +163,9 @@
 	return conn, nil
 }
 
-// retire takes conn out of use; it is closed when its calls have ended.
-// c.mu is held.
-func (c *Client) retire(conn *clientConn) {
+// retireConn removes conn from the client. The connection is closed when its calls have
+// ended. c.mu is held.
+func (c *Client) retireConn(conn *clientConn) {
 	if c.conns[conn.addr] == conn {
 		delete(c.conns, conn.addr)
 	}
@@ -172,52 +175,52 @@
 	}
 }
 
-// leave ends one call on conn.
-func (c *Client) leave(conn *clientConn) {
+// releaseConn records that one call on conn has ended.
+func (c *Client) releaseConn(conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	conn.calls--
-	conn.used = time.Now()
+	conn.lastUsed = time.Now()
 	if conn.retired && conn.calls == 0 {
 		conn.rpc.Close()
 	}
 }
 
-// clientConn is one connection. Fields without a lock of their own are
-// guarded by Client.mu.
+// clientConn is one connection. Client.mu guards calls, lastUsed and retired.
 type clientConn struct {
 	addr  string
 	rpc   *rpc.Client
 	codec *clientCodec
 
-	calls   int
-	used    time.Time
-	retired bool
+	calls    int // in progress
+	lastUsed time.Time
+	retired  bool
 }
 
 func newClientConn(raw net.Conn, addr string, limits Limits, vars *expvar.Map, account *traffic.Account) *clientConn {
 	codec := newClientCodec(raw, limits, vars)
 	codec.traffic = account
 	return &clientConn{
-		addr:  addr,
-		rpc:   rpc.NewClientWithCodec(codec),
-		codec: codec,
-		used:  time.Now(),
+		addr:     addr,
+		rpc:      rpc.NewClientWithCodec(codec),
+		codec:    codec,
+		lastUsed: time.Now(),
 	}
 }
 
-// usable reports whether conn may take another call at now.
+// usable reports whether conn may be used for another call. A connection without calls
+// is usable for the idle time after its last use.
 func (conn *clientConn) usable(now time.Time, idle time.Duration) bool {
-	if conn.codec.broken.Load() || conn.codec.silent.Load() >= maxSilent {
+	if conn.codec.broken.Load() || conn.codec.consecutiveTimeouts.Load() >= maxConsecutiveTimeouts {
 		return false
 	}
-	return conn.calls > 0 || now.Sub(conn.used) < idle
+	return conn.calls > 0 || now.Sub(conn.lastUsed) < idle
 }
 
 // call sends one call and waits for its answer or the end of ctx.
 func (conn *clientConn) call(ctx context.Context, method string, args, reply any) error {
-	out := &outgoing{ctx: ctx, args: args}
-	in := &incoming{}
+	out := &outgoingCall{ctx: ctx, args: args}
+	in := &incomingAnswer{}
 	pending := conn.rpc.Go(method, out, in, make(chan *rpc.Call, 1))
 	select {
 	case <-pending.Done:
@@ -225,12 +228,12 @@
 		select {
 		case <-pending.Done:
 		default:
-			conn.codec.silent.Add(1)
+			conn.codec.consecutiveTimeouts.Add(1)
 			return fmt.Errorf("%w: %s %s: %w", ErrUncertain, conn.addr, method, ctx.Err())
 		}
 	}
 	if pending.Error != nil {
-		return conn.failure(method, out, pending.Error)
+		return conn.callError(method, out, pending.Error)
 	}
 	if err := decodeBody(in.body, reply); err != nil {
 		return fmt.Errorf("%w: %s %s: %w", ErrUncertain, conn.addr, method, err)
@@ -238,12 +241,12 @@
 	return nil
 }
 
-// failure types the error of a call that net/rpc ended.
-func (conn *clientConn) failure(method string, out *outgoing, err error) error {
+// callError converts the error with which net/rpc ended a call.
+func (conn *clientConn) callError(method string, out *outgoingCall, err error) error {
 	var remote rpc.ServerError
 	switch {
 	case errors.As(err, &remote):
-		return remoteFailure(conn.addr, method, string(remote))
+		return remoteError(conn.addr, method, string(remote))
 	case !out.written:
 		return fmt.Errorf("%w: %s %s: %w", ErrNotSent, conn.addr, method, err)
 	default:
@@ -251,8 +254,8 @@
 	}
 }
 
-// remoteFailure types an error text from the peer.
-func remoteFailure(addr, method, text string) error {
+// remoteError converts an error text that the peer has sent.
+func remoteError(addr, method, text string) error {
 	switch {
 	case strings.HasPrefix(text, refusalPrefix), strings.HasPrefix(text, textNoMethod):
 		return fmt.Errorf("%w: %s %s: %s", ErrNotSent, addr, method, text)
@@ -263,5 +266,5 @@
 	}
 }
 
-// textNoMethod begins net/rpc's answer to a method that it doesn't know.
+// textNoMethod is the prefix of net/rpc's answer to a call of an unknown method.
 const textNoMethod = "rpc: can't find "
--- a/internal/peer/clientcodec.go
+++ b/internal/peer/clientcodec.go
@@ -13,33 +13,33 @@
 	"github.com/skylarklock/skylarklock/internal/traffic"
 )
 
-// outgoing is the argument that a call hands to the codec. It is read again
-// only after net/rpc has ended the call.
-type outgoing struct {
+// outgoingCall is the argument that a call passes to the codec. The caller reads it
+// again only after net/rpc has ended the call.
+type outgoingCall struct {
 	ctx     context.Context
 	args    any
-	written bool // a byte of the call may have left
+	written bool // a byte of the call may have been sent
 }
 
-// incoming takes an answer's body undecoded, so that an answer that comes
-// after its call was given up touches nothing of the caller's.
-type incoming struct {
+// incomingAnswer receives the body of an answer undecoded, so that an answer that
+// arrives after its call has returned does not modify the caller's data.
+type incomingAnswer struct {
 	body []byte
 }
 
-// clientCodec is the rpc.ClientCodec of one connection. net/rpc writes under
-// its own lock and reads from one goroutine.
+// clientCodec is the rpc.ClientCodec of one connection. net/rpc serializes the writes
+// with a lock and reads from one goroutine.
 type clientCodec struct {
 	conn   net.Conn
 	limits Limits
 	vars   *expvar.Map
 	reader *bufio.Reader
-	body   []byte // of the answer whose header was read last
+	body   []byte // body of the answer whose header was read last
 
 	traffic *traffic.Account
 
-	broken atomic.Bool  // takes no further calls
-	silent atomic.Int32 // calls timed out since the last answer
+	broken              atomic.Bool  // the connection must not be used for further calls
+	consecutiveTimeouts atomic.Int32 // number of calls that have timed out since the last answer
 }
 
 func newClientCodec(conn net.Conn, limits Limits, vars *expvar.Map) *clientCodec {
@@ -47,17 +47,18 @@
 		conn:   conn,
 		limits: limits,
 		vars:   vars,
-		reader: bufio.NewReaderSize(conn, readBuffer),
+		reader: bufio.NewReaderSize(conn, readBufferBytes),
 	}
 }
 
-// errBroken ends a call on a connection that failed before it was written.
+// errBroken is the error of a call that was not written because its connection had
+// failed.
 var errBroken = errors.New("connection broken")
 
-// WriteRequest implements rpc.ClientCodec. It fails without writing when the
-// call is over already, is too large or the connection has broken.
+// WriteRequest implements rpc.ClientCodec. It fails without writing if the context of
+// the call has ended, the call is too large or the connection is broken.
 func (c *clientCodec) WriteRequest(r *rpc.Request, v any) error {
-	out := v.(*outgoing)
+	out := v.(*outgoingCall)
 	if err := out.ctx.Err(); err != nil {
 		return err
 	}
@@ -72,39 +73,40 @@
 	return c.write(out, frame)
 }
 
-// write sends one frame by the call's deadline; a frame cut short breaks the
-// connection.
-func (c *clientCodec) write(out *outgoing, frame []byte) error {
+// write sends one frame before the deadline of the call. If the frame is sent only
+// partly, the connection is closed.
+func (c *clientCodec) write(out *outgoingCall, frame []byte) error {
 	deadline, _ := out.ctx.Deadline()
 	c.conn.SetWriteDeadline(deadline)
 	out.written = true
 	n, err := c.conn.Write(frame)
 	c.vars.Add(varBytesOut, int64(n))
 	if err != nil {
-		c.fail()
+		c.closeBroken()
 	}
 	return err
 }
 
-// fail takes the connection out of use at once.
-func (c *clientCodec) fail() {
+// closeBroken marks the connection as broken and closes it.
+func (c *clientCodec) closeBroken() {
 	c.broken.Store(true)
 	c.conn.Close()
 }
 
-// ReadResponseHeader implements rpc.ClientCodec. It waits without a limit of
-// its own; each call has its deadline, and silent connections are retired.
+// ReadResponseHeader implements rpc.ClientCodec. It waits without a time limit, since
+// each call has its own deadline and the client retires connections on which calls
+// time out.
 func (c *clientCodec) ReadResponseHeader(r *rpc.Response) error {
-	if err := c.await(); err != nil {
-		c.fail()
+	if err := c.awaitFrame(); err != nil {
+		c.closeBroken()
 		return err
 	}
 	f, err := readFrame(c.reader, c.limits.MaxAnswer)
 	if err != nil {
-		c.fail()
+		c.closeBroken()
 		return err
 	}
-	c.silent.Store(0)
+	c.consecutiveTimeouts.Store(0)
 	c.vars.Add(varBytesIn, f.size)
 	c.traffic.AddAnswer(traffic.Kind(f.Method), 0, f.size)
 	r.Seq = f.Seq
@@ -114,8 +116,8 @@
 	return nil
 }
 
-// await waits for a frame's first byte and limits the time for its rest.
-func (c *clientCodec) await() error {
+// awaitFrame waits for the first byte of a frame and sets the deadline for the rest.
+func (c *clientCodec) awaitFrame() error {
 	c.conn.SetReadDeadline(time.Time{})
 	if _, err := c.reader.Peek(1); err != nil {
 		return err
@@ -125,7 +127,7 @@
 
 // ReadResponseBody implements rpc.ClientCodec.
 func (c *clientCodec) ReadResponseBody(v any) error {
-	if in, ok := v.(*incoming); ok {
+	if in, ok := v.(*incomingAnswer); ok {
 		in.body = c.body
 	}
 	c.body = nil
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -10,7 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// lengthBytes is the size of the big-endian length before each frame.
+// lengthBytes is the size of the big-endian length that precedes each frame.
 const lengthBytes = 4
 
 // header precedes the body in each frame.
@@ -18,11 +18,12 @@
 	_      struct{} `cbor:",toarray"`
 	Seq    uint64
 	Method string // "Service.Method"
-	Error  string // in answers only; then there is no body
+	Error  string // only in answers; an answer with an error has no body
 }
 
-// encodeFrame returns the frame of h and body, at most limit bytes long
-// without its length. It fails with ErrTooLarge or an encoder's error.
+// encodeFrame returns the frame with h and body, preceded by its length. The frame may
+// have at most limit bytes without the length. It fails with ErrTooLarge or an error
+// of the encoder.
 func encodeFrame(h header, body any, limit int) ([]byte, error) {
 	var buf bytes.Buffer
 	buf.Write(make([]byte, lengthBytes))
@@ -44,15 +45,15 @@
 	return frame, nil
 }
 
-// frame is one frame as read.
+// frame is one frame that was read.
 type frame struct {
 	header
 	body []byte
-	size int64 // bytes on the connection
+	size int64 // including the length
 }
 
-// readFrame reads one frame of at most limit bytes and splits it. Memory
-// grows with the bytes that arrive, not with the length that is announced.
+// readFrame reads one frame of at most limit bytes and splits it into header and body.
+// It allocates memory as bytes arrive and not by the announced length.
 func readFrame(r *bufio.Reader, limit int) (frame, error) {
 	var length [lengthBytes]byte
 	if _, err := io.ReadFull(r, length[:]); err != nil {
@@ -75,7 +76,7 @@
 	return f, nil
 }
 
-// decodeBody decodes body into v; nil discards it.
+// decodeBody decodes body into v. If v is nil, the body is discarded.
 func decodeBody(body []byte, v any) error {
 	if v == nil {
 		return nil
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,8 +1,8 @@
-// Package peer carries calls between the system's own processes: net/rpc with
-// CBOR frames, a deadline on every call, size limits both ways and typed
-// errors that say whether a failed call can have reached the other side.
+// Package peer implements calls between the processes of the system. It uses net/rpc
+// with CBOR frames, a deadline on every call and size limits in both directions. Its
+// errors distinguish whether a failed call can have reached the other process.
 //
-// A call is sent at most once. The package never repeats one by itself.
+// A call is sent at most once. The package never retries.
 package peer
 
 import (
@@ -13,22 +13,25 @@
 	"github.com/skylarklock/skylarklock/internal/defaults"
 )
 
-// Errors of Call. Every failed call wraps exactly one of ErrNotSent,
-// ErrUncertain and *RemoteError.
+// Errors of Client.Call. The error of every failed call wraps exactly one of
+// ErrNotSent, ErrUncertain and *RemoteError.
 var (
-	// ErrNotSent: the call certainly did not run at the peer. The dial
-	// failed, the call ended before its first byte was written, or the peer
-	// refused it unread.
+	// ErrNotSent means that the call certainly did not run at the peer: the
+	// dial failed, the call ended before its first byte was written, or the
+	// peer refused it without running it.
 	ErrNotSent = errors.New("peer: call not sent")
-	// ErrUncertain: the call may have run, may be running, or may still run.
+	// ErrUncertain means that the call may have run, may be running, or may
+	// still run.
 	ErrUncertain = errors.New("peer: call may have run")
-	// ErrTooLarge accompanies one of the above when a size limit was hit.
+	// ErrTooLarge is wrapped together with one of the above if a size limit
+	// was exceeded.
 	ErrTooLarge = errors.New("peer: message too large")
-	// ErrMalformed: the other side sent something that is not a frame.
+	// ErrMalformed means that the other process sent data that is not a valid
+	// frame.
 	ErrMalformed = errors.New("peer: malformed frame")
 )
 
-// RemoteError is the error that the called method itself returned.
+// RemoteError is an error that was returned by the called method.
 type RemoteError struct {
 	Method string
 	Text   string
@@ -39,19 +42,19 @@
 	return fmt.Sprintf("peer: %s: %s", e.Method, e.Text)
 }
 
-// Limits bounds what one side accepts and how long it waits.
+// Limits limits the sizes that a client or server accepts and the times that it waits.
 type Limits struct {
-	MaxRequest int           // bytes of one request frame
-	MaxAnswer  int           // bytes of one answer frame
-	MaxConns   int           // connections that a server holds
-	MaxCalls   int           // calls that run at once in each registered service
-	Call       time.Duration // longest call, also when the context has no deadline
-	Dial       time.Duration // longest dial
-	Frame      time.Duration // longest time from a frame's first byte to its last
-	Idle       time.Duration // a server closes a connection unused for so long
+	MaxRequest int           // maximum size of a request frame in bytes
+	MaxAnswer  int           // maximum size of an answer frame in bytes
+	MaxConns   int           // maximum number of connections of a server
+	MaxCalls   int           // maximum number of concurrent calls of each registered service
+	Call       time.Duration // maximum time of a call, also if the context has no deadline
+	Dial       time.Duration // maximum time of a dial
+	Frame      time.Duration // maximum time from the first byte of a frame to the last
+	Idle       time.Duration // after which a server closes an unused connection
 }
 
-// DefaultLimits returns the limits used where the settings name none.
+// DefaultLimits returns the limits that apply where the settings have none.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxRequest: 9 << 20,
@@ -65,7 +68,7 @@
 	}
 }
 
-// withDefaults fills every field that is zero.
+// withDefaults returns l with defaults in place of zero fields.
 func (l Limits) withDefaults() Limits {
 	d := DefaultLimits()
 	defaults.Set(&l.MaxRequest, d.MaxRequest)
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -16,25 +16,25 @@
 
 // Names of the counters in Server.Vars.
 const (
-	varAccepted     = "connections_accepted"
-	varConnsRefused = "connections_refused"
-	varGarbage      = "garbage_frames"
-	varBusy         = "calls_refused_busy"
-	varDraining     = "calls_refused_draining"
-	varCalls        = "calls"
-	varBytesIn      = "bytes_in"
-	varBytesOut     = "bytes_out"
+	varAccepted        = "connections_accepted"
+	varConnsRefused    = "connections_refused"
+	varMalformedFrames = "garbage_frames"
+	varBusy            = "calls_refused_busy"
+	varDraining        = "calls_refused_draining"
+	varCalls           = "calls"
+	varBytesIn         = "bytes_in"
+	varBytesOut        = "bytes_out"
 )
 
-// Server serves calls on one listener.
+// Server serves calls from one listener.
 type Server struct {
 	limits Limits
 	log    *logrus.Entry
 	rpc    *rpc.Server
 	vars   *expvar.Map
-	// traffic counts calls' bytes by method; nil: nowhere. Set by Count.
+	// traffic counts the bytes of calls by method; nil: not counted. Set by CountTraffic.
 	traffic *traffic.Account
-	slots   map[string]chan struct{} // by service name; set before Serve
+	slots   map[string]chan struct{} // call slots by service name; not modified after Serve
 
 	mu       sync.Mutex
 	draining bool
@@ -43,8 +43,8 @@
 	serving  sync.WaitGroup
 }
 
-// NewServer returns a server without services. Zero limits take their
-// defaults; a nil log means the standard logger.
+// NewServer returns a server without services. Zero limits take their defaults. If log
+// is nil, the server uses the standard logger.
 func NewServer(limits Limits, log *logrus.Entry) *Server {
 	if log == nil {
 		log = logrus.NewEntry(logrus.StandardLogger())
@@ -63,23 +63,24 @@
 	return s
 }
 
-// Vars returns the server's counters, for publishing under a name of the
-// caller's choice.
+// Vars returns the server's counters, which the caller may publish under a name of
+// its choice.
 func (s *Server) Vars() *expvar.Map { return s.vars }
 
-// CountTraffic has calls' bytes counted by method. It must not be called after Serve.
+// CountTraffic counts the bytes of calls in a, by method. It must not be called after
+// Serve.
 func (s *Server) CountTraffic(a *traffic.Account) { s.traffic = a }
 
-// Register adds the exported methods of rcvr, in the form that net/rpc asks
-// for, as "name.Method". Each name has its own limit on calls running at
-// once. It must not be called after Serve.
+// Register adds the exported methods of rcvr as "name.Method". They must have the form
+// that net/rpc requires. Each name has its own limit on concurrent calls. Register
+// must not be called after Serve.
 func (s *Server) Register(name string, rcvr any) error {
 	s.slots[name] = make(chan struct{}, s.limits.MaxCalls)
 	return s.rpc.RegisterName(name, rcvr)
 }
 
-// Serve accepts connections until Shutdown or an error of the listener. It
-// returns nil after Shutdown.
+// Serve accepts connections until Shutdown is called or the listener fails. It returns
+// nil after Shutdown.
 func (s *Server) Serve(l net.Listener) error {
 	s.mu.Lock()
 	s.listener = l
@@ -97,7 +98,7 @@
 	}
 }
 
-// acceptError hides the error that closing the listener brings.
+// acceptError returns nil in place of the error that results from closing the listener.
 func (s *Server) acceptError(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,18 +108,18 @@
 	return err
 }
 
-// ServeConn serves conn in the background, or closes it when the server is
-// full or stopping.
+// ServeConn serves conn in the background. It closes conn if the server has its
+// maximum number of connections or is stopping.
 func (s *Server) ServeConn(conn net.Conn) {
 	codec := newServerCodec(s, conn)
 	s.mu.Lock()
-	full := s.draining || len(s.conns) >= s.limits.MaxConns
-	if !full {
+	refuse := s.draining || len(s.conns) >= s.limits.MaxConns
+	if !refuse {
 		s.conns[codec] = struct{}{}
 		s.serving.Add(1)
 	}
 	s.mu.Unlock()
-	if full {
+	if refuse {
 		s.vars.Add(varConnsRefused, 1)
 		conn.Close()
 		return
@@ -127,7 +128,7 @@
 	go s.serve(codec)
 }
 
-// serve runs one connection; it returns after its calls in flight ended.
+// serve serves one connection. It returns after the calls in flight have ended.
 func (s *Server) serve(codec *serverCodec) {
 	defer s.serving.Done()
 	s.rpc.ServeCodec(codec)
@@ -136,9 +137,9 @@
 	s.mu.Unlock()
 }
 
-// Shutdown stops accepting connections and calls, waits for the calls in
-// flight to be answered and closes the connections. When ctx ends first it
-// closes them at once and returns the context's error.
+// Shutdown stops accepting connections and calls, waits until the calls in flight are
+// answered and closes the connections. If ctx ends first, it closes them at once and
+// returns the error of ctx.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.stopAccepting()
 	done := make(chan struct{})
@@ -155,8 +156,7 @@
 	}
 }
 
-// stopAccepting closes the listener and makes every connection refuse
-// further calls.
+// stopAccepting closes the listener and makes every connection refuse further calls.
 func (s *Server) stopAccepting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,8 +169,8 @@
 	}
 }
 
-// Close stops the server at once. Calls in flight run on, but their answers
-// reach nobody.
+// Close stops the server at once. Calls in flight continue, but their answers are
+// lost.
 func (s *Server) Close() {
 	s.stopAccepting()
 	s.mu.Lock()
@@ -180,8 +180,8 @@
 	}
 }
 
-// admit takes a call slot of the method's service and returns the function
-// that gives it back, or the method that refuses the call.
+// admit takes a call slot of the method's service and returns the function that
+// releases it. If there is no free slot, it returns the method that refuses the call.
 func (s *Server) admit(method string) (release func(), refusal string) {
 	name, _, _ := strings.Cut(method, ".")
 	slots, ok := s.slots[name]
@@ -197,27 +197,28 @@
 	}
 }
 
-// Methods that answer a call in place of the one that was refused.
+// Methods that are called in place of the method of a refused call.
 const (
 	refusalService = "PeerRefusal"
 	methodBusy     = refusalService + ".Busy"
 	methodDraining = refusalService + ".Draining"
 )
 
-// Texts of refusals; a client reads them as ErrNotSent.
+// Error texts of refusals, which a client converts to ErrNotSent.
 const (
 	refusalPrefix = "peer: refused: "
 	textBusy      = refusalPrefix + "busy"
 	textDraining  = refusalPrefix + "draining"
 )
 
-// refusals is the service behind the refusing methods.
+// refusals is the service with the methods that refuse calls.
 type refusals struct{}
 
-// Ignored is the argument of a refused call, which is not decoded.
+// Ignored is the type of the argument and of the reply of a refused call. The argument
+// is not decoded.
 type Ignored struct{}
 
-// Busy refuses a call because too many run.
+// Busy refuses a call because too many calls are running.
 func (refusals) Busy(Ignored, *Ignored) error { return errors.New(textBusy) }
 
 // Draining refuses a call because the server is stopping.
--- a/internal/peer/servercodec.go
+++ b/internal/peer/servercodec.go
@@ -13,42 +13,42 @@
 	"github.com/skylarklock/skylarklock/internal/traffic"
 )
 
-// readBuffer is the read buffer of a connection, in bytes.
-const readBuffer = 4 << 10
+// readBufferBytes is the size of the read buffer of a connection.
+const readBufferBytes = 4 << 10
 
-// textAnswerTooLarge replaces an answer over the limit.
+// textAnswerTooLarge is the error text sent in place of an answer that exceeds the limit.
 const textAnswerTooLarge = "peer: answer too large"
 
-// serverCodec is the rpc.ServerCodec of one connection. net/rpc reads from
-// one goroutine and writes answers under its own lock.
+// serverCodec is the rpc.ServerCodec of one connection. net/rpc reads from one
+// goroutine and serializes the writes of answers with a lock.
 type serverCodec struct {
-	server *Server
-	conn   net.Conn
-	reader *bufio.Reader
-	body   []byte // of the request whose header was read last
-	refuse bool   // that request is refused, its body is skipped
-
-	mu       sync.Mutex
-	idle     bool // waiting for a frame's first byte
-	draining bool
-	running  map[uint64]func() // gives back the call slot, by sequence
+	server  *Server
+	conn    net.Conn
+	reader  *bufio.Reader
+	body    []byte // body of the request whose header was read last
+	refused bool   // that request is refused and its body is skipped
+
+	mu           sync.Mutex
+	idle         bool // waiting for the first byte of a frame
+	draining     bool
+	releaseSlots map[uint64]func() // functions that release the call slots, by sequence number
 }
 
 func newServerCodec(s *Server, conn net.Conn) *serverCodec {
 	return &serverCodec{
-		server:  s,
-		conn:    conn,
-		reader:  bufio.NewReaderSize(conn, readBuffer),
-		running: make(map[uint64]func()),
+		server:       s,
+		conn:         conn,
+		reader:       bufio.NewReaderSize(conn, readBufferBytes),
+		releaseSlots: make(map[uint64]func()),
 	}
 }
 
 // ReadRequestHeader implements rpc.ServerCodec.
 func (c *serverCodec) ReadRequestHeader(r *rpc.Request) error {
-	f, err := c.next()
+	f, err := c.nextFrame()
 	if err != nil {
-		c.countGarbage(err)
-		return io.EOF // net/rpc prints any other error on its own
+		c.countMalformedFrame(err)
+		return io.EOF // net/rpc logs any other error
 	}
 	c.server.vars.Add(varCalls, 1)
 	c.server.vars.Add(varBytesIn, f.size)
@@ -56,28 +56,28 @@
 	r.Seq = f.Seq
 	r.ServiceMethod = f.Method
 	c.body = f.body
-	return c.start(r)
+	return c.admitCall(r)
 }
 
-// countGarbage counts err when it means that the peer sent no valid frame.
-func (c *serverCodec) countGarbage(err error) {
+// countMalformedFrame counts and logs err if it means that the peer sent an invalid frame.
+func (c *serverCodec) countMalformedFrame(err error) {
 	if errors.Is(err, ErrMalformed) || errors.Is(err, io.ErrUnexpectedEOF) {
-		c.server.vars.Add(varGarbage, 1)
+		c.server.vars.Add(varMalformedFrames, 1)
 		c.server.log.WithError(err).WithField("remote", c.conn.RemoteAddr()).Warn("peer connection closed")
 	}
 }
 
-// next waits for a frame and reads it.
-func (c *serverCodec) next() (frame, error) {
-	if err := c.await(); err != nil {
+// nextFrame waits for a frame and reads it.
+func (c *serverCodec) nextFrame() (frame, error) {
+	if err := c.awaitFrame(); err != nil {
 		return frame{}, err
 	}
 	return readFrame(c.reader, c.server.limits.MaxRequest)
 }
 
-// await waits for a frame's first byte, up to the idle limit, and then sets
-// the limit for the rest of the frame.
-func (c *serverCodec) await() error {
+// awaitFrame waits for the first byte of a frame until the idle deadline, and then sets
+// the deadline for the rest of the frame.
+func (c *serverCodec) awaitFrame() error {
 	c.mu.Lock()
 	c.idle = true
 	c.conn.SetReadDeadline(c.idleDeadline())
@@ -86,31 +86,31 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle = false
-	// An error here shows again in the read of what is not buffered yet.
+	// An error of SetReadDeadline recurs in the read of the bytes that are not buffered yet.
 	c.conn.SetReadDeadline(time.Now().Add(c.server.limits.Frame))
 	return err
 }
 
-// idleDeadline is when an unused connection is closed; c.mu is held. A
-// connection with calls in flight isn't unused.
+// idleDeadline returns the time at which the connection is closed if it stays unused.
+// A connection with calls in flight is not unused. c.mu is held.
 func (c *serverCodec) idleDeadline() time.Time {
 	if c.draining {
 		return time.Now()
 	}
 	limits := c.server.limits
-	if len(c.running) > 0 {
+	if len(c.releaseSlots) > 0 {
 		return time.Now().Add(limits.Idle + limits.Call)
 	}
 	return time.Now().Add(limits.Idle)
 }
 
-// start admits the call, or diverts it to the method that refuses it. A
-// sequence number in use is a fault of the peer that ends the connection.
-func (c *serverCodec) start(r *rpc.Request) error {
+// admitCall admits the call, or redirects it to a method that refuses it. It ends the
+// connection if the peer reuses the sequence number of a call in flight.
+func (c *serverCodec) admitCall(r *rpc.Request) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, used := c.running[r.Seq]; used {
-		c.server.vars.Add(varGarbage, 1)
+	if _, used := c.releaseSlots[r.Seq]; used {
+		c.server.vars.Add(varMalformedFrames, 1)
 		return io.EOF
 	}
 	release, refusal := func() {}, methodDraining
@@ -119,11 +119,11 @@
 	} else {
 		c.server.vars.Add(varDraining, 1)
 	}
-	c.refuse = refusal != ""
-	if c.refuse {
+	c.refused = refusal != ""
+	if c.refused {
 		r.ServiceMethod = refusal
 	}
-	c.running[r.Seq] = release
+	c.releaseSlots[r.Seq] = release
 	return nil
 }
 
@@ -131,7 +131,7 @@
 func (c *serverCodec) ReadRequestBody(v any) error {
 	body := c.body
 	c.body = nil
-	if c.refuse {
+	if c.refused {
 		return nil
 	}
 	if err := decodeBody(body, v); err != nil {
@@ -142,7 +142,7 @@
 
 // WriteResponse implements rpc.ServerCodec.
 func (c *serverCodec) WriteResponse(r *rpc.Response, v any) error {
-	c.finish(r.Seq)
+	c.releaseSlot(r.Seq)
 	h := header{Seq: r.Seq, Method: r.ServiceMethod, Error: r.Error}
 	if r.Error != "" {
 		v = nil
@@ -160,7 +160,7 @@
 	return c.write(frame)
 }
 
-// write sends one frame; a frame cut short ends the connection.
+// write sends one frame. If the frame is sent only partly, the connection is closed.
 func (c *serverCodec) write(frame []byte) error {
 	c.conn.SetWriteDeadline(time.Now().Add(c.server.limits.Frame))
 	n, err := c.conn.Write(frame)
@@ -171,18 +171,18 @@
 	return err
 }
 
-// finish gives back the call slot of seq.
-func (c *serverCodec) finish(seq uint64) {
+// releaseSlot releases the call slot of the call with the sequence number seq.
+func (c *serverCodec) releaseSlot(seq uint64) {
 	c.mu.Lock()
-	release := c.running[seq]
-	delete(c.running, seq)
+	release := c.releaseSlots[seq]
+	delete(c.releaseSlots, seq)
 	c.mu.Unlock()
 	if release != nil {
 		release()
 	}
 }
 
-// drain refuses further calls and ends the wait for the next one.
+// drain makes the connection refuse further calls and ends the wait for the next one.
 func (c *serverCodec) drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
