--- a/internal/drain/body_test.go
+++ b/internal/drain/body_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// A request whose header was read before the drain is answered when its body
-// comes later: the server sets the deadline of reads anew between the two.
+// A request whose header was read before the drain is answered although its body
+// arrives later. Between the two, the server sets a new read deadline, which must
+// not be replaced by the expired one.
 func TestBodyReadWhileDrainingIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newPipeListener()
@@ -17,9 +18,9 @@
 			ReadHeaderTimeout: headerTimeout, ReadTimeout: 2 * headerTimeout, IdleTimeout: idleTimeout,
 			Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if _, err := io.ReadAll(r.Body); err != nil {
-					t.Errorf("body: %v", err)
+					t.Errorf("reading the body: %v", err)
 				}
-				leaving(w, r)
+				answerAndClose(w, r)
 			}),
 		})
 		go func() { _ = s.Serve(l) }()
--- a/internal/drain/conn.go
+++ b/internal/drain/conn.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// tracked is a listener of connections that know whether they rest.
-type tracked struct{ net.Listener }
+// trackingListener wraps the connections of a listener so that they track whether they
+// are idle.
+type trackingListener struct{ net.Listener }
 
 // Accept implements net.Listener.
-func (l tracked) Accept() (net.Conn, error) {
+func (l trackingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -18,43 +19,45 @@
 	return &conn{Conn: c}, nil
 }
 
-// conn is a connection that can be told to end while it rests: between an
+// conn is a connection that can be closed while it is idle, which it is between an
 // answer and the first byte of the next request.
 type conn struct {
 	net.Conn
 
-	mu      sync.Mutex
-	resting bool
-	expired bool // to end as soon as it rests
+	mu            sync.Mutex
+	idle          bool
+	closeWhenIdle bool // the connection must end as soon as it is idle
 }
 
-// past is a read deadline that is over.
-var past = time.Unix(1, 0)
+// expiredDeadline is a read deadline in the past.
+var expiredDeadline = time.Unix(1, 0)
 
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
 		c.mu.Lock()
-		c.resting = false
+		c.idle = false
 		c.mu.Unlock()
 	}
 	return n, err
 }
 
-// SetReadDeadline implements net.Conn. http.Server sets one for each phase of
-// a request; that of a connection which rests must not undo its end.
+// SetReadDeadline implements net.Conn. http.Server sets a deadline for each phase of
+// a request. That must not replace the expired deadline of an idle connection which
+// has to end.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.expired && c.resting {
-		t = past
+	if c.closeWhenIdle && c.idle {
+		t = expiredDeadline
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// CloseWrite has the client read the answer before the connection ends, where
-// the server has not read the whole request.
+// CloseWrite closes the writing side of the connection if that is supported.
+// http.Server calls it so that the client can read the answer before the connection
+// is closed, in case the server has not read the whole request.
 func (c *conn) CloseWrite() error {
 	if w, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return w.CloseWrite()
@@ -62,20 +65,21 @@
 	return nil
 }
 
-// rest notes that the answer was written.
-func (c *conn) rest() {
+// markIdle records that the answer was written.
+func (c *conn) markIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.resting = true
+	c.idle = true
 }
 
-// expire ends the connection when it rests, by the read for which the server
-// waits: either that fails, or it has got bytes, whose request is answered.
-func (c *conn) expire() {
+// requestClose ends the connection as soon as it is idle, by making the server's
+// pending read expire. The read either fails, or it has received bytes of a request,
+// which is then answered.
+func (c *conn) requestClose() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.expired = true
-	if c.resting {
-		_ = c.Conn.SetReadDeadline(past) // fails only on a connection that has ended
+	c.closeWhenIdle = true
+	if c.idle {
+		_ = c.Conn.SetReadDeadline(expiredDeadline) // fails only if the connection is closed
 	}
 }
--- a/internal/drain/server.go
+++ b/internal/drain/server.go
@@ -1,9 +1,9 @@
-// Package drain ends an HTTP server without leaving a request that it has read
-// unanswered.
+// Package drain shuts down an HTTP server so that every request which it has read is
+// answered.
 //
-// http.Server.Shutdown doesn't do that: a request whose last bytes are read
-// after its call is dropped, and a connection counts as idle, and is closed,
-// until the whole header of its next request has been read.
+// http.Server.Shutdown does not guarantee that. It drops a request whose last bytes
+// are read after Shutdown was called. It also treats a connection as idle, and closes
+// it, until the whole header of the next request has been read.
 package drain
 
 import (
@@ -15,40 +15,40 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrShuttingDown is the cause with which the contexts of requests are cancelled
-// that are to be answered at once, with what is known.
+// ErrShuttingDown is the cause with which CancelRequests cancels the contexts of
+// requests. Their handlers should answer at once with what is known.
 var ErrShuttingDown = errors.New("the process is ending")
 
 // Server serves HTTP until it is drained.
 type Server struct {
-	http   *http.Server
-	settle context.CancelCauseFunc // cancels the requests' contexts
+	http           *http.Server
+	cancelRequests context.CancelCauseFunc // cancels the contexts of all requests
 
 	mu        sync.Mutex
 	listener  net.Listener  // nil before Serve
-	served    chan struct{} // closed when nothing more is accepted
+	serveDone chan struct{} // closed when no more connections are accepted
 	conns     map[*conn]http.ConnState
 	draining  bool
-	forgotten chan struct{} // closed and replaced when a connection has ended
+	connEnded chan struct{} // closed and replaced when a connection ends
 }
 
-// New returns a server that serves as s is set up, whose BaseContext and
-// ConnState it sets.
+// New returns a server that serves with the settings of s. It sets BaseContext and
+// ConnState of s.
 func New(s *http.Server) *Server {
-	requests, settle := context.WithCancelCause(context.Background())
+	requests, cancelRequests := context.WithCancelCause(context.Background())
 	d := &Server{
-		http:      s,
-		settle:    settle,
-		conns:     make(map[*conn]http.ConnState),
-		forgotten: make(chan struct{}),
+		http:           s,
+		cancelRequests: cancelRequests,
+		conns:          make(map[*conn]http.ConnState),
+		connEnded:      make(chan struct{}),
 	}
 	s.BaseContext = func(net.Listener) context.Context { return requests }
-	s.ConnState = d.changed
+	s.ConnState = d.onConnState
 	return d
 }
 
-// ListenAndServe serves on the address of the http.Server. It returns nil
-// after Drain or Close.
+// ListenAndServe serves at the address of the http.Server. It returns nil after
+// Drain or Close.
 func (d *Server) ListenAndServe() error {
 	l, err := net.Listen("tcp", d.http.Addr)
 	if err != nil {
@@ -59,16 +59,16 @@
 
 // Serve accepts connections from l. It returns nil after Drain or Close.
 func (d *Server) Serve(l net.Listener) error {
-	served := make(chan struct{})
-	defer close(served)
+	serveDone := make(chan struct{})
+	defer close(serveDone)
 	d.mu.Lock()
-	d.listener, d.served = l, served
+	d.listener, d.serveDone = l, serveDone
 	draining := d.draining
 	d.mu.Unlock()
 	if draining {
 		return l.Close()
 	}
-	err := d.http.Serve(tracked{l})
+	err := d.http.Serve(trackingListener{l})
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.draining || errors.Is(err, http.ErrServerClosed) {
@@ -77,8 +77,8 @@
 	return err
 }
 
-// changed follows the state of a connection.
-func (d *Server) changed(nc net.Conn, state http.ConnState) {
+// onConnState records the state of a connection.
+func (d *Server) onConnState(nc net.Conn, state http.ConnState) {
 	c, ok := nc.(*conn)
 	if !ok {
 		return
@@ -88,19 +88,19 @@
 	switch state {
 	case http.StateClosed, http.StateHijacked:
 		delete(d.conns, c)
-		close(d.forgotten)
-		d.forgotten = make(chan struct{})
+		close(d.connEnded)
+		d.connEnded = make(chan struct{})
 		return
 	case http.StateIdle:
-		c.rest()
+		c.markIdle()
 	}
 	d.conns[c] = state
 	if d.draining {
-		c.expire()
+		c.requestClose()
 	}
 }
 
-// InFlight returns how many requests are being answered.
+// InFlight returns the number of requests that are being answered.
 func (d *Server) InFlight() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -113,61 +113,62 @@
 	return n
 }
 
-// Drain accepts no more connections, lets go of those that rest, and returns
-// when all others have ended, with the answers to what was read on them; or
-// with the error of ctx when that ends first. Handlers should answer with
-// "Connection: close" by then: a client could go on with requests otherwise.
+// Drain stops accepting connections, closes idle ones, and returns when all others
+// have ended after their requests were answered. If ctx ends first, it returns the
+// error of ctx. While it runs, handlers should answer with "Connection: close", since
+// a client could otherwise send more requests.
 func (d *Server) Drain(ctx context.Context) error {
 	d.mu.Lock()
 	d.draining = true
-	l, served := d.listener, d.served
+	l, serveDone := d.listener, d.serveDone
 	for c := range d.conns {
-		c.expire()
+		c.requestClose()
 	}
 	d.mu.Unlock()
 	if l == nil {
 		return nil
 	}
-	_ = l.Close() // it may be closed already
+	_ = l.Close() // the listener may be closed already
 	select {
-	case <-served: // a connection may have been accepted just before
+	case <-serveDone: // a connection may have been accepted just before the listener was closed
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	return d.awaitEnd(ctx)
+	return d.awaitConnsClosed(ctx)
 }
 
-// CancelRequests cancels the contexts of all requests, with ErrEnding, so that their
-// handlers answer with what they know, and waits like Drain, which comes first.
+// CancelRequests cancels the contexts of all requests with ErrShuttingDown, so that their
+// handlers answer with what is known, and then waits like Drain. Drain must be called
+// first.
 func (d *Server) CancelRequests(ctx context.Context) error {
-	d.settle(ErrShuttingDown)
-	return d.awaitEnd(ctx)
+	d.cancelRequests(ErrShuttingDown)
+	return d.awaitConnsClosed(ctx)
 }
 
-// awaitEnd returns when no connection is left or ctx has ended.
-func (d *Server) awaitEnd(ctx context.Context) error {
+// awaitConnsClosed returns when all connections are closed or ctx has ended.
+func (d *Server) awaitConnsClosed(ctx context.Context) error {
 	for {
 		d.mu.Lock()
-		left, forgotten := len(d.conns), d.forgotten
+		open, connEnded := len(d.conns), d.connEnded
 		d.mu.Unlock()
-		if left == 0 {
+		if open == 0 {
 			return nil
 		}
 		select {
-		case <-forgotten:
+		case <-connEnded:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// Close closes the listener and what is left of the connections, and returns
-// how many requests were cut off by that.
+// Close closes the listener and all connections. It returns the number of requests
+// that were aborted.
 func (d *Server) Close() int {
 	d.mu.Lock()
 	d.draining = true
 	d.mu.Unlock()
-	cut := d.InFlight()
+	aborted := d.InFlight()
 	_ = d.http.Close() // the listener may be closed already
-	return cut
+	return aborted
 }
--- a/internal/drain/server_test.go
+++ b/internal/drain/server_test.go
@@ -13,8 +13,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// pipeListener hands out connections that stay in memory, so that a test plays
-// on the clock of its bubble.
+// pipeListener accepts connections that are in-memory pipes, so that a test can use the
+// fake clock of synctest.
 type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -47,17 +47,17 @@
 // Addr implements net.Listener.
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// connect returns a client's end of a connection that the server has accepted.
+// connect returns the client's end of a connection that the server has accepted.
 func (l *pipeListener) connect() net.Conn {
 	client, server := net.Pipe()
 	l.conns <- server
 	return client
 }
 
-// send writes part of a request. What isn't sent shows by the missing answer.
+// send writes part of a request. A failed write shows as a missing answer.
 func send(c net.Conn, part string) { _, _ = io.WriteString(c, part) }
 
-// wantAnswer reads the answer to a GET, which has to be 200.
+// wantAnswer reads an answer, which must have status 200.
 func wantAnswer(t *testing.T, c net.Conn) {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -70,14 +70,14 @@
 	}
 }
 
-// Times of the server under test, like those of clients' server.
+// Timeouts of the server under test, like those of the server for clients.
 const (
 	headerTimeout = 3 * time.Second
 	idleTimeout   = time.Minute
-	longWait      = time.Hour // of what only the end of the test's server ends
+	longWait      = time.Hour // longer than any drain in the tests
 )
 
-// serve serves on connections in memory.
+// serve starts a server that accepts in-memory connections.
 func serve(handler http.HandlerFunc) (*pipeListener, *Server) {
 	l := newPipeListener()
 	s := New(&http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout})
@@ -85,32 +85,32 @@
 	return l, s
 }
 
-// leaving answers like a handler that sends clients elsewhere.
-func leaving(w http.ResponseWriter, _ *http.Request) {
+// answerAndClose answers and makes the client close the connection.
+func answerAndClose(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Connection", "close")
 	w.WriteHeader(http.StatusOK)
 }
 
-// resting answers and leaves the connection open.
-func resting(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }
+// answerKeepAlive answers and keeps the connection open.
+func answerKeepAlive(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }
 
-// drainFor drains in the background and tells how that ended and when.
+// drainFor drains s in the background, with a time limit, and sends the outcome.
 func drainFor(s *Server, limit time.Duration) <-chan outcome {
 	ended := make(chan outcome, 1)
-	began := time.Now()
+	start := time.Now()
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), limit)
 		defer cancel()
 		err := s.Drain(ctx)
-		ended <- outcome{err, time.Since(began)}
+		ended <- outcome{err, time.Since(start)}
 	}()
 	return ended
 }
 
-// outcome is how a drain ended.
+// outcome is the result of a drain.
 type outcome struct {
 	err   error
-	after time.Duration
+	after time.Duration // the drain's start
 }
 
 const (
@@ -118,15 +118,13 @@
 	lastPart  = "\r\n"
 )
 
-// Users of a machine that was restarted saw their connection closed without an
-// answer though their request had been read. Order of events: the connection
-// was accepted; the server's shutdown began; the request's last bytes were
-// read; the connection was closed. Cause: http.Server.Shutdown, which drops a
-// request that was read after its call. The evidence: its source, and these two
-// tests, which failed with it by an unexpected EOF.
+// A request whose last bytes are read after the start of a drain is answered. With
+// http.Server.Shutdown, which drops such a request, clients of a restarted machine saw
+// their connection closed without an answer, and this test and the next one failed
+// with an unexpected EOF.
 func TestRequestReadWhileDrainingIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l, s := serve(leaving)
+		l, s := serve(answerAndClose)
 		c := l.connect()
 		send(c, firstPart)
 		synctest.Wait()
@@ -140,10 +138,10 @@
 	})
 }
 
-// A connection on which the next request has begun to come doesn't rest.
+// A reused connection on which part of the next request has arrived is not idle.
 func TestRequestOnReusedConnectionWhileDrainingIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l, s := serve(resting)
+		l, s := serve(answerKeepAlive)
 		c := l.connect()
 		go send(c, firstPart+lastPart)
 		wantAnswer(t, c)
@@ -154,16 +152,16 @@
 		synctest.Wait()
 		go send(c, lastPart)
 		wantAnswer(t, c)
-		if got := <-ended; got.err != nil || got.after > 0 { // it rests again, and ends
+		if got := <-ended; got.err != nil || got.after > 0 { // the connection is idle again and closed
 			t.Errorf("drained with %v after %v", got.err, got.after)
 		}
 	})
 }
 
-// A client may have connected and not have sent anything yet.
+// A request is answered on a connection on which nothing was sent before the drain.
 func TestNewConnectionIsServedWhileDraining(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l, s := serve(leaving)
+		l, s := serve(answerAndClose)
 		c := l.connect()
 		synctest.Wait()
 		ended := drainFor(s, longWait)
@@ -176,10 +174,11 @@
 	})
 }
 
-// Connections on which nothing is asked don't hold up the end.
+// Idle connections do not delay the drain. A connection on which nothing was ever sent
+// delays it by the header timeout at most.
 func TestIdleConnectionsCloseAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l, s := serve(resting)
+		l, s := serve(answerKeepAlive)
 		c := l.connect()
 		go send(c, firstPart+lastPart)
 		wantAnswer(t, c)
@@ -188,21 +187,21 @@
 		synctest.Wait()
 		got := <-drainFor(s, longWait)
 		if got.err != nil || got.after > headerTimeout {
-			t.Errorf("drained with %v after %v, want within %v, for which a silent one is kept", got.err, got.after, headerTimeout)
+			t.Errorf("drained with %v after %v, want within the header timeout of %v", got.err, got.after, headerTimeout)
 		}
 	})
 }
 
-// What still waits when there is no more time gets its answer from its handler,
-// whose context says why.
+// Requests that are waiting when the time for the drain is over are answered by their
+// handlers, whose contexts state the reason.
 func TestCancelledRequestsAreAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l, s := serve(func(w http.ResponseWriter, r *http.Request) {
 			<-r.Context().Done()
 			if !errors.Is(context.Cause(r.Context()), ErrShuttingDown) {
-				t.Errorf("ended by %v", context.Cause(r.Context()))
+				t.Errorf("context cancelled with %v", context.Cause(r.Context()))
 			}
-			leaving(w, r)
+			answerAndClose(w, r)
 		})
 		c := l.connect()
 		send(c, firstPart+lastPart)
@@ -212,33 +211,33 @@
 			t.Errorf("drained with %v after %v", got.err, got.after)
 		}
 		if n := s.InFlight(); n != 1 {
-			t.Errorf("%d requests wait", n)
+			t.Errorf("%d requests in flight, want 1", n)
 		}
-		settled := make(chan error, 1)
-		go func() { settled <- s.CancelRequests(t.Context()) }()
+		cancelled := make(chan error, 1)
+		go func() { cancelled <- s.CancelRequests(t.Context()) }()
 		wantAnswer(t, c)
-		if err := <-settled; err != nil {
-			t.Errorf("settled with %v", err)
+		if err := <-cancelled; err != nil {
+			t.Errorf("CancelRequests: %v", err)
 		}
-		if cut := s.Close(); cut != 0 {
-			t.Errorf("%d requests were cut off", cut)
+		if aborted := s.Close(); aborted != 0 {
+			t.Errorf("%d requests were aborted, want 0", aborted)
 		}
 	})
 }
 
-// A handler that doesn't end is counted as cut off.
+// A request whose handler does not return is counted as aborted.
 func TestCloseCountsAbortedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		deaf := make(chan struct{})
-		l, s := serve(func(http.ResponseWriter, *http.Request) { <-deaf })
+		release := make(chan struct{})
+		l, s := serve(func(http.ResponseWriter, *http.Request) { <-release })
 		c := l.connect()
 		defer c.Close()
 		send(c, firstPart+lastPart)
 		synctest.Wait()
 		<-drainFor(s, time.Second)
-		if cut := s.Close(); cut != 1 {
-			t.Errorf("%d requests were cut off", cut)
+		if aborted := s.Close(); aborted != 1 {
+			t.Errorf("%d requests were aborted, want 1", aborted)
 		}
-		close(deaf)
+		close(release)
 	})
 }
