--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -1,6 +1,6 @@
-// Package traffic counts the bytes that a process sends and receives, by what
-// they are for: on a thin link, which kind of call fills it decides what can be
-// done about it.
+// Package traffic counts the bytes that a process sends and receives, by kind of
+// call. On a slow link, the counts show which kind of call uses up its capacity, which
+// decides how to reduce the load.
 package traffic
 
 import (
@@ -14,11 +14,11 @@
 	"time"
 )
 
-// Kind names what bytes are for.
+// Kind is the kind of call or connection for which bytes are counted.
 type Kind string
 
-// Kinds that the process itself names; calls between processes count under the
-// names of their methods.
+// Predefined kinds. Calls between processes are counted under the names of their
+// methods.
 const (
 	Appends       Kind = "store_append"
 	Reads         Kind = "store_read"
@@ -31,30 +31,31 @@
 	Readiness     Kind = "readiness"
 )
 
-// Usage is what one kind of traffic has taken.
+// Usage is the number of calls and bytes of one kind.
 type Usage struct {
-	Calls int64 `json:"calls"`     // connections, where a kind counts whole connections
+	Calls int64 `json:"calls"`     // connections for kinds that count whole connections
 	Out   int64 `json:"bytes_out"` // sent
 	In    int64 `json:"bytes_in"`  // received
 }
 
-// Sub returns the usage since an earlier one.
+// Sub returns the difference to an earlier usage.
 func (u Usage) Sub(before Usage) Usage {
 	return Usage{Calls: u.Calls - before.Calls, Out: u.Out - before.Out, In: u.In - before.In}
 }
 
-// Bytes returns the bytes of both directions.
+// Bytes returns the sum of both directions.
 func (u Usage) Bytes() int64 { return u.Out + u.In }
 
-// counter is the usage of one kind.
+// counter counts the usage of one kind.
 type counter struct{ calls, out, in atomic.Int64 }
 
-// Account holds the counts of one process. The zero value counts; a nil one
-// counts nothing. Its methods may be called from any goroutine.
+// Account holds the counts of one process. The zero value is ready to use, and a nil
+// Account counts nothing. Its methods are safe for concurrent use.
 type Account struct {
 	kinds sync.Map // Kind to *counter
 }
 
+// counter returns the counter of a kind and creates it if necessary.
 func (a *Account) counter(k Kind) *counter {
 	if c, ok := a.kinds.Load(k); ok {
 		return c.(*counter)
@@ -63,7 +64,7 @@
 	return c.(*counter)
 }
 
-// Add counts a call of a kind with the bytes that it sent and received.
+// Add counts a call of a kind with the bytes that were sent and received.
 func (a *Account) Add(k Kind, out, in int64) {
 	if a == nil {
 		return
@@ -74,7 +75,7 @@
 	c.in.Add(in)
 }
 
-// AddAnswer counts the bytes of the answer to a call that was counted before.
+// AddAnswer counts the bytes of the answer to a call that is already counted.
 func (a *Account) AddAnswer(k Kind, out, in int64) {
 	if a == nil {
 		return
@@ -84,49 +85,49 @@
 	c.in.Add(in)
 }
 
-// Snapshot returns the usage of each kind so far.
+// Snapshot returns the current usage of each kind.
 func (a *Account) Snapshot() map[Kind]Usage {
-	now := make(map[Kind]Usage)
+	usages := make(map[Kind]Usage)
 	if a == nil {
-		return now
+		return usages
 	}
 	a.kinds.Range(func(k, v any) bool {
 		c := v.(*counter)
-		now[k.(Kind)] = Usage{Calls: c.calls.Load(), Out: c.out.Load(), In: c.in.Load()}
+		usages[k.(Kind)] = Usage{Calls: c.calls.Load(), Out: c.out.Load(), In: c.in.Load()}
 		return true
 	})
-	return now
+	return usages
 }
 
-// Since returns the usage of each kind since an earlier snapshot, without kinds
-// that took nothing, and the sum of all.
+// Since returns the usage of each kind since an earlier snapshot, without kinds whose
+// usage has not changed, and the total.
 func (a *Account) Since(before map[Kind]Usage) (map[Kind]Usage, Usage) {
-	grown := make(map[Kind]Usage)
+	changed := make(map[Kind]Usage)
 	var total Usage
 	for k, u := range a.Snapshot() {
 		d := u.Sub(before[k])
 		if d == (Usage{}) {
 			continue
 		}
-		grown[k] = d
+		changed[k] = d
 		total.Calls += d.Calls
 		total.Out += d.Out
 		total.In += d.In
 	}
-	return grown, total
+	return changed, total
 }
 
-// String returns all usages as JSON; Account is an expvar.Var.
+// String returns all usages as JSON. It implements expvar.Var.
 func (a *Account) String() string {
 	text, err := json.Marshal(a.Snapshot())
-	if err != nil { // a map of numbers can always be encoded
+	if err != nil { // does not happen for a map of numbers
 		return "{}"
 	}
 	return string(text)
 }
 
-// FormatLine returns usages as one field of a line of the log: kind, calls, bytes out
-// and in, the largest first.
+// FormatLine returns usages as the value of one log field. Each kind is written as
+// kind:calls:bytes_out:bytes_in, ordered by the number of bytes, largest first.
 func FormatLine(usages map[Kind]Usage) string {
 	kinds := make([]Kind, 0, len(usages))
 	for k := range usages {
@@ -149,7 +150,8 @@
 	return text.String()
 }
 
-// Listener counts the bytes of all connections that it accepts as one kind.
+// Listener returns a listener that counts the bytes of all accepted connections as one
+// kind.
 func (a *Account) Listener(l net.Listener, k Kind) net.Listener {
 	return &listener{Listener: l, counter: a.counter(k)}
 }
@@ -166,29 +168,30 @@
 		return nil, err
 	}
 	l.counter.calls.Add(1)
-	return &countedConn{Conn: conn, to: l.counter}, nil
+	return &countedConn{Conn: conn, usage: l.counter}, nil
 }
 
 type countedConn struct {
 	net.Conn
-	to *counter
+	usage *counter
 }
 
 // Read implements net.Conn.
 func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.to.in.Add(int64(n))
+	c.usage.in.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c *countedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.to.out.Add(int64(n))
+	c.usage.out.Add(int64(n))
 	return n, err
 }
 
-// CloseWrite has the other side read what was sent before the connection ends.
+// CloseWrite closes the writing side of the connection if that is supported, so that the
+// peer can read what was sent before the connection is closed.
 func (c *countedConn) CloseWrite() error {
 	if w, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return w.CloseWrite()
@@ -196,12 +199,12 @@
 	return nil
 }
 
-// Meter is a connection that carries one call at a time and counts its bytes, so
-// that a call's share is the difference between two readings.
+// Meter counts the bytes of a connection that carries one call at a time. The bytes of a
+// call are the difference between the totals after and before it.
 type Meter struct {
 	net.Conn
-	out, in atomic.Int64
-	arrived atomic.Int64 // when bytes last came, in nanoseconds since 1970
+	out, in       atomic.Int64
+	lastReadNanos atomic.Int64 // when bytes were last received, in Unix nanoseconds
 }
 
 // Read implements net.Conn.
@@ -209,14 +212,14 @@
 	n, err := m.Conn.Read(p)
 	if n > 0 {
 		m.in.Add(int64(n))
-		m.arrived.Store(time.Now().UnixNano())
+		m.lastReadNanos.Store(time.Now().UnixNano())
 	}
 	return n, err
 }
 
-// SinceLastRead returns for how long no bytes have come.
+// SinceLastRead returns the time since bytes were last received.
 func (m *Meter) SinceLastRead(now time.Time) time.Duration {
-	return time.Duration(now.UnixNano() - m.arrived.Load())
+	return time.Duration(now.UnixNano() - m.lastReadNanos.Load())
 }
 
 // Write implements net.Conn.
@@ -226,5 +229,5 @@
 	return n, err
 }
 
-// Totals returns the bytes sent and received so far.
+// Totals returns the numbers of bytes sent and received so far.
 func (m *Meter) Totals() (out, in int64) { return m.out.Load(), m.in.Load() }
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -22,22 +22,22 @@
 				"Assist.Deliver": {Out: 7},
 			})
 		})
-		Convey("a span holds what was added in it", func() {
+		Convey("the usage since a snapshot contains what was added after it", func() {
 			before := a.Snapshot()
 			a.Add(Starts, 500, 10)
-			grown, total := a.Since(before)
-			So(grown, ShouldResemble, map[Kind]Usage{Starts: {Calls: 1, Out: 500, In: 10}})
+			changed, total := a.Since(before)
+			So(changed, ShouldResemble, map[Kind]Usage{Starts: {Calls: 1, Out: 500, In: 10}})
 			So(total, ShouldResemble, Usage{Calls: 1, Out: 500, In: 10})
 		})
-		Convey("a line names the largest first", func() {
+		Convey("a formatted line starts with the largest kind", func() {
 			So(FormatLine(a.Snapshot()), ShouldEqual, "executor_hold:2:300:350 Assist.Deliver:0:7:0")
 		})
-		Convey("its text is JSON", func() {
+		Convey("its string is JSON", func() {
 			var read map[Kind]Usage
 			So(json.Unmarshal([]byte(a.String()), &read), ShouldBeNil)
 			So(read, ShouldResemble, a.Snapshot())
 		})
-		Convey("connections of a listener count as one kind", func() {
+		Convey("the connections of a listener are counted as one kind", func() {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			So(err, ShouldBeNil)
 			counted := a.Listener(l, Clients)
@@ -46,9 +46,9 @@
 				conn, err := counted.Accept()
 				if err == nil {
 					_, err = conn.Write([]byte("hello"))
-					err2 := conn.(interface{ CloseWrite() error }).CloseWrite()
+					closeErr := conn.(interface{ CloseWrite() error }).CloseWrite()
 					if err == nil {
-						err = err2
+						err = closeErr
 					}
 				}
 				done <- err
@@ -62,7 +62,7 @@
 			So(a.Snapshot()[Clients], ShouldResemble, Usage{Calls: 1, Out: 5})
 		})
 	})
-	Convey("No account counts nothing", t, func() {
+	Convey("A nil account counts nothing", t, func() {
 		var a *Account
 		a.Add(Holds, 1, 1)
 		a.AddAnswer(Holds, 1, 1)
