--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time that a context can cut short.
+// Package pause provides a sleep that ends early when a context ends.
 package pause
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For returns after d or when ctx ends, whichever comes first; at once when d
-// is not above zero.
+// For returns after d or when ctx ends, whichever comes first. It returns at once if
+// d is not positive.
 func For(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -9,17 +9,17 @@
 
 func TestFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
+		start := time.Now()
 		For(t.Context(), time.Second)
-		if d := time.Since(began); d != time.Second {
-			t.Errorf("waited %v", d)
+		if d := time.Since(start); d != time.Second {
+			t.Errorf("waited %v, want 1s", d)
 		}
-		ctx, stop := context.WithTimeout(t.Context(), time.Millisecond)
-		defer stop()
+		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
+		defer cancel()
 		For(ctx, time.Hour)
 		For(t.Context(), -time.Second)
-		if d := time.Since(began); d != time.Second+time.Millisecond {
-			t.Errorf("waited %v in all", d)
+		if d := time.Since(start); d != time.Second+time.Millisecond {
+			t.Errorf("waited %v in total, want 1.001s", d)
 		}
 	})
 }
