--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -7,14 +7,14 @@
 
 const (
 	budgetShards = 16
-	// budgetCap is the most retries that a caller can save up.
+	// budgetCap is the maximum number of retries that a caller can accumulate.
 	budgetCap = 10
-	// budgetCallers bounds the callers remembered in one shard.
+	// budgetCallers is the maximum number of callers in one shard.
 	budgetCallers = 4096
 )
 
-// Budget holds, for each caller, the retries that its requests have earned.
-// A caller unknown to it starts with budgetCap.
+// Budget holds the number of retries that each caller has earned by its requests. A new
+// caller starts with budgetCap retries.
 type Budget struct {
 	seed   maphash.Seed
 	shards [budgetShards]budgetShard
@@ -25,7 +25,7 @@
 	tokens map[string]float64
 }
 
-// NewBudget returns an empty budget.
+// NewBudget returns a budget without callers.
 func NewBudget() *Budget {
 	b := &Budget{seed: maphash.MakeSeed()}
 	for i := range b.shards {
@@ -46,24 +46,25 @@
 	s.tokens[caller] = min(s.balance(caller)+ratio, budgetCap)
 }
 
-// Withdraw takes one retry, or returns false when caller has none.
+// Withdraw takes one retry from the balance of caller. It returns false if there is none.
 func (b *Budget) Withdraw(caller string) bool {
 	s := b.shard(caller)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	have := s.balance(caller)
-	if have < 1 {
+	available := s.balance(caller)
+	if available < 1 {
 		return false
 	}
-	s.tokens[caller] = have - 1
+	s.tokens[caller] = available - 1
 	return true
 }
 
-// balance needs s.mu. A full shard forgets one caller at random.
+// balance returns the number of retries of caller. For a new caller, it removes an
+// arbitrary other one if the shard is full. s.mu is held.
 func (s *budgetShard) balance(caller string) float64 {
-	have, ok := s.tokens[caller]
+	available, ok := s.tokens[caller]
 	if ok {
-		return have
+		return available
 	}
 	if len(s.tokens) >= budgetCallers {
 		for other := range s.tokens {
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,5 +1,5 @@
-// Package retry decides whether a failed attempt is tried again, and keeps
-// the budget that bounds retries. It holds no clock and no sockets.
+// Package retry decides whether a failed attempt is retried, and holds the budgets that
+// limit the number of retries. It uses no clock and does no I/O.
 package retry
 
 import (
@@ -9,34 +9,34 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// MinRemaining is the least time before the deadline that is worth a retry.
+// MinRemaining is the minimum time before the deadline for a retry to be worthwhile.
 const MinRemaining = 2 * time.Millisecond
 
-// Policy bounds the attempts of one request.
+// Policy limits the attempts of one request.
 type Policy struct {
-	MaxAttempts int  // including the first
-	Budgeted    bool // retries draw on the caller's budget
+	MaxAttempts int  // including the first attempt
+	Budgeted    bool // retries are taken from the caller's budget
 }
 
-// State is what is known of a request when an attempt has failed.
+// State describes a request of which an attempt has failed.
 type State struct {
 	Idempotent bool
-	Attempts   int           // made so far, at least 1
-	Remaining  time.Duration // before the deadline
-	CallerGone bool          // nobody waits for the answer
-	Forwarded  bool          // another entry VM owns the retries
+	Attempts   int           // number of attempts so far, at least 1
+	Remaining  time.Duration // time before the deadline
+	CallerGone bool          // the caller no longer waits for the answer
+	Forwarded  bool          // retries are up to another entry VM
 }
 
-// Decision says whether to try again. Reason tells why not, or names the
+// Decision says whether to retry. Reason is the reason not to, or the reason of the
 // failure that is retried.
 type Decision struct {
 	Retry  bool
 	Reason api.Reason
 }
 
-// Decide says whether the failure of an attempt may be followed by another.
-// withdraw takes one retry from the caller's budget; it is asked last, so
-// that no budget is spent on a retry that is not made.
+// Decide decides whether a failed attempt is retried. withdraw takes one retry from the
+// caller's budget. It is called last, so that no budget is spent on a retry that is not
+// made.
 func Decide(p Policy, s State, certainty platform.Certainty, reason api.Reason, withdraw func() bool) Decision {
 	switch {
 	case s.Forwarded:
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -21,16 +21,16 @@
 		want      Decision
 		left      int
 	}{
-		{"certain", budgeted, func(*State) {}, platform.CertainNotRun, 1, Decision{true, failed}, 0},
+		{"certainly not run", budgeted, func(*State) {}, platform.CertainNotRun, 1, Decision{true, failed}, 0},
 		{"may have run", budgeted, func(*State) {}, platform.MayHaveRun, 1, Decision{false, api.ReasonRetryNotIdempotent}, 1},
-		{"no certainty given", budgeted, func(*State) {}, 0, 1, Decision{false, api.ReasonRetryNotIdempotent}, 1},
+		{"certainty not set", budgeted, func(*State) {}, 0, 1, Decision{false, api.ReasonRetryNotIdempotent}, 1},
 		{"idempotent", budgeted, func(s *State) { s.Idempotent = true }, platform.MayHaveRun, 1, Decision{true, failed}, 0},
 		{"forwarded", budgeted, func(s *State) { s.Forwarded = true }, platform.CertainNotRun, 1, Decision{false, failed}, 1},
-		{"attempts used", budgeted, func(s *State) { s.Attempts = 3 }, platform.CertainNotRun, 1, Decision{false, failed}, 1},
+		{"attempts exhausted", budgeted, func(s *State) { s.Attempts = 3 }, platform.CertainNotRun, 1, Decision{false, failed}, 1},
 		{"too late", budgeted, func(s *State) { s.Remaining = MinRemaining - 1 }, platform.CertainNotRun, 1, Decision{false, api.ReasonDeadlinePassed}, 1},
 		{"caller gone", budgeted, func(s *State) { s.CallerGone = true }, platform.CertainNotRun, 1, Decision{false, api.ReasonCallerGone}, 1},
 		{"no budget", budgeted, func(*State) {}, platform.CertainNotRun, 0, Decision{false, api.ReasonRetryBudget}, 0},
-		{"baseline has none", Policy{MaxAttempts: 4}, func(s *State) { s.Attempts = 3 }, platform.CertainNotRun, 0, Decision{true, failed}, 0},
+		{"policy without budget", Policy{MaxAttempts: 4}, func(s *State) { s.Attempts = 3 }, platform.CertainNotRun, 0, Decision{true, failed}, 0},
 	}
 	for _, row := range table {
 		state, tokens := start, row.tokens
@@ -52,6 +52,6 @@
 		}
 	}
 	if want := budgetCap + 124; retries < want || retries > want+1 || !b.Withdraw("other") {
-		t.Errorf("%d retries for 1000 requests, or another caller's budget was used", retries)
+		t.Errorf("%d retries for 1000 requests, or another caller has no retries left", retries)
 	}
 }
