--- a/internal/assist/assist.go
+++ b/internal/assist/assist.go
@@ -49,7 +49,7 @@
 	Address    string // of its peer service
 	DataCentre api.DataCentre
 	Fitness    float64 // processors with which the machine could lead; 0: it couldn't now
-	Whole      bool    // it keeps the content of all records, without which it can't lead
+	HasContent bool    // it keeps the content of all records, without which it can't lead
 }
 
 // AttachAnswer tells which epoch the asked machine leads; 0: it leads none.
@@ -67,9 +67,9 @@
 
 // AdviceAnswer is what the advice service said.
 type AdviceAnswer struct {
-	_      struct{} `cbor:",toarray"`
-	Grants []platform.Grant
-	Valid  time.Duration
+	_        struct{} `cbor:",toarray"`
+	Grants   []platform.Grant
+	ValidFor time.Duration
 }
 
 // Record is a record of the cell's partition between two processes.
@@ -104,8 +104,8 @@
 	RetryAfter time.Duration // with TooBusy: when to come back
 }
 
-// Same returns the same result for n records.
-func Same(outcome StoreOutcome, n int) []StoreResult {
+// UniformResults returns the same result for n records.
+func UniformResults(outcome StoreOutcome, n int) []StoreResult {
 	results := make([]StoreResult, n)
 	for i := range results {
 		results[i].Outcome = outcome
@@ -122,25 +122,25 @@
 // Delivery brings the states of jobs to a machine, in the order of the partition,
 // and tells it who leads: one that can't reach the store learns it only so.
 type Delivery struct {
-	_        struct{} `cbor:",toarray"`
-	Leader   leader.Leader
-	Renewed  leader.Renewal  // the leader's last that was confirmed
-	Span     replica.Span    // of the records whose news these are
-	Jobs     work.Summaries  // of all jobs that they changed
-	End      platform.Offset // of the partition as far as the leader knows
-	Role     Role            // what this machine should keep
-	Machines []Attachment    // for standbys: those that the leader delivers to; empty: as before
-	CutOff   bool            // the leader reaches neither the store nor another data centre
+	_           struct{} `cbor:",toarray"`
+	Leader      leader.Leader
+	LastRenewal leader.Renewal  // the leader's last that was confirmed
+	Span        replica.Span    // of the records whose news these are
+	Jobs        work.Summaries  // of all jobs that they changed
+	End         platform.Offset // of the partition as far as the leader knows
+	Role        Role            // what this machine should keep
+	Machines    []Attachment    // for standbys: those that the leader delivers to; empty: as before
+	CutOff      bool            // the leader reaches neither the store nor another data centre
 }
 
 // DeliveryAnswer tells up to where the machine knows the partition, and the
 // highest epoch that it has heard of.
 type DeliveryAnswer struct {
-	_        struct{}        `cbor:",toarray"`
-	Position platform.Offset // up to where it knows the states of jobs
-	Content  platform.Offset // up to where it keeps the content of records
-	Whole    bool            // it keeps the content at all
-	Epoch    api.Epoch
+	_               struct{}        `cbor:",toarray"`
+	Position        platform.Offset // up to where it knows the states of jobs
+	ContentPosition platform.Offset // up to where it keeps the content of records
+	HasContent      bool            // it keeps the content at all
+	Epoch           api.Epoch
 }
 
 // SyncRequest asks the leader to read what the store holds.
@@ -176,8 +176,8 @@
 	Position() platform.Offset
 }
 
-// Electorate knows who leads; *leader.Elector is one.
-type Electorate interface {
+// Elector knows who leads; *leader.Elector is one.
+type Elector interface {
 	// ObserveLeader takes in who leads and returns the highest epoch known.
 	ObserveLeader(l leader.Leader) api.Epoch
 	// ObserveRenewal takes in the leader's last confirmed renewal.
@@ -188,15 +188,15 @@
 
 // Handler answers peers' calls.
 type Handler struct {
-	Leads      func() api.Epoch // 0: this machine doesn't lead
-	Storer     func() Storer    // nil: this machine doesn't lead
-	Receiver   Receiver
-	Electorate Electorate
-	LeaderCut  func(cut bool) // takes in whether the leader is cut off; nil: nobody asks
-	Helpers    *Helpers
-	Adviser    platform.Adviser
-	Executors  platform.Executors
-	Longest    time.Duration // bound of a call to the advice service or the store
+	LeadingEpoch    func() api.Epoch // 0: this machine doesn't lead
+	Storer          func() Storer    // nil: this machine doesn't lead
+	Receiver        Receiver
+	Elector         Elector
+	SetLeaderCutOff func(cut bool) // takes in whether the leader is cut off; nil: nobody asks
+	Peers           *Peers
+	Adviser         platform.Adviser
+	Executors       platform.Executors
+	CallTimeout     time.Duration // bound of a call to the advice service or the store
 }
 
 // InviteAnswer says nothing.
@@ -206,7 +206,7 @@
 
 // Invite takes in that the leader has stepped down and that this machine should follow it.
 func (h *Handler) Invite(i *leader.Invitation, _ *InviteAnswer) error {
-	h.Electorate.Invite(*i)
+	h.Elector.Invite(*i)
 	return nil
 }
 
@@ -214,10 +214,10 @@
 func (h *Handler) Store(request *StoreRequest, reply *StoreAnswer) error {
 	storer := h.Storer()
 	if storer == nil {
-		reply.Results = Same(NotLeader, len(request.Records))
+		reply.Results = UniformResults(NotLeader, len(request.Records))
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), h.Longest)
+	ctx, cancel := context.WithTimeout(context.Background(), h.CallTimeout)
 	defer cancel()
 	reply.Results = storer.Store(ctx, unpack(request.Records))
 	return nil
@@ -225,15 +225,15 @@
 
 // Deliver takes in records from the leader.
 func (h *Handler) Deliver(d *Delivery, reply *DeliveryAnswer) error {
-	reply.Epoch = h.Electorate.ObserveLeader(d.Leader)
+	reply.Epoch = h.Elector.ObserveLeader(d.Leader)
 	if reply.Epoch != d.Leader.Epoch {
 		return nil // a former leader; what it brings may be behind
 	}
-	h.Electorate.ObserveRenewal(d.Leader.Epoch, d.Renewed)
-	if h.LeaderCut != nil {
-		h.LeaderCut(d.CutOff)
+	h.Elector.ObserveRenewal(d.Leader.Epoch, d.LastRenewal)
+	if h.SetLeaderCutOff != nil {
+		h.SetLeaderCutOff(d.CutOff)
 	}
-	h.Helpers.Know(d.Machines)
+	h.Peers.AddKnown(d.Machines)
 	switch d.Role {
 	case Standby:
 		h.Receiver.KeepContent()
@@ -245,28 +245,28 @@
 		return errors.New("assist: news of another version")
 	}
 	reply.Position = h.Receiver.Deliver(d.Span, jobs, d.End)
-	reply.Content, reply.Whole = h.Receiver.ContentPosition()
+	reply.ContentPosition, reply.HasContent = h.Receiver.ContentPosition()
 	return nil
 }
 
 // Content takes in the content of records from the leader.
 func (h *Handler) Content(c *ContentDelivery, reply *DeliveryAnswer) error {
-	reply.Epoch = h.Electorate.ObserveLeader(c.Leader)
+	reply.Epoch = h.Elector.ObserveLeader(c.Leader)
 	if reply.Epoch != c.Leader.Epoch {
 		return nil // a former leader; what it brings may be behind
 	}
 	h.Receiver.DeliverContent(c.Span, unpackContent(c.Records))
 	reply.Position = h.Receiver.Position()
-	reply.Content, reply.Whole = h.Receiver.ContentPosition()
+	reply.ContentPosition, reply.HasContent = h.Receiver.ContentPosition()
 	return nil
 }
 
 // Sync reads what the store holds and tells where the partition ends.
 func (h *Handler) Sync(_ *SyncRequest, reply *SyncAnswer) error {
-	if h.Leads() == 0 {
+	if h.LeadingEpoch() == 0 {
 		return errors.New("assist: this machine doesn't lead")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), h.Longest)
+	ctx, cancel := context.WithTimeout(context.Background(), h.CallTimeout)
 	defer cancel()
 	err := h.Receiver.Sync(ctx)
 	reply.End = h.Receiver.Position()
@@ -291,9 +291,9 @@
 
 // Attach takes in a machine's offer.
 func (h *Handler) Attach(a *Attachment, reply *AttachAnswer) error {
-	reply.Epoch = h.Leads()
+	reply.Epoch = h.LeadingEpoch()
 	if reply.Epoch != 0 {
-		h.Helpers.Attached(*a, time.Now())
+		h.Peers.HandleAttachment(*a, time.Now())
 	}
 	return nil
 }
@@ -303,11 +303,11 @@
 	if h.Adviser == nil {
 		return errors.New("assist: this machine knows no advice service")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), h.Longest)
+	ctx, cancel := context.WithTimeout(context.Background(), h.CallTimeout)
 	defer cancel()
 	grants, valid, err := h.Adviser.Advise(ctx, request.Step, request.Executors)
 	reply.Grants = grants
-	reply.Valid = valid
+	reply.ValidFor = valid
 	return err
 }
 
@@ -326,9 +326,9 @@
 	err := c.Call(ctx, leader, methodStore, &StoreRequest{Records: pack(records)}, &answer)
 	switch {
 	case errors.Is(err, peer.ErrNotSent):
-		return Same(NotLeader, len(records))
+		return UniformResults(NotLeader, len(records))
 	case err != nil || len(answer.Results) != len(records):
-		return Same(StoreUnknown, len(records))
+		return UniformResults(StoreUnknown, len(records))
 	default:
 		return answer.Results
 	}
--- a/internal/assist/burst_test.go
+++ b/internal/assist/burst_test.go
@@ -11,7 +11,7 @@
 // What the leader writes at once about jobs that ended (at most 2,000 of them,
 // four records each; dispatch.tidyAtOnce) doesn't leave all machines behind, and
 // no standby.
-func TestMachinesFollowTheRecordsOfEndedJobs(t *testing.T) {
+func TestMachinesKeepUpWithCleanupRecords(t *testing.T) {
 	m := &machine{position: 10, content: 10, whole: true}
 	f := newFeed(m, 0)
 	f.choose([]Attachment{f.at}, f.now)
--- a/internal/assist/content.go
+++ b/internal/assist/content.go
@@ -74,7 +74,7 @@
 	}
 	records := p.records[t.content-p.first:]
 	most := sentBytes
-	if p.cfg.Link > 0 {
+	if p.cfg.LinkBytesPerSecond > 0 {
 		most = min(most, p.budget.Burst())
 	}
 	n, size := fitting(records, most)
@@ -120,7 +120,7 @@
 func (p *Publisher) deliverContent(ctx context.Context, m Attachment, c ContentDelivery) {
 	ctx, cancel := context.WithTimeout(ctx, contentTimeout)
 	defer cancel()
-	answer, known := p.call(ctx, p.cfg.Bulk, m, methodContent, &c)
+	answer, known := p.call(ctx, p.cfg.BulkCaller, m, methodContent, &c)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.target(m.Node)
@@ -128,6 +128,6 @@
 	if !known {
 		return
 	}
-	t.content = answer.Content
-	t.whole = answer.Whole
+	t.content = answer.ContentPosition
+	t.whole = answer.HasContent
 }
--- a/internal/assist/demand.go
+++ b/internal/assist/demand.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Lane names the length of a call: calls of one length share machines.
-func Lane(call queue.CallTime) string {
+// ClassName names the length of a call: calls of one length share machines.
+func ClassName(call queue.CallTime) string {
 	return [lengths]string{"short calls", "middling calls", "long calls"}[lengthOf(call)]
 }
 
--- a/internal/assist/demand_test.go
+++ b/internal/assist/demand_test.go
@@ -13,15 +13,15 @@
 // lasting returns a call of a time that doesn't depend on what it names.
 func lasting(d time.Duration) queue.CallTime { return queue.CallTime{Fixed: d, Total: d} }
 
-func TestHelpers(t *testing.T) {
+func TestPeers(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	attach := func(h *Helpers, n int, at time.Time) {
+	attach := func(h *Peers, n int, at time.Time) {
 		for i := range n {
-			h.Attached(Attachment{Node: api.NodeID([]byte{'a' + byte(i)}), Address: "x"}, at)
+			h.HandleAttachment(Attachment{Node: api.NodeID([]byte{'a' + byte(i)}), Address: "x"}, at)
 		}
 	}
 	Convey("Given nine machines", t, func() {
-		h := NewHelpers("self", nil, nil)
+		h := NewPeers("self", nil, nil)
 		attach(h, 8, now)
 
 		Convey("long calls never take all of them, once short ones were asked for", func() {
@@ -55,7 +55,7 @@
 		})
 	})
 	Convey("Given three machines, calls of each length have one of their own", t, func() {
-		h := NewHelpers("self", nil, nil)
+		h := NewPeers("self", nil, nil)
 		attach(h, 2, now)
 		So(h.Take(lasting(10*time.Millisecond), now), ShouldNotBeNil)
 		So(h.Take(lasting(100*time.Millisecond), now), ShouldNotBeNil)
@@ -64,7 +64,7 @@
 		So(h.Take(lasting(10*time.Millisecond), now), ShouldNotBeNil)
 	})
 	Convey("Given two machines, long calls have one of their own", t, func() {
-		h := NewHelpers("self", nil, nil)
+		h := NewPeers("self", nil, nil)
 		attach(h, 1, now)
 		So(h.Take(lasting(10*time.Millisecond), now), ShouldNotBeNil)
 		So(h.Take(lasting(100*time.Millisecond), now), ShouldNotBeNil)
@@ -72,7 +72,7 @@
 		So(h.Take(lasting(700*time.Millisecond), now), ShouldBeNil)
 	})
 	Convey("One machine serves calls of all lengths", t, func() {
-		h := NewHelpers("self", nil, nil)
+		h := NewPeers("self", nil, nil)
 		So(h.Take(lasting(10*time.Millisecond), now), ShouldNotBeNil)
 		So(h.Take(lasting(100*time.Millisecond), now), ShouldNotBeNil)
 		So(h.Take(lasting(700*time.Millisecond), now), ShouldNotBeNil)
--- a/internal/assist/helpers.go
+++ b/internal/assist/helpers.go
@@ -33,8 +33,8 @@
 	adviserLook = 100 * time.Millisecond
 )
 
-// Helpers are the machines that make calls for the leader, itself included.
-type Helpers struct {
+// Peers are the machines that make calls for the leader, itself included.
+type Peers struct {
 	self   api.NodeID
 	caller Caller
 	own    platform.Adviser
@@ -59,15 +59,15 @@
 	ahead      time.Duration // expected time of the short calls under way
 }
 
-// NewHelpers returns the helpers of a leader, at first only itself.
-func NewHelpers(self api.NodeID, own platform.Adviser, caller Caller) *Helpers {
-	h := &Helpers{self: self, caller: caller, own: own, machines: make(map[api.NodeID]*helper), heard: make(map[api.DataCentre]time.Time)}
+// NewPeers returns the helpers of a leader, at first only itself.
+func NewPeers(self api.NodeID, own platform.Adviser, caller Caller) *Peers {
+	h := &Peers{self: self, caller: caller, own: own, machines: make(map[api.NodeID]*helper), heard: make(map[api.DataCentre]time.Time)}
 	h.machines[self] = &helper{node: self}
 	return h
 }
 
-// Attached takes in a machine's offer.
-func (h *Helpers) Attached(a Attachment, now time.Time) {
+// HandleAttachment takes in a machine's offer.
+func (h *Peers) HandleAttachment(a Attachment, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	m := h.machines[a.Node]
@@ -78,19 +78,19 @@
 	m.address = a.Address
 	m.centre = a.DataCentre
 	m.fitness = a.Fitness
-	m.whole = a.Whole
+	m.whole = a.HasContent
 	h.note(m, now)
 }
 
 // note takes in a sign of life of a machine; h.mu is held.
-func (h *Helpers) note(m *helper, now time.Time) {
+func (h *Peers) note(m *helper, now time.Time) {
 	m.seen = now
 	h.heard[m.centre] = now
 }
 
-// Beyond returns how long ago a machine outside of a data centre was last heard, and
+// SinceContactOutside returns how long ago a machine outside of a data centre was last heard, and
 // whether one ever was.
-func (h *Helpers) Beyond(centre api.DataCentre, now time.Time) (silence time.Duration, ever bool) {
+func (h *Peers) SinceContactOutside(centre api.DataCentre, now time.Time) (silence time.Duration, ever bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var last time.Time
@@ -102,10 +102,10 @@
 	return now.Sub(last), !last.IsZero()
 }
 
-// Heard notes that a machine has answered the leader, which is as good as an
+// RecordAnswer notes that a machine has answered the leader, which is as good as an
 // offer, and whether it keeps the content of all records. It says nothing of the
 // machine's fitness.
-func (h *Helpers) Heard(node api.NodeID, whole bool, now time.Time) {
+func (h *Peers) RecordAnswer(node api.NodeID, whole bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if m := h.machines[node]; m != nil {
@@ -114,9 +114,9 @@
 	}
 }
 
-// Fittest returns the highest fitness to lead among the other machines whose
+// MaxFitness returns the highest fitness to lead among the other machines whose
 // offer holds and that keep the content of all records; 0: none is known.
-func (h *Helpers) Fittest(now time.Time) float64 {
+func (h *Peers) MaxFitness(now time.Time) float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	highest := 0.0
@@ -130,37 +130,37 @@
 
 // Successor returns the machine that should follow this one as leader: the fittest that
 // keeps the content of all records and gives signs of life; an empty address: there is none.
-func (h *Helpers) Successor(now time.Time) Attachment {
+func (h *Peers) Successor(now time.Time) Attachment {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var best Attachment
 	for _, m := range h.answering(now) {
 		if m.address != "" && m.whole && m.fitness > best.Fitness {
-			best = Attachment{Node: m.node, Address: m.address, DataCentre: m.centre, Fitness: m.fitness, Whole: true}
+			best = Attachment{Node: m.node, Address: m.address, DataCentre: m.centre, Fitness: m.fitness, HasContent: true}
 		}
 	}
 	return best
 }
 
-// Know takes in machines that the leader delivers to. When this machine comes
+// AddKnown takes in machines that the leader delivers to. When this machine comes
 // to lead, it delivers to them until they are silent.
-func (h *Helpers) Know(machines []Attachment) {
+func (h *Peers) AddKnown(machines []Attachment) {
 	now := time.Now()
 	for _, m := range machines {
 		if m.Node != h.self {
-			h.Attached(m, now)
+			h.HandleAttachment(m, now)
 		}
 	}
 }
 
 // Others returns the machines whose offer holds, but for this one.
-func (h *Helpers) Others(now time.Time) []Attachment {
+func (h *Peers) Others(now time.Time) []Attachment {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var others []Attachment
 	for _, m := range h.present(now) {
 		if m.address != "" {
-			others = append(others, Attachment{Node: m.node, Address: m.address, DataCentre: m.centre, Fitness: m.fitness, Whole: m.whole})
+			others = append(others, Attachment{Node: m.node, Address: m.address, DataCentre: m.centre, Fitness: m.fitness, HasContent: m.whole})
 		}
 	}
 	return others
@@ -177,7 +177,7 @@
 // Calls of unlike length go to unlike machines, so that a short one never
 // waits behind a long one; the machines are divided by what the calls of each
 // length take in all.
-func (h *Helpers) Take(call queue.CallTime, now time.Time) *Slot {
+func (h *Peers) Take(call queue.CallTime, now time.Time) *Slot {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	of := lengthOf(call)
@@ -190,14 +190,14 @@
 }
 
 // Free reports whether Take would return a slot.
-func (h *Helpers) Free(call queue.CallTime, now time.Time) bool {
+func (h *Peers) Free(call queue.CallTime, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.find(lengthOf(call), now) != nil
 }
 
 // find returns a machine that has time for a call, or nil.
-func (h *Helpers) find(of length, now time.Time) *helper {
+func (h *Peers) find(of length, now time.Time) *helper {
 	h.demand.note(of, now)
 	machines := h.answering(now)
 	ranges := h.demand.divide(len(machines))
@@ -232,9 +232,9 @@
 	return m.long == 0 && (m.short < shortAtOnce || m.ahead < queueAhead)
 }
 
-// Wait returns how long a new call would wait for its turn, given those that wait
+// EstimateWait returns how long a new call would wait for its turn, given those that wait
 // already.
-func (h *Helpers) Wait(call queue.CallTime, waiting []queue.CallTime, now time.Time) time.Duration {
+func (h *Peers) EstimateWait(call queue.CallTime, waiting []queue.CallTime, now time.Time) time.Duration {
 	if call.Total == 0 {
 		return 0
 	}
@@ -269,7 +269,7 @@
 
 // present returns the machines whose offer holds, in a fixed order but with
 // this machine last: it has most to do.
-func (h *Helpers) present(now time.Time) []*helper {
+func (h *Peers) present(now time.Time) []*helper {
 	var machines []*helper
 	for node, m := range h.machines {
 		if m.address != "" && now.Sub(m.seen) > attachedFor {
@@ -292,7 +292,7 @@
 
 // answering returns the machines present that have lately given a sign of life, in
 // the same order.
-func (h *Helpers) answering(now time.Time) []*helper {
+func (h *Peers) answering(now time.Time) []*helper {
 	return slices.DeleteFunc(h.present(now), func(m *helper) bool { return m.silent(now) })
 }
 
@@ -303,7 +303,7 @@
 
 // Advise makes the slot's call and gives the slot back. It fails early when the machine
 // that makes the call falls silent: another can be asked.
-func (h *Helpers) Advise(ctx context.Context, s *Slot, step work.StepKey, executors []string) ([]platform.Grant, time.Duration, error) {
+func (h *Peers) Advise(ctx context.Context, s *Slot, step work.StepKey, executors []string) ([]platform.Grant, time.Duration, error) {
 	defer h.giveBack(s)
 	if s.helper.address == "" {
 		return h.own.Advise(ctx, step, executors)
@@ -312,11 +312,11 @@
 	defer cancel()
 	var answer AdviceAnswer
 	err := h.caller.Call(ctx, s.helper.address, methodAdvise, &AdviceRequest{Step: step, Executors: executors}, &answer)
-	return answer.Grants, answer.Valid, err
+	return answer.Grants, answer.ValidFor, err
 }
 
 // whileAnswering returns a context that ends with ctx or when the machine falls silent.
-func (h *Helpers) whileAnswering(ctx context.Context, m *helper) (context.Context, context.CancelFunc) {
+func (h *Peers) whileAnswering(ctx context.Context, m *helper) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	var look func()
 	look = func() {
@@ -335,7 +335,7 @@
 	return ctx, cancel
 }
 
-func (h *Helpers) giveBack(s *Slot) {
+func (h *Peers) giveBack(s *Slot) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if s.long {
--- a/internal/assist/helpers_test.go
+++ b/internal/assist/helpers_test.go
@@ -10,18 +10,18 @@
 
 // An answer to a delivery keeps a machine attached; what it last offered of its
 // fitness to lead stays as it was.
-func TestHeardKeepsTheNewestOffer(t *testing.T) {
+func TestRecordAnswerKeepsLatestFitness(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	h := NewHelpers("a", nil, nil)
-	h.Attached(Attachment{Node: "b", Address: "b:1", Fitness: 0.8}, now)
-	h.Attached(Attachment{Node: "b", Address: "b:1", Fitness: 0}, now) // its store is gone
-	h.Heard("b", true, now.Add(attachedFor))
-	h.Heard("c", false, now.Add(attachedFor))
+	h := NewPeers("a", nil, nil)
+	h.HandleAttachment(Attachment{Node: "b", Address: "b:1", Fitness: 0.8}, now)
+	h.HandleAttachment(Attachment{Node: "b", Address: "b:1", Fitness: 0}, now) // its store is gone
+	h.RecordAnswer("b", true, now.Add(attachedFor))
+	h.RecordAnswer("c", false, now.Add(attachedFor))
 	later := now.Add(attachedFor + time.Second)
 	if others := h.Others(later); len(others) != 1 || others[0].Node != "b" {
 		t.Errorf("machines attached: %v", others)
 	}
-	if f := h.Fittest(later); f != 0 {
+	if f := h.MaxFitness(later); f != 0 {
 		t.Errorf("fitness %v, want the newest offer's", f)
 	}
 }
@@ -29,15 +29,15 @@
 // A leader that has just begun has made no calls yet. It counted on one machine
 // for all calls that waited, and refused every job for seconds after a loss of
 // power.
-func TestWaitBeforeTheFirstCall(t *testing.T) {
+func TestEstimatedWaitBeforeFirstCall(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	h := NewHelpers("self", nil, nil)
+	h := NewPeers("self", nil, nil)
 	for _, node := range []api.NodeID{"a", "b", "c"} {
-		h.Attached(Attachment{Node: node, Address: string(node)}, now)
+		h.HandleAttachment(Attachment{Node: node, Address: string(node)}, now)
 	}
 	one := lasting(time.Second)
 	waiting := []queue.CallTime{one, one, one, one}
-	if got := h.Wait(one, waiting, now); got != time.Second {
+	if got := h.EstimateWait(one, waiting, now); got != time.Second {
 		t.Errorf("four calls of a second with four machines: a wait of %v", got)
 	}
 }
@@ -45,10 +45,10 @@
 // Calls go to machines that have nothing to do while there are such.
 func TestShortCallsAreSpread(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	h := NewHelpers("self", nil, nil)
+	h := NewPeers("self", nil, nil)
 	const machines = 6
 	for i := range machines - 1 { // and the leader itself
-		h.Attached(Attachment{Node: api.NodeID([]byte{'a' + byte(i)}), Address: "x"}, now)
+		h.HandleAttachment(Attachment{Node: api.NodeID([]byte{'a' + byte(i)}), Address: "x"}, now)
 	}
 	taken := make(map[*helper]int)
 	for range machines {
@@ -66,9 +66,9 @@
 // However many long calls there are, those of queues whose calls are short find a
 // machine: here 97 machines get 8 s of short calls a second and as many long ones
 // as they take.
-func TestShortCallsDontWaitBehindAFloodOfLongOnes(t *testing.T) {
+func TestShortCallsDoNotWaitForManyLongCalls(t *testing.T) {
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	h := NewHelpers("self", nil, nil)
+	h := NewPeers("self", nil, nil)
 	const machines = 97
 	short := queue.CallTime{Fixed: 26 * time.Millisecond, Total: 50 * time.Millisecond}
 	long := queue.CallTime{Fixed: 637 * time.Millisecond, Total: 1500 * time.Millisecond}
@@ -82,7 +82,7 @@
 		now := start.Add(time.Duration(step) * time.Millisecond)
 		if step%500 == 0 {
 			for i := range machines - 1 {
-				h.Attached(Attachment{Node: api.NodeID([]byte{'a', byte(i)}), Address: "x"}, now)
+				h.HandleAttachment(Attachment{Node: api.NodeID([]byte{'a', byte(i)}), Address: "x"}, now)
 			}
 		}
 		kept := under[:0]
@@ -119,12 +119,12 @@
 // dealt to the lengths by what they took before: 140 calls a second found one, with 33
 // machines there of which each answers 40. Calls that are over in moments may use any
 // machine that makes none.
-func TestShortCallsThatWaitUseIdleMachines(t *testing.T) {
+func TestWaitingShortCallsUseIdleMachines(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	h := NewHelpers("self", nil, nil)
+	h := NewPeers("self", nil, nil)
 	const machines = 33
 	for i := range machines - 1 {
-		h.Attached(Attachment{Node: api.NodeID([]byte{'a', byte(i)}), Address: "x"}, now)
+		h.HandleAttachment(Attachment{Node: api.NodeID([]byte{'a', byte(i)}), Address: "x"}, now)
 	}
 	long := queue.CallTime{Fixed: 440 * time.Millisecond, Total: time.Second}
 	var under []*Slot
--- a/internal/assist/orders.go
+++ b/internal/assist/orders.go
@@ -199,7 +199,7 @@
 // Relay sends orders of one data centre by a machine there, and returns what
 // became of each start and then of each stop. It returns false, and nothing was
 // sent, if there is no such machine or it didn't get them.
-func (h *Helpers) Relay(ctx context.Context, centre string, starts []StartItem, stops []StopItem, now time.Time) ([]error, bool) {
+func (h *Peers) Relay(ctx context.Context, centre string, starts []StartItem, stops []StopItem, now time.Time) ([]error, bool) {
 	m := h.relayIn(api.DataCentre(centre), now)
 	if m.Address == "" {
 		return nil, false
@@ -227,7 +227,7 @@
 
 // relayIn returns the relay of a data centre: the fittest machine there. Its
 // address is empty if there is none.
-func (h *Helpers) relayIn(centre api.DataCentre, now time.Time) Attachment {
+func (h *Peers) relayIn(centre api.DataCentre, now time.Time) Attachment {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var there []*helper
@@ -253,7 +253,7 @@
 }
 
 // distrust has a machine be no relay for a while.
-func (h *Helpers) distrust(node api.NodeID, now time.Time) {
+func (h *Peers) distrust(node api.NodeID, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if m := h.machines[node]; m != nil {
--- a/internal/assist/orders_test.go
+++ b/internal/assist/orders_test.go
@@ -70,7 +70,7 @@
 
 // Orders reach executors by a machine of their data centre as they were given, and
 // what became of each comes back.
-func TestRelayedOrders(t *testing.T) {
+func TestRelayDeliversOrdersAndResults(t *testing.T) {
 	now := time.Now()
 	executors := &takenOrders{
 		answers: map[string]error{
@@ -81,10 +81,10 @@
 		starts: make(map[string]platform.StartOrder), stops: make(map[string]platform.Run),
 	}
 	c := &relayCaller{handler: &Handler{Executors: executors}}
-	h := NewHelpers("self", nil, c)
-	h.Attached(Attachment{Node: "weak", Address: "weak:1", DataCentre: "z1", Fitness: 0.2}, now)
-	h.Attached(Attachment{Node: "fit", Address: "fit:1", DataCentre: "z1", Fitness: 0.8}, now)
-	h.Attached(Attachment{Node: "far", Address: "far:1", DataCentre: "z2", Fitness: 0.8}, now)
+	h := NewPeers("self", nil, c)
+	h.HandleAttachment(Attachment{Node: "weak", Address: "weak:1", DataCentre: "z1", Fitness: 0.2}, now)
+	h.HandleAttachment(Attachment{Node: "fit", Address: "fit:1", DataCentre: "z1", Fitness: 0.8}, now)
+	h.HandleAttachment(Attachment{Node: "far", Address: "far:1", DataCentre: "z2", Fitness: 0.8}, now)
 	var starts []StartItem
 	for i := 1; i <= 4; i++ {
 		starts = append(starts, StartItem{
@@ -116,10 +116,10 @@
 }
 
 // The leader sends a job's specification once for all starts in a data centre.
-func TestRelayedStartsShareTheirSpecification(t *testing.T) {
+func TestRelayedStartsShareSpecification(t *testing.T) {
 	c := &relayCaller{handler: &Handler{Executors: &takenOrders{starts: make(map[string]platform.StartOrder)}}}
-	h := NewHelpers("self", nil, c)
-	h.Attached(Attachment{Node: "m", Address: "m:1", DataCentre: "z1", Fitness: 0.2}, time.Now())
+	h := NewPeers("self", nil, c)
+	h.HandleAttachment(Attachment{Node: "m", Address: "m:1", DataCentre: "z1", Fitness: 0.2}, time.Now())
 	const n, specification = 16, 400
 	var starts []StartItem
 	for i := range n {
@@ -139,7 +139,7 @@
 // Where the relay didn't get the orders nothing was sent, and the leader sends them
 // itself; where it gave no answer each may have been carried out. Either way
 // another machine is taken for a while.
-func TestRelayThatFails(t *testing.T) {
+func TestFailedRelay(t *testing.T) {
 	for name, c := range map[string]struct {
 		err  error
 		sent bool
@@ -151,9 +151,9 @@
 	} {
 		now := time.Now()
 		caller := &relayCaller{err: c.err}
-		h := NewHelpers("self", nil, caller)
-		h.Attached(Attachment{Node: "a", Address: "a:1", DataCentre: "z1", Fitness: 0.8}, now)
-		h.Attached(Attachment{Node: "b", Address: "b:1", DataCentre: "z1", Fitness: 0.2}, now)
+		h := NewPeers("self", nil, caller)
+		h.HandleAttachment(Attachment{Node: "a", Address: "a:1", DataCentre: "z1", Fitness: 0.8}, now)
+		h.HandleAttachment(Attachment{Node: "b", Address: "b:1", DataCentre: "z1", Fitness: 0.2}, now)
 		starts := []StartItem{{To: platform.ExecutorRef{ID: "i"}, Order: platform.StartOrder{Run: orderedRun(0, 0)}}}
 		errs, sent := h.Relay(t.Context(), "z1", starts, nil, now)
 		if sent != c.sent {
@@ -173,12 +173,12 @@
 }
 
 // A machine that was silent for a while, couldn't lead or is elsewhere is no relay.
-func TestWhoIsNoRelay(t *testing.T) {
+func TestIneligibleRelays(t *testing.T) {
 	now := time.Now()
-	h := NewHelpers("self", nil, nil)
-	h.Attached(Attachment{Node: "silent", Address: "s:1", DataCentre: "z1", Fitness: 0.8}, now.Add(-relaySilence))
-	h.Attached(Attachment{Node: "stops", Address: "t:1", DataCentre: "z1"}, now)
-	h.Attached(Attachment{Node: "far", Address: "f:1", DataCentre: "z2", Fitness: 0.8}, now)
+	h := NewPeers("self", nil, nil)
+	h.HandleAttachment(Attachment{Node: "silent", Address: "s:1", DataCentre: "z1", Fitness: 0.8}, now.Add(-relaySilence))
+	h.HandleAttachment(Attachment{Node: "stops", Address: "t:1", DataCentre: "z1"}, now)
+	h.HandleAttachment(Attachment{Node: "far", Address: "f:1", DataCentre: "z2", Fitness: 0.8}, now)
 	if m := h.relayIn("z1", now); m.Address != "" {
 		t.Errorf("%s is a relay", m.Node)
 	}
--- a/internal/assist/publisher.go
+++ b/internal/assist/publisher.go
@@ -49,16 +49,16 @@
 
 // PublisherConfig is what a Publisher works with.
 type PublisherConfig struct {
-	Self       leader.Leader
-	DataCentre api.DataCentre
-	Link       float64 // bytes a second that this machine's link carries; 0: not told
-	Helpers    *Helpers
-	Caller     Caller
-	Bulk       Caller                // on connections of its own, so that news never waits for content
-	Renewed    func() leader.Renewal // the last that was confirmed
-	CutOff     func() bool           // this machine reaches neither the store nor another data centre; nil: never
-	Replaced   func(epoch api.Epoch) // a machine has heard of a higher epoch
-	Events     *logrus.Entry
+	Self               leader.Leader
+	DataCentre         api.DataCentre
+	LinkBytesPerSecond float64 // bytes a second that this machine's link carries; 0: not told
+	Peers              *Peers
+	Caller             Caller
+	BulkCaller         Caller                // on connections of its own, so that news never waits for content
+	LastRenewal        func() leader.Renewal // the last that was confirmed
+	CutOff             func() bool           // this machine reaches neither the store nor another data centre; nil: never
+	OnReplaced         func(epoch api.Epoch) // a machine has heard of a higher epoch
+	Logger             *logrus.Entry
 }
 
 // Publisher delivers what the leader's replica applies to the machines that
@@ -102,8 +102,8 @@
 		newsFrom: from,
 		targets:  make(map[api.NodeID]*target),
 	}
-	if cfg.Link > 0 {
-		share := contentShare * cfg.Link
+	if cfg.LinkBytesPerSecond > 0 {
+		share := contentShare * cfg.LinkBytesPerSecond
 		p.budget = rate.NewLimiter(rate.Limit(share), int(share)) // what one second allows, at once
 	}
 	return p
@@ -160,7 +160,7 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			machines := p.cfg.Helpers.Others(now)
+			machines := p.cfg.Peers.Others(now)
 			p.choose(machines, now)
 			pace := p.pace(len(machines))
 			for _, m := range machines {
@@ -183,8 +183,8 @@
 func (p *Publisher) pace(machines int) time.Duration {
 	processor := time.Duration(machines) * time.Second / deliverAtMost
 	link := time.Duration(0)
-	if p.cfg.Link > 0 {
-		link = time.Duration(float64(machines) * deliverBytes / (deliverShare * p.cfg.Link) * float64(time.Second))
+	if p.cfg.LinkBytesPerSecond > 0 {
+		link = time.Duration(float64(machines) * deliverBytes / (deliverShare * p.cfg.LinkBytesPerSecond) * float64(time.Second))
 	}
 	return min(max(deliverEvery, processor, link), deliverMost)
 }
@@ -264,7 +264,7 @@
 	t.busy = true
 	t.sent = now
 	d := Delivery{
-		Leader: p.cfg.Self, Renewed: p.cfg.Renewed(), Span: replica.Span{From: end, To: end}, End: end, Role: p.role(node),
+		Leader: p.cfg.Self, LastRenewal: p.cfg.LastRenewal(), Span: replica.Span{From: end, To: end}, End: end, Role: p.role(node),
 		CutOff: p.cfg.CutOff != nil && p.cfg.CutOff(),
 	}
 	if follows {
@@ -304,11 +304,11 @@
 func (p *Publisher) call(ctx context.Context, c Caller, m Attachment, method string, delivery any) (DeliveryAnswer, bool) {
 	var answer DeliveryAnswer
 	if err := c.Call(ctx, m.Address, method, delivery, &answer); err != nil {
-		p.cfg.Events.WithError(err).WithFields(logrus.Fields{"machine": m.Node, "method": method}).Debug("not delivered")
+		p.cfg.Logger.WithError(err).WithFields(logrus.Fields{"machine": m.Node, "method": method}).Debug("not delivered")
 		return answer, false
 	}
 	if answer.Epoch > p.cfg.Self.Epoch {
-		p.cfg.Replaced(answer.Epoch)
+		p.cfg.OnReplaced(answer.Epoch)
 		return answer, false
 	}
 	return answer, true
@@ -326,9 +326,9 @@
 		return
 	}
 	t.position = answer.Position
-	t.whole = answer.Whole
+	t.whole = answer.HasContent
 	if !t.contentBusy {
-		t.content = answer.Content
+		t.content = answer.ContentPosition
 	}
-	p.cfg.Helpers.Heard(m.Node, answer.Whole, time.Now())
+	p.cfg.Peers.RecordAnswer(m.Node, answer.HasContent, time.Now())
 }
--- a/internal/assist/publisher_test.go
+++ b/internal/assist/publisher_test.go
@@ -45,7 +45,7 @@
 			m.content = d.Span.To
 		}
 	}
-	answer.Position, answer.Content, answer.Whole = m.position, m.content, m.whole
+	answer.Position, answer.ContentPosition, answer.HasContent = m.position, m.content, m.whole
 	return nil
 }
 
@@ -59,16 +59,16 @@
 }
 
 func newFeed(m *machine, link float64) *feed {
-	f := &feed{to: m, at: Attachment{Node: "a", Address: "a:1", Fitness: 1, Whole: m.whole}, now: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)}
+	f := &feed{to: m, at: Attachment{Node: "a", Address: "a:1", Fitness: 1, HasContent: m.whole}, now: time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)}
 	f.Publisher = NewPublisher(PublisherConfig{
-		Self:     leader.Leader{Epoch: 3},
-		Link:     link,
-		Helpers:  NewHelpers("self", nil, m),
-		Caller:   m,
-		Bulk:     m,
-		Renewed:  func() leader.Renewal { return leader.Renewal{} },
-		Replaced: func(e api.Epoch) { f.replaced = e },
-		Events:   logging.Silent(),
+		Self:               leader.Leader{Epoch: 3},
+		LinkBytesPerSecond: link,
+		Peers:              NewPeers("self", nil, m),
+		Caller:             m,
+		BulkCaller:         m,
+		LastRenewal:        func() leader.Renewal { return leader.Renewal{} },
+		OnReplaced:         func(e api.Epoch) { f.replaced = e },
+		Logger:             logging.Silent(),
 	}, 10)
 	return f
 }
@@ -195,7 +195,7 @@
 	})
 }
 
-func TestPublisherOfContent(t *testing.T) {
+func TestPublisherContent(t *testing.T) {
 	Convey("Given a publisher and a standby that keeps everything", t, func() {
 		m := &machine{position: 10, content: 10, whole: true}
 		f := newFeed(m, 0)
@@ -246,7 +246,7 @@
 
 // Content takes no more of a thin link than its share, however much there is: the
 // leader's orders and renewals go by the same link.
-func TestContentKeepsToItsShareOfTheLink(t *testing.T) {
+func TestContentStaysWithinLinkShare(t *testing.T) {
 	const link = 250_000 // bytes a second: 2 Mbit/s
 	m := &machine{position: 10, content: 10, whole: true}
 	f := newFeed(m, link)
@@ -279,7 +279,7 @@
 
 // The time between two deliveries follows the link and the number of machines, and
 // stays below that at which a machine takes itself for cut off.
-func TestPaceOfNews(t *testing.T) {
+func TestUpdateInterval(t *testing.T) {
 	for _, c := range []struct {
 		machines int
 		link     float64
--- a/internal/assist/round.go
+++ b/internal/assist/round.go
@@ -10,14 +10,14 @@
 // has time for a call of a length, none is looked for again in the same pass:
 // hundreds of steps may wait.
 type Round struct {
-	helpers *Helpers
+	helpers *Peers
 	now     time.Time
 	full    [lengths]bool
 	slots   []*Slot
 }
 
 // Round begins a pass.
-func (h *Helpers) Round(now time.Time) *Round { return &Round{helpers: h, now: now} }
+func (h *Peers) Round(now time.Time) *Round { return &Round{helpers: h, now: now} }
 
 // Free reports whether about such a call could be made now.
 func (r *Round) Free(call queue.CallTime) bool {
--- a/internal/assist/silent_test.go
+++ b/internal/assist/silent_test.go
@@ -27,10 +27,10 @@
 
 // A third of the jobs of the first second of a cut waited 3 s for calls for advice at
 // machines that were cut off, with a second to spare in all.
-func TestAdviceIsntWaitedForAtAMachineThatIsSilent(t *testing.T) {
+func TestAdviceCallToSilentMachineIsAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := NewHelpers("self", ownAdviser{}, cutOff{})
-		h.Attached(Attachment{Node: "other", Address: "other:1"}, time.Now())
+		h := NewPeers("self", ownAdviser{}, cutOff{})
+		h.HandleAttachment(Attachment{Node: "other", Address: "other:1"}, time.Now())
 		call := queue.CallTime{Fixed: 26 * time.Millisecond, Total: 40 * time.Millisecond}
 		s := h.Take(call, time.Now())
 		if s == nil || s.helper.address == "" {
@@ -48,7 +48,7 @@
 		if s := h.Take(call, time.Now()); s == nil || s.helper.address != "" {
 			t.Error("the next call goes to a silent machine")
 		}
-		h.Heard("other", true, time.Now())
+		h.RecordAnswer("other", true, time.Now())
 		if s := h.Take(call, time.Now()); s == nil || s.helper.address == "" {
 			t.Error("a machine that answers again gets no calls")
 		}
@@ -56,10 +56,10 @@
 }
 
 // A call that takes long is waited for at a machine that gives signs of life.
-func TestLongAdviceIsWaitedForAtAMachineThatAnswers(t *testing.T) {
+func TestLongAdviceCallToResponsiveMachineIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := NewHelpers("self", ownAdviser{}, cutOff{})
-		h.Attached(Attachment{Node: "other", Address: "other:1"}, time.Now())
+		h := NewPeers("self", ownAdviser{}, cutOff{})
+		h.HandleAttachment(Attachment{Node: "other", Address: "other:1"}, time.Now())
 		s := h.Take(queue.CallTime{Fixed: 600 * time.Millisecond, Total: 2 * time.Second}, time.Now())
 		stop := make(chan struct{})
 		go func() {
@@ -68,7 +68,7 @@
 				case <-stop:
 					return
 				case <-time.After(deliverIdle):
-					h.Heard("other", true, time.Now())
+					h.RecordAnswer("other", true, time.Now())
 				}
 			}
 		}()
--- a/internal/assist/standby.go
+++ b/internal/assist/standby.go
@@ -31,7 +31,7 @@
 // beside that of the leader. Those that keep it already are preferred.
 func chooseStandbys(machines []Attachment, own api.DataCentre) map[api.NodeID]bool {
 	weight := func(m Attachment) float64 {
-		if m.Whole {
+		if m.HasContent {
 			return steadiness * m.Fitness
 		}
 		return m.Fitness
@@ -69,7 +69,7 @@
 func enoughWhole(machines []Attachment, chosen map[api.NodeID]bool) bool {
 	whole := 0
 	for _, m := range machines {
-		if chosen[m.Node] && m.Whole {
+		if chosen[m.Node] && m.HasContent {
 			whole++
 		}
 	}
--- a/internal/assist/standby_test.go
+++ b/internal/assist/standby_test.go
@@ -10,7 +10,7 @@
 
 func TestChooseStandbys(t *testing.T) {
 	offer := func(node, centre string, fitness float64, whole bool) Attachment {
-		return Attachment{Node: api.NodeID(node), DataCentre: api.DataCentre(centre), Fitness: fitness, Whole: whole}
+		return Attachment{Node: api.NodeID(node), DataCentre: api.DataCentre(centre), Fitness: fitness, HasContent: whole}
 	}
 	Convey("Given machines in four data centres, the leader in z1", t, func() {
 		machines := []Attachment{
@@ -22,7 +22,7 @@
 			So(chooseStandbys(machines, "z1"), ShouldResemble, map[api.NodeID]bool{"c": true, "e": true, "f": true})
 		})
 		Convey("one that keeps the content already stays", func() {
-			machines[3].Whole = true
+			machines[3].HasContent = true
 			So(chooseStandbys(machines, "z1"), ShouldResemble, map[api.NodeID]bool{"d": true, "e": true, "f": true})
 		})
 		Convey("but not before a machine that is much fitter", func() {
@@ -37,14 +37,14 @@
 		Convey("others drop the content only when all standbys keep it", func() {
 			chosen := chooseStandbys(machines, "z1")
 			So(enoughWhole(machines, chosen), ShouldBeFalse)
-			machines[2].Whole, machines[4].Whole = true, true
+			machines[2].HasContent, machines[4].HasContent = true, true
 			So(enoughWhole(machines, chosen), ShouldBeFalse)
-			machines[5].Whole = true
+			machines[5].HasContent = true
 			So(enoughWhole(machines, chosen), ShouldBeTrue)
 		})
 		Convey("where there are few machines all are standbys and none drops anything", func() {
 			few := machines[:2]
-			few[0].Whole, few[1].Whole = true, true
+			few[0].HasContent, few[1].HasContent = true, true
 			chosen := chooseStandbys(few, "z1")
 			So(chosen, ShouldHaveLength, 2)
 			So(enoughWhole(few, chosen), ShouldBeFalse)
--- a/internal/assist/thinlink_test.go
+++ b/internal/assist/thinlink_test.go
@@ -88,17 +88,17 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	l := &thinLink{rate: thinLinkBytes}
 	machines = make(map[string]*machine)
-	h := NewHelpers("self", nil, nil)
+	h := NewPeers("self", nil, nil)
 	var attached []Attachment
 	for i := range thinMachines {
 		name := fmt.Sprintf("m%d", i)
 		machines[name] = &machine{position: 10, content: 10, whole: true}
-		attached = append(attached, Attachment{Node: api.NodeID(name), Address: name, DataCentre: api.DataCentre(fmt.Sprintf("z%d", i%6)), Fitness: 0.12, Whole: true})
+		attached = append(attached, Attachment{Node: api.NodeID(name), Address: name, DataCentre: api.DataCentre(fmt.Sprintf("z%d", i%6)), Fitness: 0.12, HasContent: true})
 	}
 	c := &linkedCaller{link: l, machines: machines}
 	p := NewPublisher(PublisherConfig{
-		Self: leader.Leader{Epoch: 3, Node: "front-eagle-1", Incarnation: 1 << 60, Address: "10.1.0.13:7720"}, Link: thinLinkBytes, Helpers: h, Caller: c, Bulk: c,
-		Renewed: func() leader.Renewal { return leader.Renewal{} }, Replaced: func(api.Epoch) {}, Events: logging.Silent(),
+		Self: leader.Leader{Epoch: 3, Node: "front-eagle-1", Incarnation: 1 << 60, Address: "10.1.0.13:7720"}, LinkBytesPerSecond: thinLinkBytes, Peers: h, Caller: c, BulkCaller: c,
+		LastRenewal: func() leader.Renewal { return leader.Renewal{} }, OnReplaced: func(api.Epoch) {}, Logger: logging.Silent(),
 	}, 10)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer time.Sleep(10 * time.Second) // everything ends
@@ -106,7 +106,7 @@
 	go func() {
 		for ctx.Err() == nil {
 			for _, m := range attached {
-				h.Attached(m, time.Now())
+				h.HandleAttachment(m, time.Now())
 			}
 			time.Sleep(time.Second)
 		}
@@ -150,7 +150,7 @@
 // deliveries of every record to every machine; renewals of its leadership waited
 // behind them, and another machine claimed. The evidence: of 190 KB a second that
 // the leader sent 152 were deliveries, and appends took 60 to 110 ms.
-func TestLeaderOnAThinLinkKeepsItsCell(t *testing.T) {
+func TestLeaderOnSlowLinkKeepsLeadership(t *testing.T) {
 	takeover := leader.DefaultTiming().MinTakeoverSilence
 	t.Run("states to all and content to standbys", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
@@ -192,7 +192,7 @@
 
 // What the leader sends of the same load grows at most with the square root of the
 // machines.
-func TestBytesOfALeaderByMachines(t *testing.T) {
+func TestLeaderTrafficByMachineCount(t *testing.T) {
 	a := replica.AppliedBatch{}
 	for i := range platform.Offset(400) {
 		a.Records = append(a.Records, platform.Record{Offset: 10 + i, Key: work.Key(work.KindProgress, work.ID{byte(i)}), Value: make([]byte, recordBytes)})
--- a/internal/dispatch/begin.go
+++ b/internal/dispatch/begin.go
@@ -21,14 +21,14 @@
 	r.mu.Lock()
 	cfg := r.cfg.Plan
 	cfg.Epoch = r.cfg.Self.Epoch
-	r.cell = plan.NewCell(cfg, r.lookup, r.cfg.Events, time.Now())
-	r.cell.Configure(r.cfg.Table())
+	r.cell = plan.NewCell(cfg, r.lookup, r.cfg.Logger, time.Now())
+	r.cell.Configure(r.cfg.Configuration())
 	r.mu.Unlock()
 	if !r.cfg.Replica.SetListener(r.changed) {
 		return errNotWhole
 	}
 	r.publish(ctx)
-	r.cfg.Events.WithField("took_ms", time.Since(began).Milliseconds()).Info("this process begins to plan for the cell")
+	r.cfg.Logger.WithField("took_ms", time.Since(began).Milliseconds()).Info("this process begins to plan for the cell")
 	return ctx.Err()
 }
 
@@ -63,7 +63,7 @@
 		if err == nil {
 			return
 		}
-		r.cfg.Events.WithError(err).Debug("jobs not read yet")
+		r.cfg.Logger.WithError(err).Debug("jobs not read yet")
 		pause.For(ctx, appendRetry)
 	}
 }
@@ -81,16 +81,16 @@
 		publisher.Add(a)
 	})
 	publisher = assist.NewPublisher(assist.PublisherConfig{
-		Self:       r.cfg.Self,
-		DataCentre: r.cfg.Centre,
-		Link:       r.cfg.Link,
-		Helpers:    r.cfg.Helpers,
-		Caller:     r.cfg.Caller,
-		Bulk:       r.cfg.Bulk,
-		CutOff:     r.cfg.CutOff,
-		Renewed:    r.cfg.Renewed,
-		Replaced:   r.cfg.HeardOf,
-		Events:     r.cfg.Events,
+		Self:               r.cfg.Self,
+		DataCentre:         r.cfg.LocalDataCentre,
+		LinkBytesPerSecond: r.cfg.LinkBytesPerSecond,
+		Peers:              r.cfg.Peers,
+		Caller:             r.cfg.Caller,
+		BulkCaller:         r.cfg.BulkCaller,
+		CutOff:             r.cfg.CutOff,
+		LastRenewal:        r.cfg.LastRenewal,
+		OnReplaced:         r.cfg.OnHigherEpoch,
+		Logger:             r.cfg.Logger,
 	}, from)
 	close(ready)
 	r.spawn(func() { publisher.Run(ctx) })
--- a/internal/dispatch/begin_test.go
+++ b/internal/dispatch/begin_test.go
@@ -44,7 +44,7 @@
 	return time.Since(began)
 }
 
-func TestNewLeaderReadsWhileItFencesTheFormerOne(t *testing.T) {
+func TestNewLeaderReadsWhileFencingFormerLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const takes = 100 * time.Millisecond // a call
 		if took := begins(t, takes); took > takes+takes/2 {
@@ -69,7 +69,7 @@
 
 // While the fence is under way the former leader writes and tells of the job's state, whose
 // content isn't read yet.
-func TestNewLeaderReadsContentOfWhichItKnowsTheStateAlone(t *testing.T) {
+func TestNewLeaderReadsContentOfJobsKnownBySummary(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newCellPlay(t)
 		defer func() { p.stop() }()
--- a/internal/dispatch/busy_test.go
+++ b/internal/dispatch/busy_test.go
@@ -9,7 +9,7 @@
 )
 
 // A store that refuses what the leader clears up doesn't end the leader.
-func TestLeaderOutlivesABusyStore(t *testing.T) {
+func TestLeaderContinuesWhenStoreRefusesCleanup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newCellPlay(t)
 		p.log = pickyStore{p.store, platform.ErrUnavailable} // for now
--- a/internal/dispatch/door_test.go
+++ b/internal/dispatch/door_test.go
@@ -23,7 +23,7 @@
 //
 // Here two gangs that find no room stand for 10 s of the executor's time. The executor
 // is idle, and a check that needs a hundredth of it for half a second is handed in.
-func TestBacklogOfOthersRefusesNobodyWhoCanBeginAtOnce(t *testing.T) {
+func TestBacklogDoesNotRefuseJobsThatCanStartImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newCellPlay(t)
 		gang := work.Step{TaskCount: 2, TaskResources: api.Resources{MilliCPU: 20_000}, Estimate: 4 * time.Second, Gang: true}
--- a/internal/dispatch/early_test.go
+++ b/internal/dispatch/early_test.go
@@ -44,7 +44,7 @@
 func advisedPlay(t *testing.T, appends time.Duration) *cellPlay {
 	p := newCellPlay(t)
 	p.log = slowStore{p.store, appends}
-	p.helpers = assist.NewHelpers("a", generousAdviser{15 * time.Millisecond}, nil)
+	p.helpers = assist.NewPeers("a", generousAdviser{15 * time.Millisecond}, nil)
 	p.advice = &queue.Advice{DecisionTime: 10 * time.Millisecond, TimePerVM: time.Millisecond, TicketValidity: 2 * time.Second}
 	p.register("ready")
 	p.lead()
@@ -73,7 +73,7 @@
 // start was stored by the next. Cause: a job was given to the cell by a cycle, so
 // advice, which takes a tenth of an append, was waited for by a whole one. Here the
 // job started after 892 ms, of which a repeated append was a part; now after 431.
-func TestAdviceIsAskedForJobsThatStandInLine(t *testing.T) {
+func TestAdviceIsRequestedWhileSubmissionWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const appends = 240 * time.Millisecond
 		p := advisedPlay(t, appends)
@@ -92,7 +92,7 @@
 
 // A job whose submission could not be stored isn't planned, whenever advice was
 // asked for it.
-func TestJobThatCouldNotBeStoredIsTakenBack(t *testing.T) {
+func TestUnstoredJobIsWithdrawn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := advisedPlay(t, 5*time.Millisecond)
 		p.store.stick(true)
--- a/internal/dispatch/hold.go
+++ b/internal/dispatch/hold.go
@@ -35,7 +35,7 @@
 	for ctx.Err() == nil {
 		r.mu.Lock()
 		asked := time.Now()
-		h, wanted := r.cell.NextHold(id, plan.HoldTerms{Connected: connected, Renew: r.cfg.MayRenew(), Wait: holdWait})
+		h, wanted := r.cell.NextHold(id, plan.HoldTerms{Connected: connected, Renew: r.cfg.CanRenewLeases(), Wait: holdWait})
 		r.mu.Unlock()
 		if !wanted {
 			return
@@ -52,7 +52,7 @@
 			continue
 		}
 		if report.StartTimeErr != nil && !faulty {
-			r.cfg.Events.WithError(report.StartTimeErr).Warn("executor's answer doesn't tell which life of it answers; it is held all the same")
+			r.cfg.Logger.WithError(report.StartTimeErr).Warn("executor's answer doesn't tell which life of it answers; it is held all the same")
 		}
 		faulty = report.StartTimeErr != nil
 		r.takeReport(ctx, h, report, asked, &ends)
@@ -80,7 +80,7 @@
 	r.mu.Lock()
 	r.cell.HandleNoReport(h, time.Now())
 	r.mu.Unlock()
-	r.cfg.Events.WithError(err).WithField("executor", h.To.ID).Debug("no report")
+	r.cfg.Logger.WithError(err).WithField("executor", h.To.ID).Debug("no report")
 	pause.For(ctx, holdRetry)
 	return false
 }
--- a/internal/dispatch/orders.go
+++ b/internal/dispatch/orders.go
@@ -55,7 +55,7 @@
 	for i, s := range b.stops {
 		stops[i] = assist.StopItem{To: s.To, Run: s.Run, Token: s.Token}
 	}
-	errs, relayed := r.cfg.Helpers.Relay(ctx, centre, items, stops, time.Now())
+	errs, relayed := r.cfg.Peers.Relay(ctx, centre, items, stops, time.Now())
 	if !relayed {
 		r.sendThemselves(ctx, b)
 		return
@@ -92,7 +92,7 @@
 	r.cell.HandleStartAnswer(s, err, time.Now())
 	r.mu.Unlock()
 	if err != nil {
-		r.cfg.Events.WithError(err).WithFields(logrus.Fields{"executor": s.To.ID, "task": s.Run.Task, "run": s.Run.Number}).Debug("start not confirmed")
+		r.cfg.Logger.WithError(err).WithFields(logrus.Fields{"executor": s.To.ID, "task": s.Run.Task, "run": s.Run.Number}).Debug("start not confirmed")
 		r.Wake()
 	}
 }
--- a/internal/dispatch/play_test.go
+++ b/internal/dispatch/play_test.go
@@ -253,8 +253,8 @@
 	runner   *Runner
 	stop     func() // ends the leader and waits for it
 	epoch    api.Epoch
-	helpers  *assist.Helpers // nil: the leader alone, without advice
-	advice   *queue.Advice   // that the queue takes
+	helpers  *assist.Peers // nil: the leader alone, without advice
+	advice   *queue.Advice // that the queue takes
 }
 
 func newCellPlay(t *testing.T) *cellPlay {
@@ -292,25 +292,25 @@
 	table := &queue.Configuration{Queues: []queue.Queue{{Name: "q", Service: "svc", MaxAttempts: 1, Stretch: 2, TargetLatency: time.Second, Advice: p.advice}}}
 	helpers := p.helpers
 	if helpers == nil {
-		helpers = assist.NewHelpers("a", nil, nil)
+		helpers = assist.NewPeers("a", nil, nil)
 	}
 	p.runner = New(Config{
-		Plan:      plan.DefaultConfig(),
-		Self:      leader.Leader{Epoch: p.epoch, Node: "a"},
-		Log:       p.log,
-		Jobs:      playJobs,
-		Registry:  playExecutors,
-		Decode:    decodePlayed,
-		Executors: p.executor,
-		Replica:   p.replica,
-		Reader:    p.reader,
-		Helpers:   helpers,
-		Table:     func() *queue.Configuration { return table },
-		MayRenew:  func() bool { return true },
-		Replaced:  func() {},
-		Renewed:   func() leader.Renewal { return leader.Renewal{} },
-		HeardOf:   func(api.Epoch) {},
-		Events:    logging.Silent(),
+		Plan:           plan.DefaultConfig(),
+		Self:           leader.Leader{Epoch: p.epoch, Node: "a"},
+		Log:            p.log,
+		Jobs:           playJobs,
+		Registry:       playExecutors,
+		Decode:         decodePlayed,
+		Executors:      p.executor,
+		Replica:        p.replica,
+		Reader:         p.reader,
+		Peers:          helpers,
+		Configuration:  func() *queue.Configuration { return table },
+		CanRenewLeases: func() bool { return true },
+		OnFenced:       func() {},
+		LastRenewal:    func() leader.Renewal { return leader.Renewal{} },
+		OnHigherEpoch:  func(api.Epoch) {},
+		Logger:         logging.Silent(),
 	})
 	ctx, cancel := context.WithCancel(p.t.Context())
 	var loops sync.WaitGroup
--- a/internal/dispatch/refused_test.go
+++ b/internal/dispatch/refused_test.go
@@ -27,7 +27,7 @@
 
 // Clearing up after ended jobs is no reason for a leader to end: its process
 // goes on renewing its claim, and nobody plans.
-func TestLeaderOutlivesARefusedClearing(t *testing.T) {
+func TestLeaderContinuesWhenCleanupIsTooLarge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newCellPlay(t)
 		p.log = pickyStore{p.store, platform.ErrTooLarge} // for good
--- a/internal/dispatch/registry.go
+++ b/internal/dispatch/registry.go
@@ -156,11 +156,11 @@
 
 // followRegistry keeps the cell's list of executors up to date.
 func (r *Runner) followRegistry(ctx context.Context) {
-	g := newRegistry(r.cfg.Log, r.cfg.Registry, r.cfg.Decode, r.cfg.Events)
+	g := newRegistry(r.cfg.Log, r.cfg.Registry, r.cfg.Decode, r.cfg.Logger)
 	for ctx.Err() == nil {
 		changed, err := g.refresh(ctx)
 		if err != nil {
-			r.cfg.Events.WithError(err).Debug("executors not read")
+			r.cfg.Logger.WithError(err).Debug("executors not read")
 		}
 		if err == nil && changed {
 			r.mu.Lock()
@@ -182,7 +182,7 @@
 	}
 	found, err := g.former(ctx, ids)
 	if err != nil {
-		r.cfg.Events.WithError(err).Info("history of the registry not read: executors that are gone are waited for until their leases are over")
+		r.cfg.Logger.WithError(err).Info("history of the registry not read: executors that are gone are waited for until their leases are over")
 	}
 	r.mu.Lock()
 	for _, e := range found {
--- a/internal/dispatch/registry_test.go
+++ b/internal/dispatch/registry_test.go
@@ -98,7 +98,7 @@
 
 // What is read record by record and what is read from the newest records of
 // each key lists the same executors, at each place of a history.
-func TestReadsAndRestoresListTheSame(t *testing.T) {
+func TestReadAndRestoreListSameExecutors(t *testing.T) {
 	good, draining, foreign := executorOf("svc", "ready", "r1"), executorOf("svc", "draining", "r1"), executorOf("other", "ready", "r1")
 	history := []struct{ key, value string }{
 		{"a", good}, {"b", good}, {"a", "{}"}, {"b", draining}, {"c", "null"}, {"c", good}, {"b", "\xff\xfe"},
@@ -122,7 +122,7 @@
 func names(listed map[string]*fleet.Executor) []string { return slices.Sorted(maps.Keys(listed)) }
 
 // Whatever a record says otherwise than before is news, and a repeat is not.
-func TestEachDifferenceIsNews(t *testing.T) {
+func TestRefreshReportsEachChange(t *testing.T) {
 	log := &records{}
 	log.put("e", executorOf("other", "ready", "r1"))
 	g, _ := loggedRegistry(log)
@@ -175,7 +175,7 @@
 
 // A malformed record doesn't keep those after it from being read, and is logged
 // once with its place; one whose key is known names no executor.
-func TestMalformedRecordIsPassedOver(t *testing.T) {
+func TestMalformedRecordIsSkipped(t *testing.T) {
 	log := &records{}
 	log.put("e", executorOf("svc", "ready", "r1"))
 	g, logged := loggedRegistry(log)
@@ -200,7 +200,7 @@
 	}
 }
 
-func TestFormerExecutorsAreFoundInTheHistory(t *testing.T) {
+func TestFormerExecutorsAreFoundInHistory(t *testing.T) {
 	log := &records{}
 	log.put("a", executorOf("svc", "ready", "r1"))
 	log.put("b", executorOf("svc", "ready", "r1"))
--- a/internal/dispatch/repeat_test.go
+++ b/internal/dispatch/repeat_test.go
@@ -11,7 +11,7 @@
 
 // A submission that is handed in once more, to a leader that knows of its job
 // the outcome only, starts nothing.
-func TestRepeatedSubmissionOfAnEndedJobStartsNothing(t *testing.T) {
+func TestRepeatedSubmissionOfEndedJobStartsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newCellPlay(t)
 		p.register("ready")
--- a/internal/dispatch/runner.go
+++ b/internal/dispatch/runner.go
@@ -43,29 +43,29 @@
 
 // Config is what a Runner works with.
 type Config struct {
-	Plan      plan.Config
-	Self      leader.Leader // with the epoch
-	Log       platform.PartitionLog
-	Jobs      platform.Partition // of the cell's jobs
-	Registry  platform.Partition // of the executors' records
-	Decode    DecodeExecutor
-	Executors platform.Executors
-	Replica   *replica.Replica
-	Reader    *replica.Reader
-	Helpers   *assist.Helpers
-	Caller    assist.Caller
-	Bulk      assist.Caller  // on connections of its own, for content of records
-	Centre    api.DataCentre // of this machine
-	Link      float64        // bytes a second that its link carries; 0: not told
-	Full      func() bool    // little more can be sent by it without delay; nil: never
-	Table     func() *queue.Configuration
-	MayRenew  func() bool           // leases may be extended
-	Replaced  func()                // somebody refused this leader's epoch
-	CutOff    func() bool           // this machine reaches neither the store nor another data centre; nil: never
-	Renewed   func() leader.Renewal // the last of leadership that was confirmed
-	HeardOf   func(epoch api.Epoch) // a machine has heard of a higher epoch
-	Append    time.Duration         // what an append took last; 0: not known
-	Events    *logrus.Entry
+	Plan               plan.Config
+	Self               leader.Leader // with the epoch
+	Log                platform.PartitionLog
+	Jobs               platform.Partition // of the cell's jobs
+	Registry           platform.Partition // of the executors' records
+	Decode             DecodeExecutor
+	Executors          platform.Executors
+	Replica            *replica.Replica
+	Reader             *replica.Reader
+	Peers              *assist.Peers
+	Caller             assist.Caller
+	BulkCaller         assist.Caller  // on connections of its own, for content of records
+	LocalDataCentre    api.DataCentre // of this machine
+	LinkBytesPerSecond float64        // bytes a second that its link carries; 0: not told
+	LinkFull           func() bool    // little more can be sent by it without delay; nil: never
+	Configuration      func() *queue.Configuration
+	CanRenewLeases     func() bool           // leases may be extended
+	OnFenced           func()                // somebody refused this leader's epoch
+	CutOff             func() bool           // this machine reaches neither the store nor another data centre; nil: never
+	LastRenewal        func() leader.Renewal // the last of leadership that was confirmed
+	OnHigherEpoch      func(epoch api.Epoch) // a machine has heard of a higher epoch
+	LastAppendDuration time.Duration         // what an append took last; 0: not known
+	Logger             *logrus.Entry
 }
 
 // Runner leads a cell.
@@ -140,7 +140,7 @@
 // failed tells the elector when the store has refused this leader's epoch.
 func (r *Runner) failed(err error) error {
 	if errors.Is(err, platform.ErrFenced) {
-		r.cfg.Replaced()
+		r.cfg.OnFenced()
 	}
 	return err
 }
@@ -218,7 +218,7 @@
 func (r *Runner) once(ctx context.Context) error {
 	r.mu.Lock()
 	now := time.Now()
-	r.cell.Configure(r.cfg.Table())
+	r.cell.Configure(r.cfg.Configuration())
 	handedIn := r.takeInbox()
 	r.cell.StartDueOccurrences(now.UnixMilli(), now)
 	r.cell.DropExpired(now)
@@ -263,7 +263,7 @@
 	own := r.cell.IsTokenOutdated(to.ID, token)
 	r.mu.Unlock()
 	if !own {
-		r.cfg.Replaced()
+		r.cfg.OnFenced()
 	}
 }
 
@@ -313,7 +313,7 @@
 
 // askAdvice has the calls for advice made that are due; r.mu is held.
 func (r *Runner) askAdvice(ctx context.Context, now time.Time) {
-	round := r.cfg.Helpers.Round(now)
+	round := r.cfg.Peers.Round(now)
 	for i, ask := range r.cell.AdviceCalls(now, round) {
 		r.spawn(func() { r.advise(ctx, ask, round.Slots()[i]) })
 	}
@@ -322,7 +322,7 @@
 func (r *Runner) advise(ctx context.Context, a plan.AdviceCall, slot *assist.Slot) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	grants, valid, err := r.cfg.Helpers.Advise(ctx, slot, a.Step, a.Executors)
+	grants, valid, err := r.cfg.Peers.Advise(ctx, slot, a.Step, a.Executors)
 	r.mu.Lock()
 	if err != nil {
 		r.cell.HandleAdviceFailure(a, time.Now())
@@ -331,7 +331,7 @@
 	}
 	r.mu.Unlock()
 	if err != nil {
-		r.cfg.Events.WithError(err).WithField("step", a.Step).Debug("no advice")
+		r.cfg.Logger.WithError(err).WithField("step", a.Step).Debug("no advice")
 	}
 	signal(r.answered)
 	r.Wake()
--- a/internal/dispatch/runner_test.go
+++ b/internal/dispatch/runner_test.go
@@ -58,10 +58,10 @@
 
 // While a cycle waits for a slow store, machines whose calls were answered get
 // the next ones.
-func TestAdviceIsAskedWhileTheStoreIsSlow(t *testing.T) {
+func TestAdviceIsRequestedWhileStoreIsSlow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		adviser := &countingAdviser{takes: 11 * time.Millisecond}
-		r := New(Config{Helpers: assist.NewHelpers("a", adviser, nil), Events: logging.Silent()})
+		r := New(Config{Peers: assist.NewPeers("a", adviser, nil), Logger: logging.Silent()})
 		r.cell = waitingCell(20)
 		ctx, stop := context.WithCancel(context.Background())
 		r.spawn(func() { r.keepAsking(ctx) })
@@ -108,7 +108,7 @@
 func TestLeasesAreRenewedWhileEndsAreNotDurable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		executor := &endingExecutor{}
-		r := New(Config{Executors: executor, MayRenew: func() bool { return true }, Events: logging.Silent()})
+		r := New(Config{Executors: executor, CanRenewLeases: func() bool { return true }, Logger: logging.Silent()})
 		r.cell = waitingCell(0)
 		ctx, stop := context.WithCancel(context.Background())
 		r.spawn(func() { r.holdExecutor(ctx, "e") })
@@ -130,7 +130,7 @@
 }
 
 // A short call is under way while others are, up to a bound on their time.
-func TestShortCallsQueueUpToABound(t *testing.T) {
+func TestConcurrentShortCallsAreBounded(t *testing.T) {
 	for _, c := range []struct {
 		cost time.Duration
 		want int
@@ -141,7 +141,7 @@
 		{time.Second, 1},
 	} {
 		t.Run(fmt.Sprint(c.cost), func(t *testing.T) {
-			round := assist.NewHelpers("a", &countingAdviser{}, nil).Round(time.Now())
+			round := assist.NewPeers("a", &countingAdviser{}, nil).Round(time.Now())
 			n := 0
 			call := queue.CallTime{Fixed: c.cost, Total: c.cost}
 			for round.Free(call) && round.Take(call) {
@@ -156,9 +156,9 @@
 
 // A leader whose first append is under way takes submissions as long as one
 // that has made appends before.
-func TestFirstAppendIsWaitedFor(t *testing.T) {
+func TestSubmissionsAreAcceptedDuringFirstAppend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := New(Config{Events: logging.Silent()})
+		r := New(Config{Logger: logging.Silent()})
 		now := time.Now()
 		r.setStuck(now)
 		if r.takesNothing(now.Add(stuckAfter / 2)) {
@@ -205,11 +205,11 @@
 
 // An executor is called where its newest record says until it answers there, and
 // no more once it isn't registered, nothing runs there and it is silent.
-func TestHoldsFollowTheRecord(t *testing.T) {
+func TestHoldsFollowRegisteredAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const wrong, right = "10.0.0.1:1", "10.0.0.2:1"
 		e := &placedExecutor{address: right, called: make(map[string]int)}
-		r := New(Config{Executors: e, MayRenew: func() bool { return true }, Events: logging.Silent()})
+		r := New(Config{Executors: e, CanRenewLeases: func() bool { return true }, Logger: logging.Silent()})
 		cell := plan.NewCell(plan.DefaultConfig(), func(work.ID) *work.Job { return nil }, logging.Silent(), time.Now())
 		cell.Configure(&queue.Configuration{Services: map[string]queue.Service{"svc": {Name: "svc"}}})
 		r.cell = cell
--- a/internal/dispatch/stop_test.go
+++ b/internal/dispatch/stop_test.go
@@ -41,7 +41,7 @@
 // between that and its end. Cause: only a Runner that had begun let go of what
 // was handed in when it ended, and refused the rest. The evidence: Store
 // returned after an hour, with its context.
-func TestLeaderThatEndsWhileItBeginsTakesNothing(t *testing.T) {
+func TestLeaderStoppedDuringTakeoverRefusesSubmissions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
 		log := &endingLog{stop: stop}
@@ -51,13 +51,13 @@
 			t.Fatal(err)
 		}
 		r := New(Config{
-			Log:     log,
-			Replica: jobs,
-			Reader:  reader,
-			Helpers: assist.NewHelpers("a", nil, nil),
-			Table:   func() *queue.Configuration { return &queue.Configuration{} },
-			Renewed: func() leader.Renewal { return leader.Renewal{} },
-			Events:  logging.Silent(),
+			Log:           log,
+			Replica:       jobs,
+			Reader:        reader,
+			Peers:         assist.NewPeers("a", nil, nil),
+			Configuration: func() *queue.Configuration { return &queue.Configuration{} },
+			LastRenewal:   func() leader.Renewal { return leader.Renewal{} },
+			Logger:        logging.Silent(),
 		})
 		if err := r.Run(ctx); err == nil || log.reads.Load() == 0 {
 			t.Fatalf("ended with %v after %d reads", err, log.reads.Load())
--- a/internal/dispatch/store.go
+++ b/internal/dispatch/store.go
@@ -61,7 +61,7 @@
 	taken, waits := r.enqueue(s)
 	switch {
 	case !taken:
-		return assist.Same(assist.NotStored, n)
+		return assist.UniformResults(assist.NotStored, n)
 	case !waits:
 		return s.results
 	}
@@ -74,10 +74,10 @@
 		case results := <-s.done:
 			return results
 		case <-ctx.Done():
-			return assist.Same(assist.StoreUnknown, n)
+			return assist.UniformResults(assist.StoreUnknown, n)
 		case <-look.C:
 			if outcome, hopeless := r.hopeless(s); hopeless {
-				return assist.Same(outcome, n)
+				return assist.UniformResults(outcome, n)
 			}
 		}
 	}
@@ -172,12 +172,12 @@
 	}
 	job, err := work.DecodeJob(s.records[i].Value)
 	if err != nil {
-		r.cfg.Events.WithError(err).WithField("job", id).Error("unreadable job was handed in")
+		r.cfg.Logger.WithError(err).WithField("job", id).Error("unreadable job was handed in")
 		return
 	}
-	if r.cfg.Full != nil && r.cfg.Full() {
+	if r.cfg.LinkFull != nil && r.cfg.LinkFull() {
 		s.results[i] = assist.StoreResult{Outcome: assist.TooBusy, RetryAfter: fullRetry}
-		r.cfg.Events.WithField("job", job.ID).Info("job refused: this machine's link is full")
+		r.cfg.Logger.WithField("job", job.ID).Info("job refused: this machine's link is full")
 		return
 	}
 	if verdict := r.admit(job, backlog, now); verdict.Reason != "" {
@@ -191,10 +191,10 @@
 
 // admit decides whether a job is accepted, given what waits in the cell; r.mu is held.
 func (r *Runner) admit(j *work.Job, backlog plan.Backlog, now time.Time) admission.Decision {
-	q := r.cfg.Table().QueueNamed(j.Queue)
+	q := r.cfg.Configuration().QueueNamed(j.Queue)
 	ask := r.cell.FirstAdviceCall(q)
 	before := backlog.AheadOf(j, q, now)
-	beforeAdvice := r.cfg.Helpers.Wait(ask, before.AdviceCalls(), now)
+	beforeAdvice := r.cfg.Peers.EstimateWait(ask, before.AdviceCalls(), now)
 	request := admission.Request{
 		ExpectedWait:  before.ProcessingTime() + beforeAdvice,
 		MaxUsefulWait: plan.MaxUsefulWait(j, q),
@@ -203,9 +203,9 @@
 			Backlog:  backlog.ProcessingTime(),
 			Added:    backlog.JobProcessingTime(j),
 		}, {
-			Resource: assist.Lane(ask),
-			Backlog:  r.cfg.Helpers.Wait(ask, backlog.AdviceCalls(), now),
-			Added:    r.cfg.Helpers.Wait(ask, slices.Repeat([]queue.CallTime{ask}, len(j.Steps)), now),
+			Resource: assist.ClassName(ask),
+			Backlog:  r.cfg.Peers.EstimateWait(ask, backlog.AdviceCalls(), now),
+			Added:    r.cfg.Peers.EstimateWait(ask, slices.Repeat([]queue.CallTime{ask}, len(j.Steps)), now),
 		}},
 	}
 	verdict := r.gate.Decide(request, now)
@@ -227,7 +227,7 @@
 	if verdict.Resource != "" {
 		fields["short_of"] = verdict.Resource
 	}
-	r.cfg.Events.WithFields(fields).Info("job refused: " + string(verdict.Reason))
+	r.cfg.Logger.WithFields(fields).Info("job refused: " + string(verdict.Reason))
 }
 
 // store makes what was handed in and the jobs' progress durable and answers
--- a/internal/dispatch/tidy.go
+++ b/internal/dispatch/tidy.go
@@ -31,7 +31,7 @@
 		return err
 	case err != nil:
 		// The cell is planned on without it; the next look finds the jobs again.
-		r.cfg.Events.WithError(err).WithField("records", len(records)).Warn("records of ended jobs not cleared up")
+		r.cfg.Logger.WithError(err).WithField("records", len(records)).Warn("records of ended jobs not cleared up")
 		return nil
 	}
 	r.cfg.Replica.ApplyRecords(first, records, time.Now())
--- a/internal/dispatch/unwanted_test.go
+++ b/internal/dispatch/unwanted_test.go
@@ -17,7 +17,7 @@
 
 // A run of a cancelled job is stopped whatever the registry says of its
 // executor, also when the first stops have no effect.
-func TestRunOfACancelledJobIsStopped(t *testing.T) {
+func TestRunOfCancelledJobIsStopped(t *testing.T) {
 	for _, state := range []string{"ready", "draining", ""} {
 		for _, lost := range []int{0, 2, 4} {
 			for _, late := range []time.Duration{0, 2 * time.Second, 12 * time.Second} {
@@ -80,7 +80,7 @@
 // While the store takes no appends, a cycle waits for it. What needs no durable
 // record is done all the same: runs of cancelled jobs are stopped, and
 // executors that register are called.
-func TestStopsDoNotWaitForTheStore(t *testing.T) {
+func TestStopsDoNotWaitForStore(t *testing.T) {
 	for name, late := range map[string]time.Duration{
 		"cancelled while at work": 0,
 		"started late":            3 * time.Second,
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestExecutorsAreCalledWhileTheStoreTakesNothing(t *testing.T) {
+func TestExecutorsAreHeldWhileStoreIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newCellPlay(t)
 		p.lead()
@@ -126,7 +126,7 @@
 // A cancel may be read before the submission of its job, as when the newest
 // records are read anew: they come ordered by key. The leader may have planned
 // the job by then, which was handed to it.
-func TestCancelReadBeforeItsSubmissionCounts(t *testing.T) {
+func TestCancelReadBeforeSubmissionTakesEffect(t *testing.T) {
 	for name, planned := range map[string]time.Duration{
 		"the job was planned before": 100 * time.Millisecond,
 		"the job is planned after":   0,
@@ -160,7 +160,7 @@
 // A report is asked for at once after a hold without an answer: what has
 // started meanwhile is not known otherwise until another wait for an end is
 // over. The hold that is lost begins up to a second before the start.
-func TestLateStartIsSeenAfterALostHold(t *testing.T) {
+func TestLateStartIsReportedAfterLostHold(t *testing.T) {
 	const late = 3 * time.Second
 	for before := 100 * time.Millisecond; before <= time.Second; before += 100 * time.Millisecond {
 		for _, stops := range []int{0, 1, 2} {
--- a/internal/dispatch/writer.go
+++ b/internal/dispatch/writer.go
@@ -43,8 +43,8 @@
 // newWriter returns the writer of a new leader. What its claim took tells what its first
 // append may take, which at a slow store would else be given too little time at first.
 func newWriter(cfg Config) *writer {
-	w := &writer{log: cfg.Log, partition: cfg.Jobs, epoch: cfg.Self.Epoch, events: cfg.Events}
-	w.expect(cfg.Append)
+	w := &writer{log: cfg.Log, partition: cfg.Jobs, epoch: cfg.Self.Epoch, events: cfg.Logger}
+	w.expect(cfg.LastAppendDuration)
 	return w
 }
 
--- a/internal/dispatch/writer_test.go
+++ b/internal/dispatch/writer_test.go
@@ -71,7 +71,7 @@
 }
 
 // What the store refuses at the first try certainly isn't stored.
-func TestRefusedAppendIsGivenUp(t *testing.T) {
+func TestRefusedAppendIsNotRepeated(t *testing.T) {
 	s := &script{errs: []error{platform.ErrUnavailable}}
 	play(t, s, func(ctx context.Context, w *writer) {
 		if _, err := w.append(ctx, one, true); !errors.Is(err, platform.ErrUnavailable) {
@@ -87,7 +87,7 @@
 }
 
 // A fence takes no number, and a higher epoch ends the writer.
-func TestFence(t *testing.T) {
+func TestFenceAndHigherEpoch(t *testing.T) {
 	s := &script{}
 	play(t, s, func(ctx context.Context, w *writer) {
 		if _, err := w.fence(ctx); err != nil {
@@ -107,7 +107,7 @@
 }
 
 // The store's numbering is taken over where it differs.
-func TestNumberingIsTakenOver(t *testing.T) {
+func TestStoreSequenceIsAdopted(t *testing.T) {
 	s := &script{errs: []error{&platform.SequenceError{Expected: 5}}}
 	play(t, s, func(ctx context.Context, w *writer) {
 		if _, err := w.append(ctx, one, true); err != nil {
@@ -139,7 +139,7 @@
 // Once an append has shown how slow the store is, the next ones are waited for:
 // one that is given up shortly before its answer and sent again takes twice its
 // time, and the store makes it twice.
-func TestTimeoutFollowsASlowStoreAtOnce(t *testing.T) {
+func TestTimeoutAdaptsToSlowStoreImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &heavyStore{takes: 250 * time.Millisecond}
 		w := &writer{log: s, epoch: 3, events: logging.Silent()}
@@ -162,11 +162,11 @@
 // A leader that takes over at a slow store knows how slow by its claim. Its first append
 // was given 120, 240 and 480 ms in turn, and planning began that much later (by users'
 // lines 1.8 and 2.2 s after the claim, in which nothing started).
-func TestFirstAppendOfALeaderAtASlowStore(t *testing.T) {
+func TestFirstAppendTimeoutAtSlowStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const takes = 355 * time.Millisecond
 		store := slowStore{&memoryStore{parts: make(map[string][]platform.Record)}, takes}
-		w := newWriter(Config{Log: store, Jobs: playJobs, Append: 290 * time.Millisecond, Events: logging.Silent()})
+		w := newWriter(Config{Log: store, Jobs: playJobs, LastAppendDuration: 290 * time.Millisecond, Logger: logging.Silent()})
 		began := time.Now()
 		if _, err := w.fence(t.Context()); err != nil {
 			t.Fatal(err)
--- a/internal/intake/again.go
+++ b/internal/intake/again.go
@@ -33,10 +33,10 @@
 func (in *Intake) pauseAgain() time.Duration {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	d := in.cfg.Again
-	for i := steadyTries; i < in.refused && d < in.cfg.AgainMost; i++ {
+	d := in.cfg.RefusalDelay
+	for i := steadyTries; i < in.refused && d < in.cfg.MaxRefusalDelay; i++ {
 		d *= 2
 	}
-	d = min(d, in.cfg.AgainMost)
+	d = min(d, in.cfg.MaxRefusalDelay)
 	return d/2 + in.chance(d/2+1)
 }
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -39,17 +39,17 @@
 
 // Config holds the intervals and limits of an Intake.
 type Config struct {
-	Gather     time.Duration // how long a request waits for others to share its append
-	Append     time.Duration // longest append; its answer may be lost
-	Retry      time.Duration // pause before an append is repeated
-	Again      time.Duration // pause before a store that took nothing is tried again
-	AgainMost  time.Duration // up to which that pause doubles each time the store refuses an append made from here
-	Look       time.Duration // between two looks whether a record that is under way was delivered
-	LookFor    time.Duration // for how long it is looked
-	AtOnce     int           // batches under way
-	Direct     int           // of these, appends made from here
-	BatchBytes int           // of one append
-	Waiting    int           // requests that may wait
+	GatherDelay          time.Duration // how long a request waits for others to share its append
+	AppendTimeout        time.Duration // longest append; its answer may be lost
+	RetryDelay           time.Duration // pause before an append is repeated
+	RefusalDelay         time.Duration // pause before a store that took nothing is tried again
+	MaxRefusalDelay      time.Duration // up to which that pause doubles each time the store refuses an append made from here
+	DeliveryPollInterval time.Duration // between two looks whether a record that is under way was delivered
+	DeliveryPollTimeout  time.Duration // for how long it is looked
+	MaxBatches           int           // batches under way
+	MaxDirectAppends     int           // of these, appends made from here
+	MaxBatchBytes        int           // of one append
+	MaxPending           int           // requests that may wait
 }
 
 // DefaultConfig returns the configuration in use. An append takes about 5 ms
@@ -61,17 +61,17 @@
 // since its queue is full is tried less and less often.
 func DefaultConfig() Config {
 	return Config{
-		Gather:     2 * time.Millisecond,
-		Append:     800 * time.Millisecond,
-		Retry:      30 * time.Millisecond,
-		Again:      80 * time.Millisecond,
-		AgainMost:  time.Second,
-		Look:       50 * time.Millisecond,
-		LookFor:    1500 * time.Millisecond,
-		AtOnce:     8,
-		Direct:     1,
-		BatchBytes: 512 << 10,
-		Waiting:    2000,
+		GatherDelay:          2 * time.Millisecond,
+		AppendTimeout:        800 * time.Millisecond,
+		RetryDelay:           30 * time.Millisecond,
+		RefusalDelay:         80 * time.Millisecond,
+		MaxRefusalDelay:      time.Second,
+		DeliveryPollInterval: 50 * time.Millisecond,
+		DeliveryPollTimeout:  1500 * time.Millisecond,
+		MaxBatches:           8,
+		MaxDirectAppends:     1,
+		MaxBatchBytes:        512 << 10,
+		MaxPending:           2000,
 	}
 }
 
@@ -117,8 +117,8 @@
 		down:      down,
 		delivered: delivered,
 		events:    events,
-		slots:     make(chan struct{}, cfg.AtOnce),
-		direct:    make(chan struct{}, cfg.Direct),
+		slots:     make(chan struct{}, cfg.MaxBatches),
+		direct:    make(chan struct{}, cfg.MaxDirectAppends),
 		wake:      make(chan struct{}, 1),
 		chance:    rand.N[time.Duration],
 	}
@@ -150,7 +150,7 @@
 	if in.ended {
 		return errStops
 	}
-	if len(in.pending) >= in.cfg.Waiting {
+	if len(in.pending) >= in.cfg.MaxPending {
 		return errors.Wrap(ErrNotStored, "too many requests wait")
 	}
 	if r.withdrawn {
@@ -189,7 +189,7 @@
 		case <-ctx.Done():
 			return nil
 		}
-		pause.For(ctx, in.cfg.Gather)
+		pause.For(ctx, in.cfg.GatherDelay)
 		for in.waiting() {
 			select {
 			case in.slots <- struct{}{}:
@@ -219,7 +219,7 @@
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	size, n := 0, 0
-	for n < len(in.pending) && (n == 0 || size+len(in.pending[n].record.Value) <= in.cfg.BatchBytes) {
+	for n < len(in.pending) && (n == 0 || size+len(in.pending[n].record.Value) <= in.cfg.MaxBatchBytes) {
 		size += len(in.pending[n].record.Value)
 		n++
 	}
@@ -309,7 +309,7 @@
 			return
 		}
 		if batch = expire(batch, uncertain); len(batch) > 0 {
-			time.Sleep(in.cfg.Retry)
+			time.Sleep(in.cfg.RetryDelay)
 		}
 	}
 }
@@ -374,7 +374,7 @@
 }
 
 func (in *Intake) append(batch []*request) error {
-	ctx, cancel := context.WithTimeout(context.Background(), in.cfg.Append)
+	ctx, cancel := context.WithTimeout(context.Background(), in.cfg.AppendTimeout)
 	defer cancel()
 	records := recordsOf(batch)
 	_, err := in.log.Append(ctx, platform.Append{Partition: in.partition, Records: records})
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -106,7 +106,7 @@
 	return n
 }
 
-func TestLeaderStores(t *testing.T) {
+func TestLeaderStoresRecords(t *testing.T) {
 	l := &fakeLog{}
 	got := play(t, l, always(nil), 20)
 	if n := count(got, nil); n != 20 || l.appends != 0 {
@@ -128,18 +128,18 @@
 	}
 }
 
-func TestWithoutLeaderAppendsAreFewAtATime(t *testing.T) {
+func TestDirectAppendsAreBounded(t *testing.T) {
 	l := &fakeLog{takes: 200 * time.Millisecond}
 	got := play(t, l, noLeader, 100)
 	if n := count(got, nil); n != 100 {
 		t.Fatalf("%d of 100 stored", n)
 	}
-	if l.most > DefaultConfig().Direct || l.appends > 20 {
+	if l.most > DefaultConfig().MaxDirectAppends || l.appends > 20 {
 		t.Fatalf("%d appends, %d at once", l.appends, l.most)
 	}
 }
 
-func TestRefusalIsCertain(t *testing.T) {
+func TestRefusedAppendIsNotStored(t *testing.T) {
 	l := &fakeLog{errs: []error{platform.ErrUnavailable}}
 	got := play(t, l, noLeader, 1)
 	if count(got, ErrNotStored) != 1 || l.appends != 1 {
@@ -149,7 +149,7 @@
 
 // An append that may have been done is never answered as refused, whatever
 // the store says to its repeats.
-func TestUncertainStaysUncertain(t *testing.T) {
+func TestUncertainAppendStaysUnknown(t *testing.T) {
 	errs := []error{platform.ErrUncertain}
 	for range 1000 {
 		errs = append(errs, platform.ErrUnavailable)
@@ -162,7 +162,7 @@
 }
 
 // The same holds when it was the leader of whom nothing was heard.
-func TestLostLeaderIsUncertain(t *testing.T) {
+func TestLostLeaderAnswerIsUnknown(t *testing.T) {
 	var errs []error
 	for range 1000 {
 		errs = append(errs, platform.ErrUnavailable)
@@ -175,7 +175,7 @@
 }
 
 // What certainly can't be stored is refused at once.
-func TestSilentStoreRefusesAtOnce(t *testing.T) {
+func TestUnavailableStoreRefusesImmediately(t *testing.T) {
 	l := &fakeLog{down: true, takes: time.Hour}
 	got := play(t, l, noLeader, 5)
 	if count(got, ErrNotStored) != 5 || l.appends != 0 {
@@ -184,7 +184,7 @@
 }
 
 // A store that takes nothing is waited for as long as clients have patience.
-func TestShortOutageIsWaitedFor(t *testing.T) {
+func TestShortOutageIsRetried(t *testing.T) {
 	var errs []error
 	for range 5 {
 		errs = append(errs, platform.ErrUnavailable)
@@ -205,7 +205,7 @@
 }
 
 // A job that would be of no use is refused, and nobody tries to store it.
-func TestBusyIsRefused(t *testing.T) {
+func TestBusyErrorIsReturned(t *testing.T) {
 	l := &fakeLog{patience: time.Second}
 	got := play(t, l, always(&BusyError{RetryAfter: 2 * time.Second}), 3)
 	var busy *BusyError
@@ -216,16 +216,16 @@
 
 // While the leader lives its appends are the only ones: those of forty machines
 // more would keep a slow store from taking any in time.
-func TestLivingLeaderIsNotBypassed(t *testing.T) {
+func TestActiveLeaderIsNotBypassed(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		relay   error
 		arrives time.Duration
 		want    error
 	}{
-		{"refused", ErrRefused, 0, ErrNotStored},
-		{"under way and delivered", ErrUnderWay, time.Second, nil},
-		{"under way for long", ErrUnderWay, 0, ErrUnknown},
+		{"refused", ErrStoreRefused, 0, ErrNotStored},
+		{"under way and delivered", ErrInProgress, time.Second, nil},
+		{"under way for long", ErrInProgress, 0, ErrUnknown},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := &fakeLog{arrives: c.arrives, patience: time.Second}
@@ -240,7 +240,7 @@
 // A store whose queue is full is tried less and less often. How often depends on
 // chance; of the pauses that it can choose the shortest, the middle and the
 // longest are played.
-func TestRefusedAppendsBecomeFewer(t *testing.T) {
+func TestRefusedAppendsBackOff(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		chance  func(below time.Duration) time.Duration
--- a/internal/intake/relay.go
+++ b/internal/intake/relay.go
@@ -12,12 +12,12 @@
 // Outcomes of a Relay while the leader lives: an append made from here would
 // only queue behind the leader's.
 var (
-	// ErrRefused: the store takes nothing from the leader at the moment; the
+	// ErrStoreRefused: the store takes nothing from the leader at the moment; the
 	// record is not stored.
-	ErrRefused = errors.New("intake: the store takes nothing from the leader")
-	// ErrUnderWay: the leader's append has no answer yet and will be repeated
+	ErrStoreRefused = errors.New("intake: the store takes nothing from the leader")
+	// ErrInProgress: the leader's append has no answer yet and will be repeated
 	// until it has.
-	ErrUnderWay = errors.New("intake: the leader's append is under way")
+	ErrInProgress = errors.New("intake: the leader's append is under way")
 )
 
 // Relay hands records to whoever leads the cell, which stores them with its
@@ -37,9 +37,9 @@
 		switch r := batch[i]; {
 		case err == nil, errors.As(err, &busy):
 			r.done <- err
-		case errors.Is(err, ErrRefused):
+		case errors.Is(err, ErrStoreRefused):
 			refused = append(refused, r)
-		case errors.Is(err, ErrUnderWay):
+		case errors.Is(err, ErrInProgress):
 			go in.awaitDelivery(r)
 		default:
 			uncertain = uncertain || errors.Is(err, ErrUnknown)
@@ -47,7 +47,7 @@
 		}
 	}
 	if len(refused) > 0 {
-		in.giveUp(refused, ErrRefused, false)
+		in.giveUp(refused, ErrStoreRefused, false)
 	}
 	return uncertain, left
 }
@@ -55,15 +55,15 @@
 // awaitDelivery answers a request whose record the leader is storing, as soon
 // as the record is known to be stored.
 func (in *Intake) awaitDelivery(r *request) {
-	look := time.NewTicker(in.cfg.Look)
+	look := time.NewTicker(in.cfg.DeliveryPollInterval)
 	defer look.Stop()
-	end := time.NewTimer(in.cfg.LookFor)
+	end := time.NewTimer(in.cfg.DeliveryPollTimeout)
 	defer end.Stop()
 	for !in.delivered(r.record.Key) {
 		select {
 		case <-look.C:
 		case <-end.C:
-			r.done <- errors.Mark(ErrUnderWay, ErrUnknown)
+			r.done <- errors.Mark(ErrInProgress, ErrUnknown)
 			return
 		case <-r.ctx.Done():
 			r.done <- errors.Mark(r.ctx.Err(), ErrUnknown)
--- a/internal/intake/stop_test.go
+++ b/internal/intake/stop_test.go
@@ -53,7 +53,7 @@
 // await the end. Cause: Run answered what stood in line at the moment of its
 // end, and Store went on to take more. The evidence: after the end of Run,
 // Store returned only with its context, after an hour here.
-func TestNothingIsLeftInLineAfterTheEnd(t *testing.T) {
+func TestPendingRequestsAreAnsweredAfterStop(t *testing.T) {
 	t.Run("handed in after the end", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			in, stop := begin(DefaultConfig(), always(nil))
@@ -68,31 +68,31 @@
 	t.Run("put back in line before the end", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			cfg := DefaultConfig()
-			in, stop := begin(cfg, always(ErrRefused))
+			in, stop := begin(cfg, always(ErrStoreRefused))
 			told := handIn(in, longWait, longWait/2)
-			time.Sleep(cfg.Again / 4) // it was refused once and waits for its next turn
+			time.Sleep(cfg.RefusalDelay / 4) // it was refused once and waits for its next turn
 			stop()
 			got := <-told
-			if !errors.Is(got.err, ErrNotStored) || got.after > cfg.AgainMost {
-				t.Errorf("told %v after %v, want within %v that it is not stored", got.err, got.after, cfg.AgainMost)
+			if !errors.Is(got.err, ErrNotStored) || got.after > cfg.MaxRefusalDelay {
+				t.Errorf("told %v after %v, want within %v that it is not stored", got.err, got.after, cfg.MaxRefusalDelay)
 			}
 		})
 	})
 	t.Run("in line behind batches that are under way", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			cfg := DefaultConfig()
-			cfg.AtOnce = 1
+			cfg.MaxBatches = 1
 			in, stop := begin(cfg, func(ctx context.Context, records []platform.Record) []error {
 				<-ctx.Done()
 				return always(ErrUnknown)(ctx, records)
 			})
 			first := handIn(in, longWait, time.Second)
-			time.Sleep(2 * cfg.Gather) // it is under way
+			time.Sleep(2 * cfg.GatherDelay) // it is under way
 			second := handIn(in, longWait, time.Second)
-			time.Sleep(2 * cfg.Gather)
+			time.Sleep(2 * cfg.GatherDelay)
 			stop()
 			got := <-second
-			if !errors.Is(got.err, ErrNotStored) || got.after > 2*cfg.Gather {
+			if !errors.Is(got.err, ErrNotStored) || got.after > 2*cfg.GatherDelay {
 				t.Errorf("told %v after %v, want at once that it is not stored", got.err, got.after)
 			}
 			<-first
@@ -102,22 +102,22 @@
 
 // A client whose time ends while its record still waits in line is told that
 // it is not stored, and nobody stores it afterwards.
-func TestWhatWaitsInLineIsWithdrawnWithItsClient(t *testing.T) {
+func TestPendingRequestIsWithdrawnWithClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := DefaultConfig()
 		var tries atomic.Int32
 		in, stop := begin(cfg, func(ctx context.Context, records []platform.Record) []error {
 			if tries.Add(1) == 1 {
-				return always(ErrRefused)(ctx, records)
+				return always(ErrStoreRefused)(ctx, records)
 			}
 			return always(nil)(ctx, records)
 		})
 		defer stop()
-		got := <-handIn(in, cfg.Again/4, longWait) // it was refused once and waits for its next turn
+		got := <-handIn(in, cfg.RefusalDelay/4, longWait) // it was refused once and waits for its next turn
 		if !errors.Is(got.err, ErrNotStored) {
 			t.Errorf("told %v, want that it is not stored", got.err)
 		}
-		time.Sleep(2 * cfg.AgainMost)
+		time.Sleep(2 * cfg.MaxRefusalDelay)
 		if n := tries.Load(); n != 1 {
 			t.Errorf("handed to the leader %d times", n)
 		}
--- a/internal/node/attach.go
+++ b/internal/node/attach.go
@@ -57,7 +57,7 @@
 	defer cancel()
 	offer := assist.Attachment{
 		Node: n.settings.Node, Address: n.settings.PeerAddress, DataCentre: n.settings.DataCentre,
-		Fitness: n.fitness(), Whole: n.replica.HasContent(),
+		Fitness: n.fitness(), HasContent: n.replica.HasContent(),
 	}
 	epoch, err := assist.Attach(ctx, n.caller, current.Address, offer)
 	switch {
--- a/internal/node/leading.go
+++ b/internal/node/leading.go
@@ -54,29 +54,29 @@
 	self := n.self
 	self.Epoch = epoch
 	runner := dispatch.New(dispatch.Config{
-		Plan:      n.planConfig(),
-		Self:      self,
-		Log:       n.store,
-		Jobs:      n.reader.Partition,
-		Registry:  platform.ExecutorPartition,
-		Decode:    platform.DecodeExecutor,
-		Executors: executors,
-		Replica:   n.replica,
-		Reader:    n.reader,
-		Helpers:   n.helpers,
-		Caller:    n.caller,
-		Bulk:      n.bulk,
-		Centre:    n.settings.DataCentre,
-		Link:      n.settings.LinkBytesPerSecond,
-		Full:      n.linkFull.Load,
-		Table:     n.table,
-		MayRenew:  n.elector.MayRenewLeases,
-		Replaced:  n.elector.Wake,
-		CutOff:    n.cutOff,
-		Renewed:   n.elector.LastRenewal,
-		HeardOf:   n.heardOf,
-		Append:    n.elector.LastAppendDuration(),
-		Events:    n.log.WithField("epoch", epoch),
+		Plan:               n.planConfig(),
+		Self:               self,
+		Log:                n.store,
+		Jobs:               n.reader.Partition,
+		Registry:           platform.ExecutorPartition,
+		Decode:             platform.DecodeExecutor,
+		Executors:          executors,
+		Replica:            n.replica,
+		Reader:             n.reader,
+		Peers:              n.helpers,
+		Caller:             n.caller,
+		BulkCaller:         n.bulk,
+		LocalDataCentre:    n.settings.DataCentre,
+		LinkBytesPerSecond: n.settings.LinkBytesPerSecond,
+		LinkFull:           n.linkFull.Load,
+		Configuration:      n.table,
+		CanRenewLeases:     n.elector.MayRenewLeases,
+		OnFenced:           n.elector.Wake,
+		CutOff:             n.cutOff,
+		LastRenewal:        n.elector.LastRenewal,
+		OnHigherEpoch:      n.heardOf,
+		LastAppendDuration: n.elector.LastAppendDuration(),
+		Logger:             n.log.WithField("epoch", epoch),
 	})
 	n.runner.Store(runner)
 	err := runner.Run(ctx)
@@ -100,7 +100,7 @@
 	if n.watch.Configuration() == nil { // nothing is known of the queues: how often to try, where, how late
 		return leader.Unsynced
 	}
-	return leader.AssessSuitability(n.settings.Processors, n.helpers.Fittest(time.Now()))
+	return leader.AssessSuitability(n.settings.Processors, n.helpers.MaxFitness(time.Now()))
 }
 
 // fitness returns the processors with which this machine could lead now.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -51,7 +51,7 @@
 	reader    *replica.Reader
 	intake    *intake.Intake
 	elector   *leader.Elector
-	helpers   *assist.Helpers
+	helpers   *assist.Peers
 	caller    assist.Caller
 	bulk      assist.Caller // content of records, on connections of its own
 	adviser   product.Adviser
@@ -100,7 +100,7 @@
 		Leads:     func() bool { return n.epoch.Load() != 0 },
 	}
 	n.intake = intake.New(intake.DefaultConfig(), n.store, jobs, n.relay, n.store.Down, n.replica.HasRequest, log)
-	n.helpers = assist.NewHelpers(s.Node, n.adviser, n.caller)
+	n.helpers = assist.NewPeers(s.Node, n.adviser, n.caller)
 	n.self = leader.Leader{Node: s.Node, Incarnation: api.Incarnation(rand.Uint64() | 1), Address: s.PeerAddress}
 	n.elector = leader.New(leader.Config{
 		// On connections of its own: a renewal never waits for a read of jobs.
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -50,7 +50,7 @@
 	}
 	current := n.elector.Current()
 	if current.Epoch == 0 || current.Address == n.settings.PeerAddress {
-		return assist.Same(assist.NotLeader, len(records)), 0
+		return assist.UniformResults(assist.NotLeader, len(records)), 0
 	}
 	ctx, cancel := n.whileLeads(ctx, current.Epoch)
 	defer cancel()
@@ -75,7 +75,7 @@
 		return nil
 	case assist.NotStored:
 		if lives {
-			return intake.ErrRefused
+			return intake.ErrStoreRefused
 		}
 		return intake.ErrNotStored
 	case assist.NotLeader:
@@ -84,7 +84,7 @@
 		return &intake.BusyError{RetryAfter: r.RetryAfter}
 	default:
 		if lives {
-			return intake.ErrUnderWay
+			return intake.ErrInProgress
 		}
 		return intake.ErrUnknown
 	}
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -30,7 +30,7 @@
 	time.Sleep(5 * time.Millisecond)
 	p.stored.Add(1)
 	answer := reply.(*assist.StoreAnswer)
-	answer.Results = assist.Same(assist.Stored, len(args.(*assist.StoreRequest).Records))
+	answer.Results = assist.UniformResults(assist.Stored, len(args.(*assist.StoreRequest).Records))
 	return nil
 }
 
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -79,15 +79,15 @@
 	server := peer.NewServer(peerLimits(), n.log)
 	server.CountTraffic(n.traffic)
 	handler := &assist.Handler{
-		Leads:      func() api.Epoch { return api.Epoch(n.epoch.Load()) },
-		Storer:     n.storer,
-		Receiver:   n.reader,
-		Electorate: n.elector,
-		LeaderCut:  n.leaderCut.Store,
-		Helpers:    n.helpers,
-		Adviser:    n.adviser,
-		Executors:  n.executors,
-		Longest:    adviceTimeout,
+		LeadingEpoch:    func() api.Epoch { return api.Epoch(n.epoch.Load()) },
+		Storer:          n.storer,
+		Receiver:        n.reader,
+		Elector:         n.elector,
+		SetLeaderCutOff: n.leaderCut.Store,
+		Peers:           n.helpers,
+		Adviser:         n.adviser,
+		Executors:       n.executors,
+		CallTimeout:     adviceTimeout,
 	}
 	if err := server.Register(assist.ServiceName, handler); err != nil {
 		n.log.WithError(err).Error("peer service not registered")
@@ -140,7 +140,7 @@
 // cutOff reports whether this machine reaches nobody who could have a job stored.
 func (n *Node) cutOff() bool {
 	now := time.Now()
-	beyond, spread := n.helpers.Beyond(n.settings.DataCentre, now)
+	beyond, spread := n.helpers.SinceContactOutside(n.settings.DataCentre, now)
 	return reach.Connectivity{
 		SinceStore:      n.store.SinceSuccess(now),
 		Leads:           n.epoch.Load() != 0,
--- a/internal/node/standing_test.go
+++ b/internal/node/standing_test.go
@@ -59,7 +59,7 @@
 			settings: &platform.Settings{Processors: 0.8},
 			replica:  replica.New(time.Minute, logging.Silent()),
 			watch:    &queue.Watcher{},
-			helpers:  assist.NewHelpers("a", nil, nil),
+			helpers:  assist.NewPeers("a", nil, nil),
 		}
 		r := &replica.Reader{Replica: n.replica, Log: emptyLog{}, Timing: replica.DefaultTiming()}
 		if err := r.Restore(t.Context()); err != nil {
