--- a/internal/dispatch/tidy.go
+++ b/internal/dispatch/cleanup.go
@@ -11,26 +11,26 @@
 	"github.com/skylarklock/skylarklock/internal/work"
 )
 
-// tidy keeps small what a process reads when it starts: of jobs that ended it
-// leaves only the outcome, and of jobs that ended long ago nothing.
-func (r *Runner) tidy(ctx context.Context) error {
+// cleanUp limits how much a process reads when it starts: of jobs that ended it keeps only the
+// outcome, and of jobs that ended long ago nothing.
+func (r *Runner) cleanUp(ctx context.Context) error {
 	now := time.Now()
-	ended := r.cfg.Replica.EndedJobs(now, wholeFor, tidyAtOnce)
-	expired := r.cfg.Replica.ExpiredJobs(now, tidyAtOnce)
+	ended := r.cfg.Replica.EndedJobs(now, submissionRetention, maxCleanupJobs)
+	expired := r.cfg.Replica.ExpiredJobs(now, maxCleanupJobs)
 	if len(ended)+len(expired) == 0 {
 		return nil
 	}
-	records, err := outcomes(ended)
+	records, err := outcomeRecords(ended)
 	if err != nil {
 		return err
 	}
-	records = append(records, deletions(expired)...)
+	records = append(records, deletionRecords(expired)...)
 	first, err := r.appendPart(ctx, records, true)
 	switch {
 	case errors.Is(err, platform.ErrFenced), ctx.Err() != nil:
 		return err
 	case err != nil:
-		// The cell is planned on without it; the next look finds the jobs again.
+		// Planning does not depend on the cleanup; the next one finds the same jobs again.
 		r.cfg.Logger.WithError(err).WithField("records", len(records)).Warn("records of ended jobs not cleared up")
 		return nil
 	}
@@ -41,10 +41,9 @@
 	return nil
 }
 
-// outcomes returns the records that stand for those of ended jobs. A job's
-// outcome comes before the deletions, so that there is no moment at which it is
-// unknown.
-func outcomes(ended []replica.EndedJob) ([]platform.Record, error) {
+// outcomeRecords returns the records that replace those of ended jobs. The outcome of a job
+// precedes the deletions, so that its state is known at every moment.
+func outcomeRecords(ended []replica.EndedJob) ([]platform.Record, error) {
 	var records []platform.Record
 	for _, e := range ended {
 		value, err := work.EncodeOutcome(&e.Outcome)
@@ -63,8 +62,8 @@
 	return records, nil
 }
 
-// deletions returns the records that delete all keys of jobs.
-func deletions(ids []work.ID) []platform.Record {
+// deletionRecords returns the records that delete all keys of jobs.
+func deletionRecords(ids []work.ID) []platform.Record {
 	var records []platform.Record
 	for _, id := range ids {
 		for _, kind := range []work.Kind{work.KindJob, work.KindProgress, work.KindCancellation, work.KindOutcome} {
--- a/internal/dispatch/busy_test.go
+++ b/internal/dispatch/cleanup_refused_test.go
@@ -8,21 +8,21 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// A store that refuses what the leader clears up doesn't end the leader.
+// A store that refuses the cleanup append as unavailable must not end leadership.
 func TestLeaderContinuesWhenStoreRefusesCleanup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newCellPlay(t)
-		p.log = pickyStore{p.store, platform.ErrUnavailable} // for now
+		p := newTestCell(t)
+		p.log = cleanupRefusingStore{p.store, platform.ErrUnavailable}
 		p.register("ready")
-		p.lead()
+		p.takeOver()
 		id := p.submit(1)
 		time.Sleep(500 * time.Millisecond)
-		p.mustRun()
+		p.requireOneRun()
 		p.cancel(id)
-		time.Sleep(wholeFor + 3*tidyEvery + tidyEvery/2)
+		time.Sleep(submissionRetention + 3*cleanupInterval + cleanupInterval/2)
 		p.submit(2)
 		time.Sleep(time.Second)
-		p.mustRun()
+		p.requireOneRun()
 		p.stop()
 	})
 }
--- a/internal/dispatch/hold.go
+++ b/internal/dispatch/hold.go
@@ -11,64 +11,64 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// keepHolds has one loop for each executor that should be called; r.mu is
-// held.
-func (r *Runner) keepHolds(ctx context.Context) {
+// startHoldLoops starts a hold loop for each executor of the cell that has none. The caller
+// holds r.mu.
+func (r *Runner) startHoldLoops(ctx context.Context) {
 	refs := r.cell.CallableExecutors()
 	for _, ref := range refs {
-		if r.holds[ref.ID] != nil {
+		if r.holdLoops[ref.ID] != nil {
 			continue
 		}
 		holdCtx, cancel := context.WithCancel(ctx)
-		r.holds[ref.ID] = cancel
-		r.spawn(func() { r.holdExecutor(holdCtx, ref.ID) })
+		r.holdLoops[ref.ID] = cancel
+		r.spawn(func() { r.runHoldLoop(holdCtx, ref.ID) })
 	}
 }
 
-// holdExecutor renews the lease of one executor and takes in its reports,
-// until the cell doesn't want it called any more.
-func (r *Runner) holdExecutor(ctx context.Context, id string) {
-	defer r.endHold(id)
+// runHoldLoop renews the lease of one executor and handles its reports until the cell no
+// longer wants the executor to be called.
+func (r *Runner) runHoldLoop(ctx context.Context, id string) {
+	defer r.removeHoldLoop(id)
 	connected := false
-	var ends unseen
-	faulty := false
+	var pending unacknowledgedEnds
+	malformed := false
 	for ctx.Err() == nil {
 		r.mu.Lock()
-		asked := time.Now()
+		sentAt := time.Now()
 		h, wanted := r.cell.NextHold(id, plan.HoldTerms{Connected: connected, Renew: r.cfg.CanRenewLeases(), Wait: holdWait})
 		r.mu.Unlock()
 		if !wanted {
 			return
 		}
-		report, err := r.hold(ctx, h)
+		report, err := r.sendHold(ctx, h)
 		connected = err == nil
 		if errors.Is(err, platform.ErrNotConnected) {
-			continue // the next one opens a connection
+			continue // the next hold opens a new connection
 		}
 		if err != nil {
-			if r.holdFailed(ctx, h, err) {
+			if r.handleHoldError(ctx, h, err) {
 				return
 			}
 			continue
 		}
-		if report.StartTimeErr != nil && !faulty {
-			r.cfg.Logger.WithError(report.StartTimeErr).Warn("executor's answer doesn't tell which life of it answers; it is held all the same")
+		if report.StartTimeErr != nil && !malformed {
+			r.cfg.Logger.WithError(report.StartTimeErr).Warn("executor's report does not identify its incarnation; its lease is renewed anyway")
 		}
-		faulty = report.StartTimeErr != nil
-		r.takeReport(ctx, h, report, asked, &ends)
-		pause.For(ctx, holdPace-time.Since(asked))
+		malformed = report.StartTimeErr != nil
+		r.handleReport(ctx, h, report, sentAt, &pending)
+		pause.For(ctx, minHoldInterval-time.Since(sentAt))
 	}
 }
 
-func (r *Runner) hold(ctx context.Context, h plan.Hold) (platform.ExecutorReport, error) {
+func (r *Runner) sendHold(ctx context.Context, h plan.Hold) (platform.ExecutorReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, holdTimeout+h.Order.MaxWait)
 	defer cancel()
 	return r.cfg.Executors.Hold(ctx, h.To, h.Order)
 }
 
-// holdFailed reports whether the executor's life is over.
-func (r *Runner) holdFailed(ctx context.Context, h plan.Hold, err error) bool {
-	r.noticeFence(h.To, h.Order.FencingToken, err)
+// handleHoldError records a failed hold and reports whether the executor incarnation has ended.
+func (r *Runner) handleHoldError(ctx context.Context, h plan.Hold, err error) bool {
+	r.reportForeignToken(h.To, h.Order.FencingToken, err)
 	var refused *platform.RefusedError
 	if errors.As(err, &refused) && refused.Reason == platform.RefusedOtherIncarnation {
 		r.mu.Lock()
@@ -81,49 +81,50 @@
 	r.cell.HandleNoReport(h, time.Now())
 	r.mu.Unlock()
 	r.cfg.Logger.WithError(err).WithField("executor", h.To.ID).Debug("no report")
-	pause.For(ctx, holdRetry)
+	pause.For(ctx, holdRetryDelay)
 	return false
 }
 
-// unseen are ends that were applied and that the executor may be told of as seen
-// once they are durable.
-type unseen struct {
-	of      plan.Hold // whose answer brought them
-	upTo    uint64
-	durable <-chan struct{} // closed when they are; nil: there are none
+// unacknowledgedEnds are ends of runs that were applied but not yet acknowledged to the
+// executor, which happens once they are durable.
+type unacknowledgedEnds struct {
+	hold    plan.Hold       // the hold whose report listed the ends
+	upTo    uint64          // number of the last of these ends
+	durable <-chan struct{} // closed once the ends are durable; nil if there are none
 }
 
-// takeReport applies a report. Ends are told to the executor as seen only
-// after they are durable. That is waited for, but no longer than a lease can
-// do without renewal: while the store is down nothing becomes durable.
-func (r *Runner) takeReport(ctx context.Context, h plan.Hold, report platform.ExecutorReport, asked time.Time, ends *unseen) {
+// handleReport applies a report. Ends of runs are acknowledged to the executor only once they
+// are durable, because the executor may forget an acknowledged end. handleReport waits for
+// that for at most holdWait, so that the lease is renewed in time: nothing becomes durable
+// while the store is down.
+func (r *Runner) handleReport(ctx context.Context, h plan.Hold, report platform.ExecutorReport, sentAt time.Time, pending *unacknowledgedEnds) {
 	r.mu.Lock()
-	news := r.cell.HandleReport(h, report, asked, time.Now())
-	if news {
-		*ends = unseen{of: h, upTo: r.cell.AppliedEnds(h), durable: r.cycle}
+	hasEnds := r.cell.HandleReport(h, report, sentAt, time.Now())
+	if hasEnds {
+		*pending = unacknowledgedEnds{hold: h, upTo: r.cell.AppliedEnds(h), durable: r.cycleDone}
 	}
 	r.mu.Unlock()
-	if news {
+	if hasEnds {
 		r.Wake()
 	}
-	if ends.durable == nil {
+	if pending.durable == nil {
 		return
 	}
-	renew := time.NewTimer(holdWait)
-	defer renew.Stop()
+	timer := time.NewTimer(holdWait)
+	defer timer.Stop()
 	select {
-	case <-ends.durable:
+	case <-pending.durable:
 		r.mu.Lock()
-		r.cell.MarkEndsDurable(ends.of, ends.upTo)
+		r.cell.MarkEndsDurable(pending.hold, pending.upTo)
 		r.mu.Unlock()
-		*ends = unseen{}
-	case <-renew.C:
+		*pending = unacknowledgedEnds{}
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-func (r *Runner) endHold(id string) {
+func (r *Runner) removeHoldLoop(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.holds, id)
+	delete(r.holdLoops, id)
 }
--- a/internal/dispatch/orders.go
+++ b/internal/dispatch/orders.go
@@ -10,43 +10,43 @@
 	"github.com/skylarklock/skylarklock/internal/plan"
 )
 
-// batch holds the orders to the executors of one data centre.
-type batch struct {
+// orderBatch holds the orders to the executors of one data centre.
+type orderBatch struct {
 	starts []plan.ConfirmedStart
 	stops  []plan.Stop
 }
 
-// byDataCentre divides orders by where their executors are.
-func byDataCentre(starts []plan.ConfirmedStart, stops []plan.Stop) map[string]*batch {
-	batches := make(map[string]*batch)
-	of := func(centre string) *batch {
-		b := batches[centre]
+// groupByDataCentre groups orders by the data centre of their executors.
+func groupByDataCentre(starts []plan.ConfirmedStart, stops []plan.Stop) map[string]*orderBatch {
+	batches := make(map[string]*orderBatch)
+	batchOf := func(dataCentre string) *orderBatch {
+		b := batches[dataCentre]
 		if b == nil {
-			b = &batch{}
-			batches[centre] = b
+			b = &orderBatch{}
+			batches[dataCentre] = b
 		}
 		return b
 	}
 	for _, o := range starts {
-		b := of(o.Start.DataCentre)
+		b := batchOf(o.Start.DataCentre)
 		b.starts = append(b.starts, o)
 	}
 	for _, s := range stops {
-		b := of(s.DataCentre)
+		b := batchOf(s.DataCentre)
 		b.stops = append(b.stops, s)
 	}
 	return batches
 }
 
-// sendOrders sends starts and stops, those to executors of one data centre by a
+// sendOrders sends starts and stops; those to executors of one data centre are relayed by a
 // machine there.
 func (r *Runner) sendOrders(ctx context.Context, starts []plan.ConfirmedStart, stops []plan.Stop) {
-	for centre, b := range byDataCentre(starts, stops) {
-		r.spawn(func() { r.sendBatch(ctx, centre, b) })
+	for dataCentre, b := range groupByDataCentre(starts, stops) {
+		r.spawn(func() { r.sendBatch(ctx, dataCentre, b) })
 	}
 }
 
-func (r *Runner) sendBatch(ctx context.Context, centre string, b *batch) {
+func (r *Runner) sendBatch(ctx context.Context, dataCentre string, b *orderBatch) {
 	items := make([]assist.StartItem, len(b.starts))
 	for i, o := range b.starts {
 		items[i] = assist.StartItem{To: o.Start.To, Order: o.Order}
@@ -55,21 +55,21 @@
 	for i, s := range b.stops {
 		stops[i] = assist.StopItem{To: s.To, Run: s.Run, Token: s.Token}
 	}
-	errs, relayed := r.cfg.Peers.Relay(ctx, centre, items, stops, time.Now())
+	errs, relayed := r.cfg.Peers.Relay(ctx, dataCentre, items, stops, time.Now())
 	if !relayed {
-		r.sendThemselves(ctx, b)
+		r.sendDirectly(ctx, b)
 		return
 	}
 	for i, o := range b.starts {
-		r.startAnswered(o, errs[i])
+		r.handleStartResult(o, errs[i])
 	}
 	for i, s := range b.stops {
-		r.stopAnswered(s, errs[len(b.starts)+i])
+		r.handleStopResult(s, errs[len(b.starts)+i])
 	}
 }
 
-// sendThemselves sends orders from here, since there is no machine that could.
-func (r *Runner) sendThemselves(ctx context.Context, b *batch) {
+// sendDirectly sends orders from this machine, because no machine could relay them.
+func (r *Runner) sendDirectly(ctx context.Context, b *orderBatch) {
 	for _, o := range b.starts {
 		r.spawn(func() { r.sendStart(ctx, o) })
 	}
@@ -82,12 +82,12 @@
 	ctx, cancel := context.WithTimeout(ctx, assist.OrderTimeout)
 	defer cancel()
 	_, err := r.cfg.Executors.Start(ctx, o.Start.To, o.Order)
-	r.startAnswered(o, err)
+	r.handleStartResult(o, err)
 }
 
-func (r *Runner) startAnswered(o plan.ConfirmedStart, err error) {
+func (r *Runner) handleStartResult(o plan.ConfirmedStart, err error) {
 	s := o.Start
-	r.noticeFence(s.To, o.Order.FencingToken, err)
+	r.reportForeignToken(s.To, o.Order.FencingToken, err)
 	r.mu.Lock()
 	r.cell.HandleStartAnswer(s, err, time.Now())
 	r.mu.Unlock()
@@ -101,11 +101,11 @@
 	ctx, cancel := context.WithTimeout(ctx, assist.OrderTimeout)
 	defer cancel()
 	_, err := r.cfg.Executors.Stop(ctx, s.To, s.Run, s.Token)
-	r.stopAnswered(s, err)
+	r.handleStopResult(s, err)
 }
 
-func (r *Runner) stopAnswered(s plan.Stop, err error) {
-	r.noticeFence(s.To, s.Token, err)
+func (r *Runner) handleStopResult(s plan.Stop, err error) {
+	r.reportForeignToken(s.To, s.Token, err)
 	r.mu.Lock()
 	r.cell.HandleStopAnswer(s, err, time.Now())
 	r.mu.Unlock()
--- a/internal/dispatch/registry.go
+++ b/internal/dispatch/registry.go
@@ -12,37 +12,37 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// Timing of the reader of executors' records.
+// Timing of registry reads.
 const (
-	// registryPace is the time between two reads: each executor writes a
-	// heartbeat about every 1.5 s, so waiting for a record would read all
-	// the time. A leaving executor may be given work for 2 s at least.
-	registryPace    = 300 * time.Millisecond
-	registryTimeout = 700 * time.Millisecond
+	// registryInterval is the time between two reads. Each executor writes a heartbeat about
+	// every 1.5 s, so a read that waits for new records would return all the time. A leaving
+	// executor keeps accepting work for at least 2 s.
+	registryInterval = 300 * time.Millisecond
+	registryTimeout  = 700 * time.Millisecond
 )
 
-// DecodeExecutor reads an executor's record.
+// DecodeExecutor decodes an executor's record.
 type DecodeExecutor func(id string, data []byte) (*fleet.Executor, error)
 
-// registry follows the records in which executors describe themselves.
+// registry follows the records in which executors register themselves.
 type registry struct {
-	log       platform.PartitionLog
-	partition platform.Partition
-	decode    DecodeExecutor
-	faults    *platform.UnreadableLogger
-	listed    map[string]*fleet.Executor
-	next      platform.Offset
-	read      bool // the newest records were read once
+	log        platform.PartitionLog
+	partition  platform.Partition
+	decode     DecodeExecutor
+	unreadable *platform.UnreadableLogger
+	listed     map[string]*fleet.Executor
+	next       platform.Offset
+	restored   bool // whether the newest records have been read once
 }
 
-func newRegistry(log platform.PartitionLog, p platform.Partition, decode DecodeExecutor, events *logrus.Entry) *registry {
-	return &registry{log: log, partition: p, decode: decode, faults: &platform.UnreadableLogger{Logger: events.WithField("topic", p.Topic)}}
+func newRegistry(log platform.PartitionLog, p platform.Partition, decode DecodeExecutor, logger *logrus.Entry) *registry {
+	return &registry{log: log, partition: p, decode: decode, unreadable: &platform.UnreadableLogger{Logger: logger.WithField("topic", p.Topic)}}
 }
 
-// refresh reads what was written since the last call and reports whether
-// something but heartbeats was.
+// refresh reads what was written since the last call and reports whether it contained
+// anything but heartbeats.
 func (g *registry) refresh(ctx context.Context) (bool, error) {
-	if !g.read {
+	if !g.restored {
 		return true, g.restore(ctx)
 	}
 	ctx, cancel := context.WithTimeout(ctx, registryTimeout)
@@ -65,34 +65,34 @@
 
 // restore reads the newest record of every executor.
 func (g *registry) restore(ctx context.Context) error {
-	fresh := &registry{decode: g.decode, faults: g.faults, listed: make(map[string]*fleet.Executor)}
+	fresh := &registry{decode: g.decode, unreadable: g.unreadable, listed: make(map[string]*fleet.Executor)}
 	next, err := platform.ReadNewest(ctx, g.log, g.partition, platform.PageTimeout{Initial: registryTimeout}, func(records []platform.Record) {
 		for _, r := range records {
 			fresh.apply(r)
 		}
 	}, func(err error) {
-		g.faults.Logger.WithError(err).Debug("page of the newest records not read; it is asked for again")
+		g.unreadable.Logger.WithError(err).Debug("page of the newest records could not be read; retrying")
 	})
 	if err != nil {
 		return err
 	}
-	g.listed, g.next, g.read = fresh.listed, next, true
+	g.listed, g.next, g.restored = fresh.listed, next, true
 	return nil
 }
 
-// mostRecalled bounds how many records former reads, 300 bytes each: some 20 s of the
-// heartbeats of 500 executors.
-const mostRecalled = 8000
+// maxHistoryRecords bounds how many records findFormer reads. At 300 bytes each, they are the
+// heartbeats of 500 executors over some 20 s.
+const maxHistoryRecords = 8000
 
-// former returns what the registry last said of executors that it doesn't list any more,
-// as far as its history goes back.
-func (g *registry) former(ctx context.Context, ids []string) (map[string]*fleet.Executor, error) {
+// findFormer returns the last registered state of executors that are no longer listed, as far
+// as the registry's history goes back.
+func (g *registry) findFormer(ctx context.Context, ids []string) (map[string]*fleet.Executor, error) {
 	wanted := make(map[string]bool, len(ids))
 	for _, id := range ids {
 		wanted[id] = true
 	}
 	found := make(map[string]*fleet.Executor)
-	for from := g.next - min(g.next, mostRecalled); from < g.next; {
+	for from := g.next - min(g.next, maxHistoryRecords); from < g.next; {
 		batch, err := g.readHistory(ctx, from)
 		var trimmed *platform.TrimmedError
 		if errors.As(err, &trimmed) && trimmed.First > from {
@@ -106,7 +106,7 @@
 			if !wanted[r.Key] || len(r.Value) == 0 || r.Err != nil {
 				continue
 			}
-			if e, err := g.decode(r.Key, r.Value); err == nil { // others are told of where they are read first
+			if e, err := g.decode(r.Key, r.Value); err == nil { // an undecodable record was logged when it was first read
 				found[r.Key] = e
 			}
 		}
@@ -124,12 +124,12 @@
 	return g.log.Read(ctx, g.partition, from, 0)
 }
 
-// apply takes in one record and reports whether it brought news. An executor
-// whose newest record can't be read isn't listed; what the cell knows to run there
-// is held all the same.
+// apply applies one record and reports whether it changed the list of executors. An executor
+// whose newest record cannot be decoded is not listed; the cell continues to renew its lease
+// while runs are known there.
 func (g *registry) apply(r platform.Record) bool {
 	before := g.listed[r.Key]
-	e := g.executor(r)
+	e := g.decodeRecord(r)
 	if e == nil {
 		delete(g.listed, r.Key)
 		return before != nil
@@ -138,29 +138,29 @@
 	return before == nil || !before.Equal(e)
 }
 
-// executor returns the executor that a record describes; nil if it is a deletion
-// or can't be read.
-func (g *registry) executor(r platform.Record) *fleet.Executor {
+// decodeRecord returns the executor that a record describes, or nil if the record is a
+// deletion or cannot be decoded.
+func (g *registry) decodeRecord(r platform.Record) *fleet.Executor {
 	var e *fleet.Executor
 	err := r.Err
 	if len(r.Value) > 0 {
 		e, err = g.decode(r.Key, r.Value)
 	}
 	if err != nil {
-		g.faults.LogUnreadable(r, err)
+		g.unreadable.LogUnreadable(r, err)
 		return nil
 	}
-	g.faults.MarkReadable(r.Key)
+	g.unreadable.MarkReadable(r.Key)
 	return e
 }
 
-// followRegistry keeps the cell's list of executors up to date.
-func (r *Runner) followRegistry(ctx context.Context) {
+// watchRegistry keeps the cell's list of executors up to date.
+func (r *Runner) watchRegistry(ctx context.Context) {
 	g := newRegistry(r.cfg.Log, r.cfg.Registry, r.cfg.Decode, r.cfg.Logger)
 	for ctx.Err() == nil {
 		changed, err := g.refresh(ctx)
 		if err != nil {
-			r.cfg.Logger.WithError(err).Debug("executors not read")
+			r.cfg.Logger.WithError(err).Debug("executor registry could not be read")
 		}
 		if err == nil && changed {
 			r.mu.Lock()
@@ -168,21 +168,21 @@
 			unaddressed := r.cell.ExecutorsWithoutAddress()
 			r.mu.Unlock()
 			r.Wake()
-			r.recall(ctx, g, unaddressed)
+			r.recoverAddresses(ctx, g, unaddressed)
 		}
-		pause.For(ctx, registryPace)
+		pause.For(ctx, registryInterval)
 	}
 }
 
-// recall tells the cell where executors were that run something by a former leader's word
-// and aren't registered any more.
-func (r *Runner) recall(ctx context.Context, g *registry, ids []string) {
+// recoverAddresses looks up the last known addresses of executors that are no longer
+// registered but may still have runs of a former leader, and passes them to the cell.
+func (r *Runner) recoverAddresses(ctx context.Context, g *registry, ids []string) {
 	if len(ids) == 0 {
 		return
 	}
-	found, err := g.former(ctx, ids)
+	found, err := g.findFormer(ctx, ids)
 	if err != nil {
-		r.cfg.Logger.WithError(err).Info("history of the registry not read: executors that are gone are waited for until their leases are over")
+		r.cfg.Logger.WithError(err).Info("registry history could not be read; unregistered executors are kept until their leases expire")
 	}
 	r.mu.Lock()
 	for _, e := range found {
--- a/internal/dispatch/registry_test.go
+++ b/internal/dispatch/registry_test.go
@@ -18,18 +18,18 @@
 	"github.com/skylarklock/skylarklock/platform/standin"
 )
 
-// records is a keyed partition in memory. Below first its history is gone.
-type records struct {
+// memoryPartition is a keyed partition in memory. Records before offset first have been trimmed.
+type memoryPartition struct {
 	platform.PartitionLog
 	all   []platform.Record
 	first platform.Offset
 }
 
-func (l *records) put(key, value string) {
+func (l *memoryPartition) put(key, value string) {
 	l.all = append(l.all, platform.Record{Offset: platform.Offset(len(l.all)), Key: key, Value: []byte(value)})
 }
 
-func (l *records) Read(_ context.Context, _ platform.Partition, from platform.Offset, _ time.Duration) (platform.RecordBatch, error) {
+func (l *memoryPartition) Read(_ context.Context, _ platform.Partition, from platform.Offset, _ time.Duration) (platform.RecordBatch, error) {
 	if from < l.first {
 		return platform.RecordBatch{}, &platform.TrimmedError{From: from, First: l.first}
 	}
@@ -37,7 +37,7 @@
 	return platform.RecordBatch{Records: slices.Clone(l.all[from:]), Next: end, End: end}, nil
 }
 
-func (l *records) Newest(_ context.Context, _ platform.Partition, after string) (platform.NewestPage, error) {
+func (l *memoryPartition) Newest(_ context.Context, _ platform.Partition, after string) (platform.NewestPage, error) {
 	newest := make(map[string]platform.Record)
 	for _, r := range l.all {
 		newest[r.Key] = r
@@ -54,13 +54,13 @@
 	return page, nil
 }
 
-// executorOf returns the record of an executor.
-func executorOf(service, state, rack string) string {
+// executorRecord returns the registry record of an executor.
+func executorRecord(service, state, rack string) string {
 	return string(standin.Registration{Service: service, Address: "10.0.0.9:80", State: state, Rack: rack, MilliCPU: 16000, MemoryMB: 32768}.Record())
 }
 
-// loggedRegistry returns a registry that reads the records, and what it logs.
-func loggedRegistry(log *records) (*registry, *bytes.Buffer) {
+// newTestRegistry returns a registry that reads the partition, and the buffer that it logs to.
+func newTestRegistry(log *memoryPartition) (*registry, *bytes.Buffer) {
 	var logged bytes.Buffer
 	logger := logrus.New()
 	logger.SetOutput(&logged)
@@ -76,109 +76,108 @@
 	return changed
 }
 
-// An executor whose record can't be read any more is no executor to use, until
-// its record can be read again.
+// An executor whose record has become unreadable must not be used until its record is readable again.
 func TestExecutorWithUnreadableRecordIsNotListed(t *testing.T) {
-	log := &records{}
-	log.put("e", executorOf("svc", "ready", "r1"))
-	g, _ := loggedRegistry(log)
+	log := &memoryPartition{}
+	log.put("e", executorRecord("svc", "ready", "r1"))
+	g, _ := newTestRegistry(log)
 	mustRefresh(t, g)
 	if g.listed["e"] == nil {
-		t.Fatal("executor isn't listed")
+		t.Fatal("the executor is not listed")
 	}
-	log.put("e", executorOf("svc", "parked", "r1"))
+	log.put("e", executorRecord("svc", "parked", "r1"))
 	if changed := mustRefresh(t, g); !changed || g.listed["e"] != nil {
-		t.Errorf("changed %v, listed %v after a record that can't be read", changed, g.listed["e"])
+		t.Errorf("changed %v, listed %v after an unreadable record", changed, g.listed["e"])
 	}
-	log.put("e", executorOf("svc", "ready", "r1"))
+	log.put("e", executorRecord("svc", "ready", "r1"))
 	if changed := mustRefresh(t, g); !changed || g.listed["e"] == nil {
-		t.Errorf("changed %v, listed %v after a record that can be read", changed, g.listed["e"])
+		t.Errorf("changed %v, listed %v after a readable record", changed, g.listed["e"])
 	}
 }
 
-// What is read record by record and what is read from the newest records of
-// each key lists the same executors, at each place of a history.
+// Reading a partition record by record and restoring from the newest record of each key list the
+// same executors at each point of a history.
 func TestReadAndRestoreListSameExecutors(t *testing.T) {
-	good, draining, foreign := executorOf("svc", "ready", "r1"), executorOf("svc", "draining", "r1"), executorOf("other", "ready", "r1")
+	good, draining, foreign := executorRecord("svc", "ready", "r1"), executorRecord("svc", "draining", "r1"), executorRecord("other", "ready", "r1")
 	history := []struct{ key, value string }{
 		{"a", good}, {"b", good}, {"a", "{}"}, {"b", draining}, {"c", "null"}, {"c", good}, {"b", "\xff\xfe"},
-		{"a", foreign}, {"", good}, {"a", good}, {"c", ""}, {"d", "[]"}, {"b", good}, {"a", executorOf("svc", "parked", "r1")},
-		{"d", ""}, {"b", executorOf("svc", "ready", "r2")},
+		{"a", foreign}, {"", good}, {"a", good}, {"c", ""}, {"d", "[]"}, {"b", good}, {"a", executorRecord("svc", "parked", "r1")},
+		{"d", ""}, {"b", executorRecord("svc", "ready", "r2")},
 	}
-	log := &records{}
-	follows, _ := loggedRegistry(log)
-	mustRefresh(t, follows)
+	log := &memoryPartition{}
+	reader, _ := newTestRegistry(log)
+	mustRefresh(t, reader)
 	for i, r := range history {
 		log.put(r.key, r.value)
-		mustRefresh(t, follows)
-		restores, _ := loggedRegistry(log)
-		mustRefresh(t, restores)
-		if !reflect.DeepEqual(follows.listed, restores.listed) {
-			t.Errorf("after record %d: read %v, restored %v", i, names(follows.listed), names(restores.listed))
+		mustRefresh(t, reader)
+		restored, _ := newTestRegistry(log)
+		mustRefresh(t, restored)
+		if !reflect.DeepEqual(reader.listed, restored.listed) {
+			t.Errorf("after record %d: read %v, restored %v", i, names(reader.listed), names(restored.listed))
 		}
 	}
 }
 
 func names(listed map[string]*fleet.Executor) []string { return slices.Sorted(maps.Keys(listed)) }
 
-// Whatever a record says otherwise than before is news, and a repeat is not.
+// refresh reports each difference from the previous record as a change, but no repetition.
 func TestRefreshReportsEachChange(t *testing.T) {
-	log := &records{}
-	log.put("e", executorOf("other", "ready", "r1"))
-	g, _ := loggedRegistry(log)
+	log := &memoryPartition{}
+	log.put("e", executorRecord("other", "ready", "r1"))
+	g, _ := newTestRegistry(log)
 	mustRefresh(t, g)
 	for _, c := range []struct {
-		what, record string
-		news         bool
+		name, record string
+		want         bool
 	}{
-		{"a heartbeat", executorOf("other", "ready", "r1"), false},
-		{"another service", executorOf("svc", "ready", "r1"), true},
-		{"another rack", executorOf("svc", "ready", "r2"), true},
-		{"another state", executorOf("svc", "draining", "r2"), true},
-		{"a record that can't be read", "{}", true},
-		{"another one", "null", false},
-		{"a deletion of what isn't listed", "", false},
+		{"a heartbeat", executorRecord("other", "ready", "r1"), false},
+		{"another service", executorRecord("svc", "ready", "r1"), true},
+		{"another rack", executorRecord("svc", "ready", "r2"), true},
+		{"another state", executorRecord("svc", "draining", "r2"), true},
+		{"an unreadable record", "{}", true},
+		{"another unreadable record", "null", false},
+		{"a deletion of an unlisted executor", "", false},
 	} {
 		log.put("e", c.record)
-		if changed := mustRefresh(t, g); changed != c.news {
-			t.Errorf("%s: changed %v, want %v", c.what, changed, c.news)
+		if changed := mustRefresh(t, g); changed != c.want {
+			t.Errorf("%s: changed %v, want %v", c.name, changed, c.want)
 		}
 	}
 }
 
-// An unreadable record is logged once with its place, not at each heartbeat of
-// its writer and each restore.
+// An unreadable record is logged once with its offset, not again for each heartbeat of its writer
+// and each restore.
 func TestUnreadableRecordIsLoggedOnce(t *testing.T) {
-	log := &records{}
-	log.put("good", executorOf("svc", "ready", "r1"))
+	log := &memoryPartition{}
+	log.put("good", executorRecord("svc", "ready", "r1"))
 	log.put("bad", "{}")
-	g, logged := loggedRegistry(log)
+	g, logged := newTestRegistry(log)
 	mustRefresh(t, g)
 	for range 3 {
 		log.put("bad", "{}")
 		mustRefresh(t, g)
 		log.first = platform.Offset(len(log.all))
-		log.put("good", executorOf("svc", "ready", "r1"))
-		g.next = 0 // what it knew is gone: it restores
+		log.put("good", executorRecord("svc", "ready", "r1"))
+		g.next = 0 // the registry's position was trimmed, so it restores
 		mustRefresh(t, g)
 	}
 	if n := strings.Count(logged.String(), "level=error"); n != 1 || !strings.Contains(logged.String(), "offset=1") {
 		t.Errorf("logged %d times:\n%s", n, logged)
 	}
-	log.put("bad", executorOf("svc", "ready", "r1"))
+	log.put("bad", executorRecord("svc", "ready", "r1"))
 	log.put("bad", "null")
 	mustRefresh(t, g)
 	if n := strings.Count(logged.String(), "level=error"); n != 2 {
-		t.Errorf("a record that was readable meanwhile: logged %d times:\n%s", n, logged)
+		t.Errorf("an executor whose record was readable in between: logged %d times:\n%s", n, logged)
 	}
 }
 
-// A malformed record doesn't keep those after it from being read, and is logged
-// once with its place; one whose key is known names no executor.
+// A malformed record does not prevent later records from being read and is logged once with its
+// offset. If its key is known, the executor is no longer listed.
 func TestMalformedRecordIsSkipped(t *testing.T) {
-	log := &records{}
-	log.put("e", executorOf("svc", "ready", "r1"))
-	g, logged := loggedRegistry(log)
+	log := &memoryPartition{}
+	log.put("e", executorRecord("svc", "ready", "r1"))
+	g, logged := newTestRegistry(log)
 	mustRefresh(t, g)
 	malformed := func(key string) {
 		log.put(key, "")
@@ -187,36 +186,36 @@
 	malformed("")
 	malformed("e")
 	malformed("")
-	log.put("f", executorOf("svc", "ready", "r1"))
+	log.put("f", executorRecord("svc", "ready", "r1"))
 	for range 2 {
 		mustRefresh(t, g)
-		g.next = 1 // the records are read once more
+		g.next = 1 // read the records once more
 	}
 	if listed := names(g.listed); !slices.Equal(listed, []string{"f"}) {
-		t.Errorf("listed: %v", listed)
+		t.Errorf("listed: %v, want f", listed)
 	}
 	if n := strings.Count(logged.String(), "level=error"); n != 3 || !strings.Contains(logged.String(), "topic=servers") {
-		t.Errorf("three records are logged %d times:\n%s", n, logged)
+		t.Errorf("three records were logged %d times:\n%s", n, logged)
 	}
 }
 
 func TestFormerExecutorsAreFoundInHistory(t *testing.T) {
-	log := &records{}
-	log.put("a", executorOf("svc", "ready", "r1"))
-	log.put("b", executorOf("svc", "ready", "r1"))
-	log.put("a", executorOf("svc", "draining", "r1"))
+	log := &memoryPartition{}
+	log.put("a", executorRecord("svc", "ready", "r1"))
+	log.put("b", executorRecord("svc", "ready", "r1"))
+	log.put("a", executorRecord("svc", "draining", "r1"))
 	log.put("a", "")
 	log.put("b", "")
-	log.put("c", executorOf("svc", "ready", "r1"))
-	g, _ := loggedRegistry(log)
+	log.put("c", executorRecord("svc", "ready", "r1"))
+	g, _ := newTestRegistry(log)
 	mustRefresh(t, g)
-	found, err := g.former(t.Context(), []string{"a", "b", "x"})
+	found, err := g.findFormer(t.Context(), []string{"a", "b", "x"})
 	if err != nil || len(found) != 2 || !found["a"].Draining || found["b"].Draining {
-		t.Errorf("found %v, %v; want the last records of a and b", names(found), err)
+		t.Errorf("found %v, error %v; want the last records of a and b", names(found), err)
 	}
 	log.first = 2
-	found, err = g.former(t.Context(), []string{"a", "b"})
+	found, err = g.findFormer(t.Context(), []string{"a", "b"})
 	if err != nil || len(found) != 1 || found["a"] == nil {
-		t.Errorf("found %v, %v in what is left of the history; want a", names(found), err)
+		t.Errorf("found %v, error %v in the trimmed history; want a", names(found), err)
 	}
 }
--- a/internal/dispatch/repeat_test.go
+++ b/internal/dispatch/resubmit_test.go
@@ -9,32 +9,31 @@
 	"github.com/skylarklock/skylarklock/internal/replica"
 )
 
-// A submission that is handed in once more, to a leader that knows of its job
-// the outcome only, starts nothing.
+// A submission that is repeated to a leader that knows only the outcome of its job starts nothing.
 func TestRepeatedSubmissionOfEndedJobStartsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newCellPlay(t)
+		p := newTestCell(t)
 		p.register("ready")
-		p.lead()
+		p.takeOver()
 		id := p.submit(1)
 		time.Sleep(500 * time.Millisecond)
-		p.mustRun()
+		p.requireOneRun()
 		p.cancel(id)
-		time.Sleep(wholeFor + 3*tidyEvery)
-		p.idleWithin(0)
+		time.Sleep(submissionRetention + 3*cleanupInterval)
+		p.requireIdleAfter(0)
 		p.stop()
 		p.replica = replica.New(time.Hour, logging.Silent())
 		p.reader = &replica.Reader{
-			Replica: p.replica, Log: p.store, Partition: playJobs,
+			Replica: p.replica, Log: p.store, Partition: jobsPartition,
 			Timing: replica.DefaultTiming(), Leads: func() bool { return true },
 		}
-		p.lead()
+		p.takeOver()
 		time.Sleep(500 * time.Millisecond)
 		if e, _ := p.replica.Get(id); e.Outcome == nil {
 			t.Fatal("the job has no outcome")
 		}
 		p.submit(1)
-		p.idleWithin(time.Second)
+		p.requireIdleAfter(time.Second)
 		p.stop()
 	})
 }
--- a/internal/dispatch/runner.go
+++ b/internal/dispatch/runner.go
@@ -1,7 +1,6 @@
-// Package dispatch carries out what package plan decides for a cell: it makes
-// progress durable, sends starts and stops, keeps the leases of executors,
-// reads their reports and the registry, and has advice asked for. It runs on
-// the machine that leads the cell.
+// Package dispatch carries out the decisions of package plan for a cell: it makes progress
+// durable, sends starts and stops, renews the leases of executors, reads their reports and the
+// registry, and requests advice. It runs on the machine that leads the cell.
 package dispatch
 
 import (
@@ -26,109 +25,109 @@
 
 // Timing of the loops.
 const (
-	cyclePace   = 10 * time.Millisecond  // least time between two cycles: what comes meanwhile shares an append
-	cycleIdle   = 100 * time.Millisecond // longest time between two cycles: tickets and leases end without an event
-	attendPace  = 10 * time.Millisecond  // least time between two looks for stops to send and executors to call
-	attendIdle  = 100 * time.Millisecond // longest time between two of them: stops become due again without an event
-	askPace     = 5 * time.Millisecond   // least time between two looks for calls for advice that are due
-	holdWait    = time.Second            // how long an executor's report waits for an end
-	holdTimeout = 700 * time.Millisecond // for a report, beside its wait
-	holdPace    = 40 * time.Millisecond  // least time between two holds on an executor: ends close together share one
-	holdRetry   = 200 * time.Millisecond
-	askTimeout  = 3 * time.Second // of a call for advice, which may wait behind others
-	tidyEvery   = time.Second     // between two looks for jobs that ended
-	tidyAtOnce  = 2000            // such jobs at a look: 5,000 starts a second end fewer jobs, and their records fit one append
-	wholeFor    = 5 * time.Second // after its end a job's submission is kept for runs that come to light late
+	minCycleInterval    = 10 * time.Millisecond  // minimum time between two cycles; everything that arrives in between shares an append
+	maxCycleInterval    = 100 * time.Millisecond // maximum time between two cycles; tickets and leases expire without an event
+	minExecutorInterval = 10 * time.Millisecond  // minimum time between two checks for stops to send and executors to call
+	maxExecutorInterval = 100 * time.Millisecond // maximum time between two such checks; stops become due again without an event
+	minAdviceInterval   = 5 * time.Millisecond   // minimum time between two checks for due advice calls
+	holdWait            = time.Second            // how long an executor's report waits for the end of a run
+	holdTimeout         = 700 * time.Millisecond // for a report, in addition to holdWait
+	minHoldInterval     = 40 * time.Millisecond  // minimum time between two holds on an executor; ends close together share one
+	holdRetryDelay      = 200 * time.Millisecond
+	adviceTimeout       = 3 * time.Second // of an advice call, which may queue behind others
+	cleanupInterval     = time.Second     // between two checks for ended jobs
+	maxCleanupJobs      = 2000            // ended jobs per check; 5,000 starts a second end fewer jobs, and their records fit one append
+	submissionRetention = 5 * time.Second // how long an ended job's submission is kept, for runs that are reported late
 )
 
-// Config is what a Runner works with.
+// Config configures a Runner.
 type Config struct {
 	Plan               plan.Config
-	Self               leader.Leader // with the epoch
+	Self               leader.Leader // this process, with the epoch that it leads
 	Log                platform.PartitionLog
-	Jobs               platform.Partition // of the cell's jobs
-	Registry           platform.Partition // of the executors' records
+	Jobs               platform.Partition // records of the cell's jobs
+	Registry           platform.Partition // records of the executors
 	Decode             DecodeExecutor
 	Executors          platform.Executors
 	Replica            *replica.Replica
 	Reader             *replica.Reader
 	Peers              *assist.Peers
 	Caller             assist.Caller
-	BulkCaller         assist.Caller  // on connections of its own, for content of records
-	LocalDataCentre    api.DataCentre // of this machine
-	LinkBytesPerSecond float64        // bytes a second that its link carries; 0: not told
-	LinkFull           func() bool    // little more can be sent by it without delay; nil: never
+	BulkCaller         assist.Caller  // for the content of records, on separate connections
+	LocalDataCentre    api.DataCentre // data centre of this machine
+	LinkBytesPerSecond float64        // capacity of this machine's link; 0: unknown
+	LinkFull           func() bool    // whether the link can carry little more without delay; nil: never
 	Configuration      func() *queue.Configuration
-	CanRenewLeases     func() bool           // leases may be extended
-	OnFenced           func()                // somebody refused this leader's epoch
-	CutOff             func() bool           // this machine reaches neither the store nor another data centre; nil: never
-	LastRenewal        func() leader.Renewal // the last of leadership that was confirmed
-	OnHigherEpoch      func(epoch api.Epoch) // a machine has heard of a higher epoch
-	LastAppendDuration time.Duration         // what an append took last; 0: not known
+	CanRenewLeases     func() bool           // whether leases may be renewed
+	OnFenced           func()                // called when the store or an executor refused this leader's epoch
+	CutOff             func() bool           // whether this machine reaches neither the store nor another data centre; nil: never
+	LastRenewal        func() leader.Renewal // the last confirmed renewal of leadership
+	OnHigherEpoch      func(epoch api.Epoch) // called when a machine knows a higher epoch
+	LastAppendDuration time.Duration         // duration of the last append before this process led; 0: unknown
 	Logger             *logrus.Entry
 }
 
-// Runner leads a cell.
+// Runner runs a cell as its leader.
 type Runner struct {
-	cfg      Config
-	writer   *writer
-	wake     chan struct{} // a cycle should begin
-	attend   chan struct{} // there may be stops to send and executors to call
-	answered chan struct{} // a call for advice has ended
+	cfg          Config
+	writer       *writer
+	cycleWake    chan struct{} // signals that a cycle should start
+	executorWake chan struct{} // signals that there may be stops to send or executors to call
+	adviceWake   chan struct{} // signals that advice calls may be due
 
-	mu       sync.Mutex // guards the fields below
-	cell     *plan.Cell
-	cycle    chan struct{} // closed when the next whole cycle has ended
-	gate     admission.Controller
-	inbox    []*submission // to be stored with the next cycle
-	patience time.Duration // how long the store may take before submissions are refused
-	stuck    time.Time     // since when an append has had no answer; zero: none is under way
-	refused  time.Time     // when the store last refused an append
-	holds    map[string]context.CancelFunc
-	ended    bool
-	tasks    sync.WaitGroup
+	mu                 sync.Mutex // guards the fields below
+	cell               *plan.Cell
+	cycleDone          chan struct{} // closed when the next complete cycle has ended
+	admissionGate      admission.Controller
+	pendingSubmissions []*submission // to be stored by the next cycle
+	appendWaitLimit    time.Duration // how long an append may go unanswered before submissions are refused
+	appendPendingSince time.Time     // start of the unanswered append; zero if none is in flight
+	storeRefusedAt     time.Time     // when the store last refused an append
+	holdLoops          map[string]context.CancelFunc
+	stopped            bool
+	goroutines         sync.WaitGroup
 }
 
-// New returns a runner that has not begun.
+// New returns a Runner that has not been started.
 func New(cfg Config) *Runner {
 	return &Runner{
-		cfg:      cfg,
-		writer:   newWriter(cfg),
-		wake:     make(chan struct{}, 1),
-		attend:   make(chan struct{}, 1),
-		answered: make(chan struct{}, 1),
-		cycle:    make(chan struct{}),
-		patience: stuckAfter,
-		holds:    make(map[string]context.CancelFunc),
+		cfg:             cfg,
+		writer:          newWriter(cfg),
+		cycleWake:       make(chan struct{}, 1),
+		executorWake:    make(chan struct{}, 1),
+		adviceWake:      make(chan struct{}, 1),
+		cycleDone:       make(chan struct{}),
+		appendWaitLimit: minAppendWaitLimit,
+		holdLoops:       make(map[string]context.CancelFunc),
 	}
 }
 
-// Run leads the cell until ctx ends or a higher epoch has written.
+// Run leads the cell until ctx ends or the store has accepted a write of a higher epoch.
 func (r *Runner) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
-	defer r.tasks.Wait()
+	defer r.goroutines.Wait()
 	defer cancel()
-	defer r.end() // also of what was handed in while it began
-	if err := r.begin(ctx); err != nil {
+	defer r.shutDown() // answers also what was submitted during the takeover
+	if err := r.takeOver(ctx); err != nil {
 		return err
 	}
-	r.spawn(func() { r.followRegistry(ctx) })
-	r.spawn(func() { r.keepAsking(ctx) })
-	r.spawn(func() { r.keepAttending(ctx) })
-	return r.cycles(ctx)
+	r.spawn(func() { r.watchRegistry(ctx) })
+	r.spawn(func() { r.runAdviceLoop(ctx) })
+	r.spawn(func() { r.runExecutorLoop(ctx) })
+	return r.runCycles(ctx)
 }
 
-// end lets go of the replica and of what was handed in.
-func (r *Runner) end() {
+// shutDown detaches from the replica and answers the pending submissions.
+func (r *Runner) shutDown() {
 	r.cfg.Replica.SetPublisher(nil)
 	r.cfg.Replica.SetListener(nil)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, s := range r.inbox {
-		s.finish(assist.NotStored)
+	for _, s := range r.pendingSubmissions {
+		s.complete(assist.NotStored)
 	}
-	r.inbox = nil
-	r.ended = true
+	r.pendingSubmissions = nil
+	r.stopped = true
 }
 
 // lookup returns any job whose submission is stored.
@@ -137,8 +136,9 @@
 	return e.Job
 }
 
-// failed tells the elector when the store has refused this leader's epoch.
-func (r *Runner) failed(err error) error {
+// reportFenced calls OnFenced if err says that the store refused this leader's epoch, and
+// returns err.
+func (r *Runner) reportFenced(err error) error {
 	if errors.Is(err, platform.ErrFenced) {
 		r.cfg.OnFenced()
 	}
@@ -146,36 +146,36 @@
 }
 
 func (r *Runner) spawn(f func()) {
-	r.tasks.Add(1)
+	r.goroutines.Add(1)
 	go func() {
-		defer r.tasks.Done()
+		defer r.goroutines.Done()
 		f()
 	}()
 }
 
-// Wake has a cycle begin soon and executors attended to at once.
+// Wake requests a cycle soon and an immediate check for stops to send and executors to call.
 func (r *Runner) Wake() {
-	signal(r.wake)
-	signal(r.attend)
+	notify(r.cycleWake)
+	notify(r.executorWake)
 }
 
-// signal has the reader of a channel of capacity one look again.
-func signal(c chan struct{}) {
+// notify signals a channel of capacity one without blocking.
+func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// changed takes in records of jobs.
-func (r *Runner) changed(changes []replica.Change) {
+// applyChanges passes changed job records to the cell.
+func (r *Runner) applyChanges(changes []replica.Change) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, ch := range changes {
 		switch {
 		case ch.Kind == work.KindProgress:
-		case ch.Entry.Cancelled: // the submission may be read later, or just now
+		case ch.Entry.Cancelled: // the submission may have been read before, with the cancel, or may be read later
 			r.cell.Cancel(ch.ID)
 		case ch.Entry.Job == nil:
 		case !ch.Entry.State().Final():
@@ -185,62 +185,62 @@
 	r.Wake()
 }
 
-// cycles plans, stores and sends until ctx ends or the leader was replaced.
-func (r *Runner) cycles(ctx context.Context) error {
-	tidied := time.Now()
+// runCycles plans, stores and sends until ctx ends or the leader is replaced.
+func (r *Runner) runCycles(ctx context.Context) error {
+	cleanedUpAt := time.Now()
 	for ctx.Err() == nil {
-		r.await(ctx)
-		if err := r.once(ctx); err != nil {
-			return r.failed(err)
+		r.awaitCycle(ctx)
+		if err := r.runCycle(ctx); err != nil {
+			return r.reportFenced(err)
 		}
-		if time.Since(tidied) > tidyEvery {
-			tidied = time.Now()
-			if err := r.tidy(ctx); err != nil {
-				return r.failed(err)
+		if time.Since(cleanedUpAt) > cleanupInterval {
+			cleanedUpAt = time.Now()
+			if err := r.cleanUp(ctx); err != nil {
+				return r.reportFenced(err)
 			}
 		}
 	}
 	return ctx.Err()
 }
 
-func (r *Runner) await(ctx context.Context) {
-	pause.For(ctx, cyclePace)
-	timer := time.NewTimer(cycleIdle)
+func (r *Runner) awaitCycle(ctx context.Context) {
+	pause.For(ctx, minCycleInterval)
+	timer := time.NewTimer(maxCycleInterval)
 	defer timer.Stop()
 	select {
-	case <-r.wake:
+	case <-r.cycleWake:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// once makes one cycle: decide, make durable, check again, send.
-func (r *Runner) once(ctx context.Context) error {
+// runCycle runs one cycle: plan, make the plan durable, check it again, send the starts.
+func (r *Runner) runCycle(ctx context.Context) error {
 	r.mu.Lock()
 	now := time.Now()
 	r.cell.Configure(r.cfg.Configuration())
-	handedIn := r.takeInbox()
+	submitted := r.takePendingSubmissions()
 	r.cell.StartDueOccurrences(now.UnixMilli(), now)
 	r.cell.DropExpired(now)
 	r.cell.RecordRunning(now)
 	starts := r.cell.Plan(now)
 	r.cell.LogWaitingSteps(now)
 	records := r.cell.TakeDirtyRecords()
-	done := r.cycle
-	r.cycle = make(chan struct{})
-	r.askAdvice(ctx, now)
+	done := r.cycleDone
+	r.cycleDone = make(chan struct{})
+	r.requestAdvice(ctx, now)
 	r.mu.Unlock()
-	signal(r.attend)
-	if err := r.store(ctx, handedIn, records); err != nil {
+	notify(r.executorWake)
+	if err := r.store(ctx, submitted, records); err != nil {
 		return err
 	}
 	close(done)
-	r.send(ctx, starts)
+	r.sendStarts(ctx, starts)
 	return nil
 }
 
-// send sends the planned starts that are still right.
-func (r *Runner) send(ctx context.Context, starts []plan.Start) {
+// sendStarts sends the planned starts that are still valid.
+func (r *Runner) sendStarts(ctx context.Context, starts []plan.Start) {
 	if len(starts) == 0 {
 		return
 	}
@@ -253,55 +253,56 @@
 	}
 }
 
-// noticeFence tells the elector when an executor has seen the token of another leader.
-func (r *Runner) noticeFence(to platform.ExecutorRef, token uint64, err error) {
+// reportForeignToken calls OnFenced if an executor refused an order because it has seen the
+// token of another leader.
+func (r *Runner) reportForeignToken(to platform.ExecutorRef, token uint64, err error) {
 	var refused *platform.RefusedError
 	if !errors.As(err, &refused) || refused.Reason != platform.RefusedFenced {
 		return
 	}
 	r.mu.Lock()
-	own := r.cell.IsTokenOutdated(to.ID, token)
+	ownToken := r.cell.IsTokenOutdated(to.ID, token)
 	r.mu.Unlock()
-	if !own {
+	if !ownToken {
 		r.cfg.OnFenced()
 	}
 }
 
-// keepAttending sends stops and keeps a hold loop for each executor. Neither
-// needs anything durable, so both go on while a cycle waits for the store: a
-// run of a cancelled job would go on for as long as the store takes no appends.
-func (r *Runner) keepAttending(ctx context.Context) {
-	ticker := time.NewTicker(attendIdle)
+// runExecutorLoop sends stops and keeps a hold loop for each executor. Neither depends on
+// durable records, so both continue while a cycle waits for the store. Otherwise the runs of a
+// cancelled job would continue for as long as the store accepts no appends.
+func (r *Runner) runExecutorLoop(ctx context.Context) {
+	ticker := time.NewTicker(maxExecutorInterval)
 	defer ticker.Stop()
 	for {
 		r.mu.Lock()
 		stops := r.cell.TakeStops(time.Now())
-		r.keepHolds(ctx)
+		r.startHoldLoops(ctx)
 		r.mu.Unlock()
 		r.sendOrders(ctx, nil, stops)
-		pause.For(ctx, attendPace)
+		pause.For(ctx, minExecutorInterval)
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.attend:
+		case <-r.executorWake:
 		case <-ticker.C:
 		}
 	}
 }
 
-// keepAsking has calls for advice made while a cycle waits for the store: machines whose
-// calls were answered meanwhile would have nothing to do.
-func (r *Runner) keepAsking(ctx context.Context) {
-	ticker := time.NewTicker(askPace)
+// runAdviceLoop makes advice calls also while a cycle waits for the store. Otherwise machines
+// whose calls have been answered in the meantime would be idle.
+func (r *Runner) runAdviceLoop(ctx context.Context) {
+	ticker := time.NewTicker(minAdviceInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.answered:
+		case <-r.adviceWake:
 		}
 		r.mu.Lock()
-		r.askAdvice(ctx, time.Now())
+		r.requestAdvice(ctx, time.Now())
 		r.mu.Unlock()
 		select {
 		case <-ctx.Done():
@@ -311,16 +312,16 @@
 	}
 }
 
-// askAdvice has the calls for advice made that are due; r.mu is held.
-func (r *Runner) askAdvice(ctx context.Context, now time.Time) {
+// requestAdvice starts the advice calls that are due. The caller holds r.mu.
+func (r *Runner) requestAdvice(ctx context.Context, now time.Time) {
 	round := r.cfg.Peers.Round(now)
-	for i, ask := range r.cell.AdviceCalls(now, round) {
-		r.spawn(func() { r.advise(ctx, ask, round.Slots()[i]) })
+	for i, adviceCall := range r.cell.AdviceCalls(now, round) {
+		r.spawn(func() { r.callAdvice(ctx, adviceCall, round.Slots()[i]) })
 	}
 }
 
-func (r *Runner) advise(ctx context.Context, a plan.AdviceCall, slot *assist.Slot) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (r *Runner) callAdvice(ctx context.Context, a plan.AdviceCall, slot *assist.Slot) {
+	ctx, cancel := context.WithTimeout(ctx, adviceTimeout)
 	defer cancel()
 	grants, valid, err := r.cfg.Peers.Advise(ctx, slot, a.Step, a.Executors)
 	r.mu.Lock()
@@ -333,6 +334,6 @@
 	if err != nil {
 		r.cfg.Logger.WithError(err).WithField("step", a.Step).Debug("no advice")
 	}
-	signal(r.answered)
+	notify(r.adviceWake)
 	r.Wake()
 }
--- a/internal/dispatch/runner_test.go
+++ b/internal/dispatch/runner_test.go
@@ -19,20 +19,20 @@
 	"github.com/skylarklock/skylarklock/internal/work"
 )
 
-// countingAdviser grants nothing, after a while.
+// countingAdviser counts its calls and grants nothing, after a delay.
 type countingAdviser struct {
-	takes time.Duration
-	calls atomic.Int32
+	latency time.Duration
+	calls   atomic.Int32
 }
 
 func (a *countingAdviser) Advise(_ context.Context, _ work.StepKey, _ []string) ([]platform.Grant, time.Duration, error) {
 	a.calls.Add(1)
-	time.Sleep(a.takes)
+	time.Sleep(a.latency)
 	return nil, time.Second, nil
 }
 
-// waitingCell returns a cell with an executor and jobs that wait for advice.
-func waitingCell(jobs int) *plan.Cell {
+// newWaitingCell returns a cell with an executor and jobs that wait for advice.
+func newWaitingCell(jobs int) *plan.Cell {
 	now := time.Now()
 	cell := plan.NewCell(plan.DefaultConfig(), func(work.ID) *work.Job { return nil }, logging.Silent(), now.Add(-time.Minute))
 	cell.Configure(&queue.Configuration{Queues: []queue.Queue{{
@@ -56,37 +56,36 @@
 	return cell
 }
 
-// While a cycle waits for a slow store, machines whose calls were answered get
-// the next ones.
+// While a cycle waits for a slow store, machines whose calls have been answered get the next ones.
 func TestAdviceIsRequestedWhileStoreIsSlow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		adviser := &countingAdviser{takes: 11 * time.Millisecond}
+		adviser := &countingAdviser{latency: 11 * time.Millisecond}
 		r := New(Config{Peers: assist.NewPeers("a", adviser, nil), Logger: logging.Silent()})
-		r.cell = waitingCell(20)
+		r.cell = newWaitingCell(20)
 		ctx, stop := context.WithCancel(context.Background())
-		r.spawn(func() { r.keepAsking(ctx) })
+		r.spawn(func() { r.runAdviceLoop(ctx) })
 		r.mu.Lock()
-		r.askAdvice(ctx, time.Now()) // by a cycle, which then waits for its append
+		r.requestAdvice(ctx, time.Now()) // like a cycle, which then waits for its append
 		r.mu.Unlock()
 		time.Sleep(300 * time.Millisecond)
 		stop()
-		r.tasks.Wait()
+		r.goroutines.Wait()
 		if n := adviser.calls.Load(); n != 20 {
-			t.Errorf("%d calls for the advice that 20 jobs wait for", n)
+			t.Errorf("%d advice calls for 20 waiting jobs, want 20", n)
 		}
 	})
 }
 
-// endingExecutor lists the same end until it is told that it was seen.
-type endingExecutor struct {
+// repeatingExecutor reports the same end until the end is acknowledged.
+type repeatingExecutor struct {
 	platform.Executors
-	mu   sync.Mutex
-	seen []uint64 // of each hold
+	mu           sync.Mutex
+	acknowledged []uint64 // acknowledged end number of each hold
 }
 
-func (e *endingExecutor) Hold(_ context.Context, _ platform.ExecutorRef, order platform.HoldOrder) (platform.ExecutorReport, error) {
+func (e *repeatingExecutor) Hold(_ context.Context, _ platform.ExecutorRef, order platform.HoldOrder) (platform.ExecutorReport, error) {
 	e.mu.Lock()
-	e.seen = append(e.seen, order.Acknowledged)
+	e.acknowledged = append(e.acknowledged, order.Acknowledged)
 	e.mu.Unlock()
 	report := platform.ExecutorReport{Clock: platform.ExecutorClock(time.Now().UnixMilli())}
 	if order.Acknowledged > 0 {
@@ -97,39 +96,39 @@
 	return report, nil
 }
 
-func (e *endingExecutor) holds() (n int, newest uint64) {
+func (e *repeatingExecutor) holds() (n int, latest uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.seen), e.seen[len(e.seen)-1]
+	return len(e.acknowledged), e.acknowledged[len(e.acknowledged)-1]
 }
 
-// While the store is down an end can't be made durable, so it isn't told as
-// seen; the lease of what else runs there is renewed all the same.
+// An end cannot become durable while the store is down, so it is not acknowledged. The lease of the
+// other runs on the executor must still be renewed.
 func TestLeasesAreRenewedWhileEndsAreNotDurable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		executor := &endingExecutor{}
+		executor := &repeatingExecutor{}
 		r := New(Config{Executors: executor, CanRenewLeases: func() bool { return true }, Logger: logging.Silent()})
-		r.cell = waitingCell(0)
+		r.cell = newWaitingCell(0)
 		ctx, stop := context.WithCancel(context.Background())
-		r.spawn(func() { r.holdExecutor(ctx, "e") })
+		r.spawn(func() { r.runHoldLoop(ctx, "e") })
 		time.Sleep(5500 * time.Millisecond)
-		if n, newest := executor.holds(); n < 5 || n > 8 || newest != 0 {
-			t.Errorf("%d holds in 5.5 s, the newest saw ends up to %d", n, newest)
+		if n, latest := executor.holds(); n < 5 || n > 8 || latest != 0 {
+			t.Errorf("%d holds in 5.5 s, the latest acknowledged ends up to %d", n, latest)
 		}
 		r.mu.Lock()
-		close(r.cycle) // the store is back
-		r.cycle = make(chan struct{})
+		close(r.cycleDone) // the store has recovered
+		r.cycleDone = make(chan struct{})
 		r.mu.Unlock()
 		time.Sleep(200 * time.Millisecond)
-		if _, newest := executor.holds(); newest != 1 {
-			t.Errorf("after the store is back the newest hold saw ends up to %d", newest)
+		if _, latest := executor.holds(); latest != 1 {
+			t.Errorf("after the recovery of the store the latest hold acknowledged ends up to %d, want 1", latest)
 		}
 		stop()
-		r.tasks.Wait()
+		r.goroutines.Wait()
 	})
 }
 
-// A short call is under way while others are, up to a bound on their time.
+// Short calls run concurrently on a machine up to a bound on their total expected time.
 func TestConcurrentShortCallsAreBounded(t *testing.T) {
 	for _, c := range []struct {
 		cost time.Duration
@@ -148,39 +147,38 @@
 				n++
 			}
 			if n != c.want || len(round.Slots()) != n {
-				t.Errorf("%d calls under way, %d slots, want %d", n, len(round.Slots()), c.want)
+				t.Errorf("%d calls in flight, %d slots, want %d", n, len(round.Slots()), c.want)
 			}
 		})
 	}
 }
 
-// A leader whose first append is under way takes submissions as long as one
-// that has made appends before.
+// Submissions are accepted while the first append is in flight for as long as while later appends are.
 func TestSubmissionsAreAcceptedDuringFirstAppend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New(Config{Logger: logging.Silent()})
 		now := time.Now()
-		r.setStuck(now)
-		if r.takesNothing(now.Add(stuckAfter / 2)) {
-			t.Error("submissions are refused while the first append has only just been sent")
+		r.markAppendPending(now)
+		if r.storeUnavailable(now.Add(minAppendWaitLimit / 2)) {
+			t.Error("submissions are refused although the first append has only just been sent")
 		}
-		if !r.takesNothing(now.Add(2 * stuckAfter)) {
-			t.Error("submissions are taken though the store has given no answer for long")
+		if !r.storeUnavailable(now.Add(2 * minAppendWaitLimit)) {
+			t.Error("submissions are accepted although the append has gone unanswered for too long")
 		}
 	})
 }
 
-// placedExecutor answers at one address only and notes where it was called.
-type placedExecutor struct {
+// addressedExecutor answers at one address only and counts the calls at each address.
+type addressedExecutor struct {
 	platform.Executors
-	address string
-	mu      sync.Mutex
-	called  map[string]int
+	address    string
+	mu         sync.Mutex
+	callCounts map[string]int
 }
 
-func (e *placedExecutor) Hold(_ context.Context, to platform.ExecutorRef, order platform.HoldOrder) (platform.ExecutorReport, error) {
+func (e *addressedExecutor) Hold(_ context.Context, to platform.ExecutorRef, order platform.HoldOrder) (platform.ExecutorReport, error) {
 	e.mu.Lock()
-	e.called[to.Address]++
+	e.callCounts[to.Address]++
 	address := e.address
 	e.mu.Unlock()
 	if to.Address != address {
@@ -190,25 +188,25 @@
 	return platform.ExecutorReport{Clock: platform.ExecutorClock(time.Now().UnixMilli())}, nil
 }
 
-// leave has it answer nowhere any more.
-func (e *placedExecutor) leave() {
+// stopAnswering makes the executor unreachable at all addresses.
+func (e *addressedExecutor) stopAnswering() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.address = ""
 }
 
-func (e *placedExecutor) at(address string) int {
+func (e *addressedExecutor) callsAt(address string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.called[address]
+	return e.callCounts[address]
 }
 
-// An executor is called where its newest record says until it answers there, and
-// no more once it isn't registered, nothing runs there and it is silent.
+// An executor is called at the address of its newest record until it answers there. It is no longer
+// called once it is unregistered, runs nothing and does not respond.
 func TestHoldsFollowRegisteredAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const wrong, right = "10.0.0.1:1", "10.0.0.2:1"
-		e := &placedExecutor{address: right, called: make(map[string]int)}
+		e := &addressedExecutor{address: right, callCounts: make(map[string]int)}
 		r := New(Config{Executors: e, CanRenewLeases: func() bool { return true }, Logger: logging.Silent()})
 		cell := plan.NewCell(plan.DefaultConfig(), func(work.ID) *work.Job { return nil }, logging.Silent(), time.Now())
 		cell.Configure(&queue.Configuration{Services: map[string]queue.Service{"svc": {Name: "svc"}}})
@@ -222,40 +220,40 @@
 				listed["e"] = &fleet.Executor{Ref: platform.ExecutorRef{ID: "e", Address: address}, Service: "svc"}
 			}
 			cell.UpdateExecutors(listed, time.Now())
-			r.keepHolds(ctx)
+			r.startHoldLoops(ctx)
 		}
 		list(wrong)
 		time.Sleep(5 * time.Second)
 		list(right)
 		time.Sleep(5 * time.Second)
-		before := e.at(wrong)
-		if before == 0 || e.at(right) == 0 {
-			t.Errorf("calls: %v", e.called)
+		before := e.callsAt(wrong)
+		if before == 0 || e.callsAt(right) == 0 {
+			t.Errorf("calls by address: %v, want some at both", e.callCounts)
 		}
-		list(wrong) // it answers elsewhere
+		list(wrong) // the executor still answers at the right address
 		time.Sleep(5 * time.Second)
-		if n := e.at(wrong) - before; n > 0 {
-			t.Errorf("%d calls at an address where it doesn't answer", n)
+		if n := e.callsAt(wrong) - before; n > 0 {
+			t.Errorf("%d calls at an address where the executor does not answer", n)
 		}
 		list("")
-		calls := e.at(right)
+		calls := e.callsAt(right)
 		time.Sleep(5 * time.Second)
-		if e.at(right) == calls {
-			t.Error("an executor that answers isn't called any more, though orders may come late there")
+		if e.callsAt(right) == calls {
+			t.Error("an unregistered executor that answers is no longer called, although delayed orders may still reach it")
 		}
-		e.leave()
+		e.stopAnswering()
 		time.Sleep(10 * time.Second)
 		r.mu.Lock()
 		cell.DropExpired(time.Now())
 		r.mu.Unlock()
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		calls = e.at(right)
+		calls = e.callsAt(right)
 		time.Sleep(5 * time.Second)
-		if n := e.at(right) - calls; n > 0 || len(r.holds) > 0 {
-			t.Errorf("%d calls, %d holds of an executor that isn't registered and is silent", n, len(r.holds))
+		if n := e.callsAt(right) - calls; n > 0 || len(r.holdLoops) > 0 {
+			t.Errorf("%d calls, %d hold loops for an unregistered, unresponsive executor", n, len(r.holdLoops))
 		}
 		stop()
-		r.tasks.Wait()
+		r.goroutines.Wait()
 	})
 }
--- a/internal/dispatch/stop_test.go
+++ b/internal/dispatch/stop_test.go
@@ -16,38 +16,36 @@
 	"github.com/skylarklock/skylarklock/internal/work"
 )
 
-// endingLog has the leader stop while it reads the jobs for the first time.
-type endingLog struct {
+// cancelLog cancels the leader's context when the leader reads the jobs for the first time.
+type cancelLog struct {
 	platform.PartitionLog
 	stop  context.CancelFunc
 	reads atomic.Int32
 }
 
-func (l *endingLog) Append(context.Context, platform.Append) (platform.Offset, error) { return 0, nil }
+func (l *cancelLog) Append(context.Context, platform.Append) (platform.Offset, error) { return 0, nil }
 
-func (l *endingLog) Newest(context.Context, platform.Partition, string) (platform.NewestPage, error) {
+func (l *cancelLog) Newest(context.Context, platform.Partition, string) (platform.NewestPage, error) {
 	return platform.NewestPage{}, nil
 }
 
-func (l *endingLog) Read(context.Context, platform.Partition, platform.Offset, time.Duration) (platform.RecordBatch, error) {
+func (l *cancelLog) Read(context.Context, platform.Partition, platform.Offset, time.Duration) (platform.RecordBatch, error) {
 	l.reads.Add(1)
 	l.stop()
 	return platform.RecordBatch{}, nil
 }
 
-// Machines that hand in records to a leader that was just replaced would wait
-// for their clients' whole time. Order of events: the process was elected, read
-// the jobs and was told to stop planning at that moment; records were handed in
-// between that and its end. Cause: only a Runner that had begun let go of what
-// was handed in when it ended, and refused the rest. The evidence: Store
-// returned after an hour, with its context.
+// A leader that is told to stop while it takes over must answer the records that are submitted to
+// it until its end. Only a Runner that had completed its takeover used to answer pending
+// submissions when it stopped and to refuse later ones; Store then returned with its context,
+// here after an hour.
 func TestLeaderStoppedDuringTakeoverRefusesSubmissions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		log := &endingLog{stop: stop}
+		log := &cancelLog{stop: stop}
 		jobs := replica.New(time.Minute, logging.Silent())
 		reader := &replica.Reader{Replica: jobs, Log: log, Timing: replica.DefaultTiming()}
-		if err := reader.Restore(ctx); err != nil { // or it doesn't claim
+		if err := reader.Restore(ctx); err != nil { // a process that has not read the jobs claims no leadership
 			t.Fatal(err)
 		}
 		r := New(Config{
@@ -60,15 +58,15 @@
 			Logger:        logging.Silent(),
 		})
 		if err := r.Run(ctx); err == nil || log.reads.Load() == 0 {
-			t.Fatalf("ended with %v after %d reads", err, log.reads.Load())
+			t.Fatalf("Run returned %v after %d reads", err, log.reads.Load())
 		}
 		client, cancel := context.WithTimeout(context.Background(), time.Hour)
 		defer cancel()
-		began := time.Now()
+		start := time.Now()
 		record := platform.Record{Key: work.Key(work.KindCancellation, work.ID{1}), Value: work.CancellationValue}
 		results := r.Store(client, []platform.Record{record})
-		if took := time.Since(began); results[0].Outcome != assist.NotStored || took > 0 {
-			t.Errorf("told %v after %v, want at once that it is not stored", results[0].Outcome, took)
+		if took := time.Since(start); results[0].Outcome != assist.NotStored || took > 0 {
+			t.Errorf("outcome %v after %v, want NotStored immediately", results[0].Outcome, took)
 		}
 	})
 }
--- a/internal/dispatch/store.go
+++ b/internal/dispatch/store.go
@@ -16,24 +16,23 @@
 	"github.com/skylarklock/skylarklock/internal/work"
 )
 
-// stuckAfter is how long the store may give no answer before what is handed
-// in is refused at once, rather than kept waiting without hope. A slow store
-// is given slowPatience times what its appends take.
+// Limits of the time that an append may go unanswered. After that time submissions are refused
+// immediately, because the store would most likely not answer them in time either.
 const (
-	stuckAfter   = 500 * time.Millisecond
-	slowPatience = 3
+	minAppendWaitLimit = 500 * time.Millisecond
+	appendWaitFactor   = 3 // a slow store gets this many times its usual duration of an append
 )
 
-// submission is what a machine has handed in and waits for.
+// submission is a batch of records that a machine has submitted and whose results it awaits.
 type submission struct {
-	records []platform.Record
-	results []assist.StoreResult      // of the records that are refused; the others share the append's
-	jobs    []work.ID                 // that the cell has taken from it
-	done    chan []assist.StoreResult // takes one value
+	records   []platform.Record
+	results   []assist.StoreResult      // one per record; only those of refused records (TooBusy) are set before the append
+	addedJobs []work.ID                 // jobs that the cell has added for this submission
+	done      chan []assist.StoreResult // receives one value
 }
 
-// accepted returns the records that are to be stored.
-func (s *submission) accepted() []platform.Record {
+// acceptedRecords returns the records that are to be stored.
+func (s *submission) acceptedRecords() []platform.Record {
 	var out []platform.Record
 	for i, r := range s.records {
 		if s.results[i].Outcome != assist.TooBusy {
@@ -43,8 +42,8 @@
 	return out
 }
 
-// finish tells what became of the submission.
-func (s *submission) finish(outcome assist.StoreOutcome) {
+// complete sends the results, with outcome for all records that were not refused.
+func (s *submission) complete(outcome assist.StoreOutcome) {
 	for i := range s.results {
 		if s.results[i].Outcome != assist.TooBusy {
 			s.results[i].Outcome = outcome
@@ -53,87 +52,87 @@
 	s.done <- s.results
 }
 
-// Store stores records that clients handed in, together with the leader's
-// own. It implements assist.Storer.
+// Store stores records that clients submitted, together with the leader's own. It implements
+// assist.Storer.
 func (r *Runner) Store(ctx context.Context, records []platform.Record) []assist.StoreResult {
 	n := len(records)
 	s := &submission{records: records, results: make([]assist.StoreResult, n), done: make(chan []assist.StoreResult, 1)}
-	taken, waits := r.enqueue(s)
+	accepting, queued := r.enqueue(s)
 	switch {
-	case !taken:
+	case !accepting:
 		return assist.UniformResults(assist.NotStored, n)
-	case !waits:
+	case !queued:
 		return s.results
 	}
 	r.Wake()
-	signal(r.answered) // advice may be asked for what was taken
-	look := time.NewTicker(stuckLook)
-	defer look.Stop()
+	notify(r.adviceWake) // the added jobs may need advice
+	check := time.NewTicker(appendCheckInterval)
+	defer check.Stop()
 	for {
 		select {
 		case results := <-s.done:
 			return results
 		case <-ctx.Done():
 			return assist.UniformResults(assist.StoreUnknown, n)
-		case <-look.C:
-			if outcome, hopeless := r.hopeless(s); hopeless {
+		case <-check.C:
+			if outcome, abandoned := r.abandonIfStalled(s); abandoned {
 				return assist.UniformResults(outcome, n)
 			}
 		}
 	}
 }
 
-// enqueue has a submission stored with the next cycle and gives its jobs to the
-// cell at once, so that advice is asked for them while an append is under way. It
-// returns whether anything is taken at the moment, and whether something of the
-// submission is: what was refused needs no append.
-func (r *Runner) enqueue(s *submission) (taken, waits bool) {
+// enqueue queues a submission for the next cycle and adds its jobs to the cell immediately, so
+// that advice is requested for them while an append is in flight. It returns whether
+// submissions are accepted at the moment and whether any record of this one was queued: refused
+// records need no append.
+func (r *Runner) enqueue(s *submission) (accepting, queued bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	if r.ended || r.cell == nil || r.takesNothing(now) {
+	if r.stopped || r.cell == nil || r.storeUnavailable(now) {
 		return false, false
 	}
 	backlog := r.cell.Backlog(now)
 	for i := range s.records {
-		r.takeRecord(s, i, backlog, now)
+		r.admitRecord(s, i, backlog, now)
 	}
-	waits = len(s.accepted()) > 0
-	if waits {
-		r.inbox = append(r.inbox, s)
+	queued = len(s.acceptedRecords()) > 0
+	if queued {
+		r.pendingSubmissions = append(r.pendingSubmissions, s)
 	}
-	return true, waits
+	return true, queued
 }
 
-// refusedPause is for how long submissions are refused without a try after the
-// store has refused one: calls that it refuses are paid for too.
-const refusedPause = 100 * time.Millisecond
+// storeRefusalBackoff is how long submissions are refused without an attempt after the store
+// has refused an append: calls that the store refuses are paid for, too.
+const storeRefusalBackoff = 100 * time.Millisecond
 
-// takesNothing reports whether the store has given no answer for so long, or
-// has refused so lately, that a submission need not be tried; r.mu is held.
-func (r *Runner) takesNothing(now time.Time) bool {
-	if now.Sub(r.refused) < refusedPause {
+// storeUnavailable reports whether an append has gone unanswered for so long, or the store has
+// refused one so recently, that a submission need not be attempted. The caller holds r.mu.
+func (r *Runner) storeUnavailable(now time.Time) bool {
+	if now.Sub(r.storeRefusedAt) < storeRefusalBackoff {
 		return true
 	}
-	return !r.stuck.IsZero() && now.Sub(r.stuck) > r.patience
+	return !r.appendPendingSince.IsZero() && now.Sub(r.appendPendingSince) > r.appendWaitLimit
 }
 
-// stuckLook is how often a submission that waits looks whether the store has
-// stopped answering.
-const stuckLook = 100 * time.Millisecond
+// appendCheckInterval is the time between two checks of a waiting submission whether the store
+// has stopped answering.
+const appendCheckInterval = 100 * time.Millisecond
 
-// hopeless reports whether the store has given no answer for so long that
-// waiting on helps nobody, and what became of the submission: nothing, or
-// unknown if its append is under way.
-func (r *Runner) hopeless(s *submission) (assist.StoreOutcome, bool) {
+// abandonIfStalled reports whether an append has gone unanswered for so long that a submission
+// should stop waiting, and returns its outcome: NotStored if it was still pending and has been
+// withdrawn, StoreUnknown if its append is in flight.
+func (r *Runner) abandonIfStalled(s *submission) (assist.StoreOutcome, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.stuck.IsZero() || time.Since(r.stuck) < r.patience {
+	if r.appendPendingSince.IsZero() || time.Since(r.appendPendingSince) < r.appendWaitLimit {
 		return assist.StoreUnknown, false
 	}
-	for i, waiting := range r.inbox {
-		if waiting == s {
-			r.inbox = append(r.inbox[:i:i], r.inbox[i+1:]...)
+	for i, pending := range r.pendingSubmissions {
+		if pending == s {
+			r.pendingSubmissions = append(r.pendingSubmissions[:i:i], r.pendingSubmissions[i+1:]...)
 			r.withdraw(s)
 			return assist.NotStored, true
 		}
@@ -141,34 +140,35 @@
 	return assist.StoreUnknown, true
 }
 
-// takeInbox returns what was handed in. Its jobs are in the cell already, so their
-// first starts and their submissions become durable together. r.mu is held.
-func (r *Runner) takeInbox() []*submission {
-	handedIn := r.inbox
-	r.inbox = nil
-	return handedIn
+// takePendingSubmissions returns and clears the pending submissions. Their jobs are in the cell
+// already, so that their first starts become durable together with their submissions. The
+// caller holds r.mu.
+func (r *Runner) takePendingSubmissions() []*submission {
+	submitted := r.pendingSubmissions
+	r.pendingSubmissions = nil
+	return submitted
 }
 
-// withdraw takes the jobs of a submission back that was not stored; r.mu is held.
+// withdraw removes the jobs of a submission that was not stored from the cell. The caller holds r.mu.
 func (r *Runner) withdraw(s *submission) {
-	for _, id := range s.jobs {
+	for _, id := range s.addedJobs {
 		r.cell.Withdraw(id)
 	}
 }
 
-// fullRetry is after what time a client that was refused for a full link should
-// come back: the load is that of about the last second.
-const fullRetry = time.Second
+// linkFullRetryAfter is the delay after which a client that was refused because of a full link
+// should retry: the link's load is measured over about the last second.
+const linkFullRetryAfter = time.Second
 
-// takeRecord gives the job of a record to the cell, unless it could not be of
-// use in time. Other records are only to be stored. r.mu is held.
-func (r *Runner) takeRecord(s *submission, i int, backlog plan.Backlog, now time.Time) {
+// admitRecord adds the job of a record to the cell, unless admission refuses it. Records of
+// other kinds are only to be stored. The caller holds r.mu.
+func (r *Runner) admitRecord(s *submission, i int, backlog plan.Backlog, now time.Time) {
 	kind, id, err := work.ParseKey(s.records[i].Key)
 	if err != nil || kind != work.KindJob {
 		return
 	}
 	if e, _ := r.cfg.Replica.Get(id); e.Submitted() || e.Cancelled || r.cell.Knows(id) {
-		return // handed in again, or cancelled already
+		return // submitted again, or already cancelled
 	}
 	job, err := work.DecodeJob(s.records[i].Value)
 	if err != nil {
@@ -176,7 +176,7 @@
 		return
 	}
 	if r.cfg.LinkFull != nil && r.cfg.LinkFull() {
-		s.results[i] = assist.StoreResult{Outcome: assist.TooBusy, RetryAfter: fullRetry}
+		s.results[i] = assist.StoreResult{Outcome: assist.TooBusy, RetryAfter: linkFullRetryAfter}
 		r.cfg.Logger.WithField("job", job.ID).Info("job refused: this machine's link is full")
 		return
 	}
@@ -185,16 +185,16 @@
 		return
 	}
 	if r.cell.AddJob(job, nil, now.UnixMilli(), now) {
-		s.jobs = append(s.jobs, id)
+		s.addedJobs = append(s.addedJobs, id)
 	}
 }
 
-// admit decides whether a job is accepted, given what waits in the cell; r.mu is held.
+// admit decides whether a job is accepted, given the work that waits in the cell. The caller holds r.mu.
 func (r *Runner) admit(j *work.Job, backlog plan.Backlog, now time.Time) admission.Decision {
 	q := r.cfg.Configuration().QueueNamed(j.Queue)
-	ask := r.cell.FirstAdviceCall(q)
+	firstCall := r.cell.FirstAdviceCall(q)
 	before := backlog.AheadOf(j, q, now)
-	beforeAdvice := r.cfg.Peers.EstimateWait(ask, before.AdviceCalls(), now)
+	beforeAdvice := r.cfg.Peers.EstimateWait(firstCall, before.AdviceCalls(), now)
 	request := admission.Request{
 		ExpectedWait:  before.ProcessingTime() + beforeAdvice,
 		MaxUsefulWait: plan.MaxUsefulWait(j, q),
@@ -203,12 +203,12 @@
 			Backlog:  backlog.ProcessingTime(),
 			Added:    backlog.JobProcessingTime(j),
 		}, {
-			Resource: assist.ClassName(ask),
-			Backlog:  r.cfg.Peers.EstimateWait(ask, backlog.AdviceCalls(), now),
-			Added:    r.cfg.Peers.EstimateWait(ask, slices.Repeat([]queue.CallTime{ask}, len(j.Steps)), now),
+			Resource: assist.ClassName(firstCall),
+			Backlog:  r.cfg.Peers.EstimateWait(firstCall, backlog.AdviceCalls(), now),
+			Added:    r.cfg.Peers.EstimateWait(firstCall, slices.Repeat([]queue.CallTime{firstCall}, len(j.Steps)), now),
 		}},
 	}
-	verdict := r.gate.Decide(request, now)
+	verdict := r.admissionGate.Decide(request, now)
 	if verdict.Reason != "" {
 		r.logRefusal(j, request, verdict, beforeAdvice, backlog.Processors())
 	}
@@ -230,43 +230,43 @@
 	r.cfg.Logger.WithFields(fields).Info("job refused: " + string(verdict.Reason))
 }
 
-// store makes what was handed in and the jobs' progress durable and answers
-// those who handed in. When the store refuses, their jobs are taken back: it
-// is certain that nothing was stored.
-func (r *Runner) store(ctx context.Context, handedIn []*submission, records []plan.ProgressRecord) error {
-	parts, err := progress(records)
+// store makes submitted records and the jobs' progress durable and answers the submissions. If
+// the store refuses the append, the submitted jobs are withdrawn, because it is certain that
+// nothing was stored.
+func (r *Runner) store(ctx context.Context, submitted []*submission, records []plan.ProgressRecord) error {
+	parts, err := encodeProgress(records)
 	if err != nil {
-		answer(handedIn, assist.NotStored) // or those who handed in wait for their whole time
+		completeAll(submitted, assist.NotStored) // otherwise the submissions would wait until their deadlines
 		return err
 	}
-	parts = join(handedIn, parts)
+	parts = prependSubmissions(submitted, parts)
 	if len(parts) == 0 {
-		answer(handedIn, assist.Stored) // all were refused
+		completeAll(submitted, assist.Stored) // all records were refused
 		return nil
 	}
 	for i, part := range parts {
-		first, err := r.appendPart(ctx, part, i == 0 && len(handedIn) > 0)
-		if errors.Is(err, platform.ErrUnavailable) && i == 0 && len(handedIn) > 0 {
-			return r.storeWithout(ctx, handedIn, records)
+		first, err := r.appendPart(ctx, part, i == 0 && len(submitted) > 0)
+		if errors.Is(err, platform.ErrUnavailable) && i == 0 && len(submitted) > 0 {
+			return r.storeProgressOnly(ctx, submitted, records)
 		}
 		if err != nil {
-			answer(handedIn, assist.StoreUnknown)
+			completeAll(submitted, assist.StoreUnknown)
 			return err
 		}
 		r.cfg.Replica.ApplyRecords(first, part, time.Now())
 		if i == 0 {
-			answer(handedIn, assist.Stored)
-			handedIn = nil
+			completeAll(submitted, assist.Stored)
+			submitted = nil
 		}
 	}
 	return nil
 }
 
-// join puts what was handed in before the first part of the progress.
-func join(handedIn []*submission, parts [][]platform.Record) [][]platform.Record {
+// prependSubmissions puts the submitted records at the start of the first part of the progress.
+func prependSubmissions(submitted []*submission, parts [][]platform.Record) [][]platform.Record {
 	var first []platform.Record
-	for _, s := range handedIn {
-		first = append(first, s.accepted()...)
+	for _, s := range submitted {
+		first = append(first, s.acceptedRecords()...)
 	}
 	if len(first) == 0 {
 		return parts
@@ -278,47 +278,48 @@
 	return parts
 }
 
-// appendPart makes one append and notes while it makes no headway.
+// appendPart makes one append and keeps track of how long it goes unanswered.
 func (r *Runner) appendPart(ctx context.Context, part []platform.Record, giveUp bool) (platform.Offset, error) {
-	r.setStuck(time.Now())
+	r.markAppendPending(time.Now())
 	first, err := r.writer.append(ctx, part, giveUp)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case err == nil:
-		r.stuck = time.Time{}
-		r.patience = max(stuckAfter, slowPatience*r.writer.usual)
+		r.appendPendingSince = time.Time{}
+		r.appendWaitLimit = max(minAppendWaitLimit, appendWaitFactor*r.writer.mean)
 	case errors.Is(err, platform.ErrUnavailable):
-		r.stuck = time.Time{} // nothing is under way; the next submission tries again
-		r.refused = time.Now()
+		r.appendPendingSince = time.Time{} // nothing is in flight; the next submission tries again
+		r.storeRefusedAt = time.Now()
 	case errors.Is(err, platform.ErrTooLarge):
-		r.stuck = time.Time{} // the store has answered
+		r.appendPendingSince = time.Time{} // the store has answered
 	}
 	return first, err
 }
 
-// setStuck notes since when an append is under way; it keeps the first time.
-func (r *Runner) setStuck(since time.Time) {
+// markAppendPending records when an append started that has not been answered. It keeps an
+// earlier start.
+func (r *Runner) markAppendPending(since time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.stuck.IsZero() {
-		r.stuck = since
+	if r.appendPendingSince.IsZero() {
+		r.appendPendingSince = since
 	}
 }
 
-// storeWithout takes back the jobs that the store has refused and stores the
+// storeProgressOnly withdraws the jobs whose submissions the store has refused and stores the
 // progress of the others.
-func (r *Runner) storeWithout(ctx context.Context, handedIn []*submission, records []plan.ProgressRecord) error {
+func (r *Runner) storeProgressOnly(ctx context.Context, submitted []*submission, records []plan.ProgressRecord) error {
 	refused := make(map[work.ID]bool)
 	r.mu.Lock()
-	for _, s := range handedIn {
-		for _, id := range s.jobs {
+	for _, s := range submitted {
+		for _, id := range s.addedJobs {
 			refused[id] = true
 		}
 		r.withdraw(s)
 	}
 	r.mu.Unlock()
-	answer(handedIn, assist.NotStored)
+	completeAll(submitted, assist.NotStored)
 	var kept []plan.ProgressRecord
 	for _, rec := range records {
 		if !refused[rec.Job] {
@@ -328,8 +329,8 @@
 	return r.store(ctx, nil, kept)
 }
 
-func answer(handedIn []*submission, outcome assist.StoreOutcome) {
-	for _, s := range handedIn {
-		s.finish(outcome)
+func completeAll(submitted []*submission, outcome assist.StoreOutcome) {
+	for _, s := range submitted {
+		s.complete(outcome)
 	}
 }
--- a/internal/dispatch/begin.go
+++ b/internal/dispatch/takeover.go
@@ -12,11 +12,11 @@
 	"github.com/skylarklock/skylarklock/internal/replica"
 )
 
-// begin fences the former leader and takes over what it knew.
-func (r *Runner) begin(ctx context.Context) error {
-	began := time.Now()
-	if err := r.readFenced(ctx); err != nil {
-		return r.failed(err)
+// takeOver fences the former leader and takes over the state that it stored.
+func (r *Runner) takeOver(ctx context.Context) error {
+	started := time.Now()
+	if err := r.fenceAndRead(ctx); err != nil {
+		return r.reportFenced(err)
 	}
 	r.mu.Lock()
 	cfg := r.cfg.Plan
@@ -24,18 +24,18 @@
 	r.cell = plan.NewCell(cfg, r.lookup, r.cfg.Logger, time.Now())
 	r.cell.Configure(r.cfg.Configuration())
 	r.mu.Unlock()
-	if !r.cfg.Replica.SetListener(r.changed) {
-		return errNotWhole
+	if !r.cfg.Replica.SetListener(r.applyChanges) {
+		return errContentMissing
 	}
-	r.publish(ctx)
-	r.cfg.Logger.WithField("took_ms", time.Since(began).Milliseconds()).Info("this process begins to plan for the cell")
+	r.startPublisher(ctx)
+	r.cfg.Logger.WithField("took_ms", time.Since(started).Milliseconds()).Info("this process begins to plan for the cell")
 	return ctx.Err()
 }
 
-// readFenced returns when former leaders are fenced and all that they wrote is read. It is
-// read while the fence is under way, which takes as long at a slow store, and again only
-// where something was written meanwhile.
-func (r *Runner) readFenced(ctx context.Context) error {
+// fenceAndRead returns once former leaders are fenced and everything that they wrote is
+// read. Reading starts while the fence is in progress, because both take equally long at a
+// slow store, and is repeated only if something was written in the meantime.
+func (r *Runner) fenceAndRead(ctx context.Context) error {
 	reading, cancel := context.WithCancel(ctx)
 	defer cancel()
 	read := make(chan struct{})
@@ -48,15 +48,15 @@
 		return err
 	}
 	<-read
-	// States of jobs may be known further than the content that planning needs.
+	// The replica may have received summaries of records whose content, which planning needs, it has not read yet.
 	if upTo, kept := r.cfg.Replica.ContentPosition(); !kept || upTo < end {
 		r.readAll(ctx)
 	}
 	return nil
 }
 
-// readAll returns when everything is read that the store held at the call, or ctx has
-// ended.
+// readAll returns once everything that the store held at the time of the call has been read,
+// or when ctx ends.
 func (r *Runner) readAll(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := r.cfg.Reader.Sync(ctx)
@@ -64,16 +64,16 @@
 			return
 		}
 		r.cfg.Logger.WithError(err).Debug("jobs not read yet")
-		pause.For(ctx, appendRetry)
+		pause.For(ctx, appendRetryDelay)
 	}
 }
 
-// errNotWhole: the content of records was dropped between this process's claim and
-// now, on the word of another leader.
-var errNotWhole = errors.New("dispatch: the jobs' records aren't kept here")
+// errContentMissing is returned when the replica dropped the content of records between this
+// process's claim of leadership and now, because another leader told it to.
+var errContentMissing = errors.New("dispatch: the replica does not keep the content of job records")
 
-// publish begins to deliver what the replica applies to the other machines.
-func (r *Runner) publish(ctx context.Context) {
+// startPublisher starts delivering what the replica applies to the other machines.
+func (r *Runner) startPublisher(ctx context.Context) {
 	var publisher *assist.Publisher
 	ready := make(chan struct{})
 	from := r.cfg.Replica.SetPublisher(func(a replica.AppliedBatch) {
--- a/internal/dispatch/play_test.go
+++ b/internal/dispatch/testcell_test.go
@@ -20,21 +20,21 @@
 	"github.com/skylarklock/skylarklock/internal/work"
 )
 
-// Partitions of a play.
+// Partitions of a test cell.
 var (
-	playJobs      = platform.Partition{Topic: "jobs", Keyed: true}
-	playExecutors = platform.Partition{Topic: "executors", Keyed: true}
+	jobsPartition      = platform.Partition{Topic: "jobs", Keyed: true}
+	executorsPartition = platform.Partition{Topic: "executors", Keyed: true}
 )
 
-// memoryStore is the store in memory.
+// memoryStore is a platform.PartitionLog in memory.
 type memoryStore struct {
-	mu    sync.Mutex
-	parts map[string][]platform.Record
-	epoch uint64
-	stuck bool // appends have no answer and aren't done
+	mu         sync.Mutex
+	partitions map[string][]platform.Record
+	epoch      uint64 // highest epoch that has appended
+	stalled    bool   // appends are neither answered nor applied
 }
 
-// put writes a record as somebody else than the leader does.
+// put writes a record as a writer other than the leader.
 func (s *memoryStore) put(p platform.Partition, key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,25 +42,25 @@
 }
 
 func (s *memoryStore) add(p platform.Partition, r platform.Record) {
-	r.Offset = platform.Offset(len(s.parts[p.Topic]))
-	s.parts[p.Topic] = append(s.parts[p.Topic], r)
+	r.Offset = platform.Offset(len(s.partitions[p.Topic]))
+	s.partitions[p.Topic] = append(s.partitions[p.Topic], r)
 }
 
-// stick has appends fail, or no longer.
-func (s *memoryStore) stick(on bool) {
+// setStalled sets whether appends go unanswered.
+func (s *memoryStore) setStalled(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stuck = on
+	s.stalled = on
 }
 
-func (s *memoryStore) isStuck() bool {
+func (s *memoryStore) isStalled() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.stuck
+	return s.stalled
 }
 
 func (s *memoryStore) Append(ctx context.Context, a platform.Append) (platform.Offset, error) {
-	if s.isStuck() {
+	if s.isStalled() {
 		<-ctx.Done()
 		return 0, platform.ErrUncertain
 	}
@@ -70,7 +70,7 @@
 		return 0, platform.ErrFenced
 	}
 	s.epoch = a.Producer.Epoch
-	first := platform.Offset(len(s.parts[a.Partition.Topic]))
+	first := platform.Offset(len(s.partitions[a.Partition.Topic]))
 	for _, r := range a.Records {
 		s.add(a.Partition, r)
 	}
@@ -80,7 +80,7 @@
 func (s *memoryStore) Read(_ context.Context, p platform.Partition, from platform.Offset, _ time.Duration) (platform.RecordBatch, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all := s.parts[p.Topic]
+	all := s.partitions[p.Topic]
 	end := platform.Offset(len(all))
 	return platform.RecordBatch{Records: slices.Clone(all[from:]), Next: end, End: end}, nil
 }
@@ -89,13 +89,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	newest := make(map[string]platform.Record)
-	for _, r := range s.parts[p.Topic] {
+	for _, r := range s.partitions[p.Topic] {
 		newest[r.Key] = r
 		if len(r.Value) == 0 {
 			delete(newest, r.Key)
 		}
 	}
-	page := platform.NewestPage{End: platform.Offset(len(s.parts[p.Topic]))}
+	page := platform.NewestPage{End: platform.Offset(len(s.partitions[p.Topic]))}
 	for key, r := range newest {
 		if key > after {
 			page.Records = append(page.Records, r)
@@ -105,30 +105,30 @@
 	return page, nil
 }
 
-// playedExecutor carries out orders, starts of them late if told so. It judges
-// a late start by its token alone.
-type playedExecutor struct {
-	mu        sync.Mutex
-	born      time.Time
-	token     uint64
-	running   map[platform.Run]time.Time // since when
-	ended     []platform.EndedRun
-	lateStart time.Duration // a start has no answer and is carried out that much later
-	loseStops int           // so many of the next stops have no answer and no effect
-	loseHold  bool          // the next hold has no answer and no effect
-	holds     int           // that were answered
+// fakeExecutor carries out orders. Starts can be delayed; a delayed start is checked only for its
+// fencing token.
+type fakeExecutor struct {
+	mu            sync.Mutex
+	startedAt     time.Time
+	token         uint64
+	running       map[platform.Run]time.Time // start time of each run
+	ended         []platform.EndedRun
+	startDelay    time.Duration // if not zero, a start is not answered and is carried out after this delay
+	stopsToLose   int           // number of further stops that have no answer and no effect
+	loseHold      bool          // whether the next hold has no answer and no effect
+	holdsAnswered int
 }
 
-func newPlayedExecutor() *playedExecutor {
-	return &playedExecutor{born: time.Now(), running: make(map[platform.Run]time.Time)}
+func newFakeExecutor() *fakeExecutor {
+	return &fakeExecutor{startedAt: time.Now(), running: make(map[platform.Run]time.Time)}
 }
 
-func (e *playedExecutor) clock() platform.ExecutorClock {
-	return platform.ExecutorClock(time.Since(e.born).Milliseconds())
+func (e *fakeExecutor) clock() platform.ExecutorClock {
+	return platform.ExecutorClock(time.Since(e.startedAt).Milliseconds())
 }
 
-// admit reports whether the token is high enough; e.mu is held.
-func (e *playedExecutor) admit(token uint64) error {
+// checkToken refuses a token that is lower than the highest one seen. The caller holds e.mu.
+func (e *fakeExecutor) checkToken(token uint64) error {
 	if token < e.token {
 		return &platform.RefusedError{Reason: platform.RefusedFenced}
 	}
@@ -136,49 +136,49 @@
 	return nil
 }
 
-func (e *playedExecutor) begin(o platform.StartOrder) error {
+func (e *fakeExecutor) startRun(o platform.StartOrder) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := e.admit(o.FencingToken); err != nil {
+	if err := e.checkToken(o.FencingToken); err != nil {
 		return err
 	}
 	e.running[o.Run] = time.Now()
 	return nil
 }
 
-func (e *playedExecutor) Start(ctx context.Context, _ platform.ExecutorRef, o platform.StartOrder) (platform.ExecutorClock, error) {
+func (e *fakeExecutor) Start(ctx context.Context, _ platform.ExecutorRef, o platform.StartOrder) (platform.ExecutorClock, error) {
 	e.mu.Lock()
-	late := e.lateStart
+	delay := e.startDelay
 	e.mu.Unlock()
-	if late == 0 {
-		return e.clock(), e.begin(o)
+	if delay == 0 {
+		return e.clock(), e.startRun(o)
 	}
-	time.AfterFunc(late, func() { _ = e.begin(o) }) // nobody waits for the answer
+	time.AfterFunc(delay, func() { _ = e.startRun(o) }) // the answer is lost
 	<-ctx.Done()
 	return 0, platform.ErrNoAnswer
 }
 
-func (e *playedExecutor) Stop(ctx context.Context, _ platform.ExecutorRef, run platform.Run, token uint64) (platform.ExecutorClock, error) {
+func (e *fakeExecutor) Stop(ctx context.Context, _ platform.ExecutorRef, run platform.Run, token uint64) (platform.ExecutorClock, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.loseStops > 0 {
-		e.loseStops--
+	if e.stopsToLose > 0 {
+		e.stopsToLose--
 		e.mu.Unlock()
 		<-ctx.Done()
 		e.mu.Lock()
 		return 0, platform.ErrNoAnswer
 	}
-	if err := e.admit(token); err != nil {
+	if err := e.checkToken(token); err != nil {
 		return 0, err
 	}
-	if _, here := e.running[run]; here {
+	if _, found := e.running[run]; found {
 		delete(e.running, run)
 		e.ended = append(e.ended, platform.EndedRun{Number: uint64(len(e.ended) + 1), Run: run, Reason: platform.EndStopped})
 	}
 	return e.clock(), nil
 }
 
-func (e *playedExecutor) Hold(ctx context.Context, _ platform.ExecutorRef, o platform.HoldOrder) (platform.ExecutorReport, error) {
+func (e *fakeExecutor) Hold(ctx context.Context, _ platform.ExecutorRef, o platform.HoldOrder) (platform.ExecutorReport, error) {
 	e.mu.Lock()
 	lost := e.loseHold
 	e.loseHold = false
@@ -188,22 +188,22 @@
 		return platform.ExecutorReport{}, platform.ErrNoAnswer
 	}
 	e.mu.Lock()
-	err := e.admit(o.FencingToken)
+	err := e.checkToken(o.FencingToken)
 	e.mu.Unlock()
 	if err != nil {
 		return platform.ExecutorReport{}, err
 	}
-	const look = 10 * time.Millisecond
-	for waited := time.Duration(0); waited < o.MaxWait && e.seenAll(o.Acknowledged); waited += look {
+	const step = 10 * time.Millisecond
+	for waited := time.Duration(0); waited < o.MaxWait && e.allEndsAcknowledged(o.Acknowledged); waited += step {
 		select {
-		case <-time.After(look):
+		case <-time.After(step):
 		case <-ctx.Done():
 			return platform.ExecutorReport{}, platform.ErrNoAnswer
 		}
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.holds++
+	e.holdsAnswered++
 	report := platform.ExecutorReport{Clock: e.clock()}
 	for run := range e.running {
 		report.Running = append(report.Running, platform.RunningTask{Run: run, ProgressPercent: 100})
@@ -216,67 +216,67 @@
 	return report, nil
 }
 
-func (e *playedExecutor) seenAll(seen uint64) bool {
+func (e *fakeExecutor) allEndsAcknowledged(seen uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return uint64(len(e.ended)) <= seen
 }
 
-// faults sets how late starts are carried out and how many stops are lost.
-func (e *playedExecutor) faults(lateStart time.Duration, loseStops int) {
+// setFaults sets the delay of starts and the number of stops to lose.
+func (e *fakeExecutor) setFaults(startDelay time.Duration, stopsToLose int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.lateStart, e.loseStops = lateStart, loseStops
+	e.startDelay, e.stopsToLose = startDelay, stopsToLose
 }
 
-func (e *playedExecutor) loseNextHold() {
+func (e *fakeExecutor) loseNextHold() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.loseHold = true
 }
 
-// atWork returns the number of runs at work and of holds answered.
-func (e *playedExecutor) atWork() (runs, holds int) {
+// runsAndHolds returns the number of runs that are running and the number of holds answered.
+func (e *fakeExecutor) runsAndHolds() (runs, holdsAnswered int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.running), e.holds
+	return len(e.running), e.holdsAnswered
 }
 
-// cellPlay is a cell with one executor and a store, in a synctest bubble.
-type cellPlay struct {
+// testCell is a cell with one executor and a store, for use in a synctest bubble.
+type testCell struct {
 	t        *testing.T
 	store    *memoryStore
 	log      platform.PartitionLog // the store as leaders see it
-	executor *playedExecutor
+	executor *fakeExecutor
 	replica  *replica.Replica
 	reader   *replica.Reader
 	runner   *Runner
-	stop     func() // ends the leader and waits for it
+	stop     func() // stops the leader and waits until it has stopped
 	epoch    api.Epoch
-	helpers  *assist.Peers // nil: the leader alone, without advice
-	advice   *queue.Advice // that the queue takes
+	peers    *assist.Peers // nil: the leader is alone and there is no advice
+	advice   *queue.Advice // advice settings of the queue; nil: no advice
 }
 
-func newCellPlay(t *testing.T) *cellPlay {
-	p := &cellPlay{
+func newTestCell(t *testing.T) *testCell {
+	p := &testCell{
 		t:        t,
-		store:    &memoryStore{parts: make(map[string][]platform.Record)},
-		executor: newPlayedExecutor(),
+		store:    &memoryStore{partitions: make(map[string][]platform.Record)},
+		executor: newFakeExecutor(),
 		replica:  replica.New(time.Hour, logging.Silent()),
 		stop:     func() {},
 	}
 	p.log = p.store
 	p.reader = &replica.Reader{
-		Replica: p.replica, Log: p.store, Partition: playJobs,
+		Replica: p.replica, Log: p.store, Partition: jobsPartition,
 		Timing: replica.DefaultTiming(), Leads: func() bool { return true },
 	}
 	return p
 }
 
-// register has the registry list the executor; an empty state removes it.
-func (p *cellPlay) register(state string) { p.store.put(playExecutors, "e", state) }
+// register registers the executor with a state; an empty state removes its record.
+func (p *testCell) register(state string) { p.store.put(executorsPartition, "e", state) }
 
-func decodePlayed(id string, data []byte) (*fleet.Executor, error) {
+func decodeTestExecutor(id string, data []byte) (*fleet.Executor, error) {
 	return &fleet.Executor{
 		Ref:      platform.ExecutorRef{ID: id, Address: "10.0.0.1:1"},
 		Service:  "svc",
@@ -285,26 +285,26 @@
 	}, nil
 }
 
-// lead has a new leader run the cell, once the former one has ended.
-func (p *cellPlay) lead() {
+// takeOver starts a new leader after the former one has stopped.
+func (p *testCell) takeOver() {
 	p.stop()
 	p.epoch++
 	table := &queue.Configuration{Queues: []queue.Queue{{Name: "q", Service: "svc", MaxAttempts: 1, Stretch: 2, TargetLatency: time.Second, Advice: p.advice}}}
-	helpers := p.helpers
-	if helpers == nil {
-		helpers = assist.NewPeers("a", nil, nil)
+	peers := p.peers
+	if peers == nil {
+		peers = assist.NewPeers("a", nil, nil)
 	}
 	p.runner = New(Config{
 		Plan:           plan.DefaultConfig(),
 		Self:           leader.Leader{Epoch: p.epoch, Node: "a"},
 		Log:            p.log,
-		Jobs:           playJobs,
-		Registry:       playExecutors,
-		Decode:         decodePlayed,
+		Jobs:           jobsPartition,
+		Registry:       executorsPartition,
+		Decode:         decodeTestExecutor,
 		Executors:      p.executor,
 		Replica:        p.replica,
 		Reader:         p.reader,
-		Peers:          helpers,
+		Peers:          peers,
 		Configuration:  func() *queue.Configuration { return table },
 		CanRenewLeases: func() bool { return true },
 		OnFenced:       func() {},
@@ -314,7 +314,7 @@
 	})
 	ctx, cancel := context.WithCancel(p.t.Context())
 	var loops sync.WaitGroup
-	loops.Go(func() { _ = p.reader.Run(ctx) }) // ends with ctx
+	loops.Go(func() { _ = p.reader.Run(ctx) }) // returns when ctx ends
 	loops.Go(func() { _ = p.runner.Run(ctx) })
 	p.stop = func() {
 		cancel()
@@ -323,14 +323,14 @@
 	time.Sleep(100 * time.Millisecond)
 }
 
-// record returns the submission of a job of one long task.
-func (p *cellPlay) record(n byte) platform.Record {
+// record returns the submission of a job with one long task.
+func (p *testCell) record(n byte) platform.Record {
 	p.t.Helper()
 	return p.recordOf(n, work.Step{TaskCount: 1, TaskResources: api.Resources{MilliCPU: 1000}, Estimate: time.Minute})
 }
 
-// recordOf returns the submission of a job of one step.
-func (p *cellPlay) recordOf(n byte, s work.Step) platform.Record {
+// recordOf returns the submission of a job with one step.
+func (p *testCell) recordOf(n byte, s work.Step) platform.Record {
 	p.t.Helper()
 	job := &work.Job{ID: work.ID{n}, Queue: "q", Service: "svc", AcceptedMs: time.Now().UnixMilli(), Steps: []work.Step{s}}
 	data, err := work.EncodeJob(job)
@@ -340,31 +340,31 @@
 	return platform.Record{Key: work.Key(work.KindJob, job.ID), Value: data}
 }
 
-// submit hands in a job of one long task and returns its ID.
-func (p *cellPlay) submit(n byte) work.ID {
+// submit submits a job with one long task and returns its ID.
+func (p *testCell) submit(n byte) work.ID {
 	record := p.record(n)
 	go p.runner.Store(p.t.Context(), []platform.Record{record})
 	return work.ID{n}
 }
 
-// cancel makes a cancel durable as a machine does that reaches no leader.
-func (p *cellPlay) cancel(id work.ID) {
-	p.store.put(playJobs, work.Key(work.KindCancellation, id), string(work.CancellationValue))
+// cancel stores a cancellation as a machine does that reaches no leader.
+func (p *testCell) cancel(id work.ID) {
+	p.store.put(jobsPartition, work.Key(work.KindCancellation, id), string(work.CancellationValue))
 }
 
-// idleWithin checks that the executor has nothing at work after d.
-func (p *cellPlay) idleWithin(d time.Duration) {
+// requireIdleAfter fails the test if the executor has any run after d.
+func (p *testCell) requireIdleAfter(d time.Duration) {
 	p.t.Helper()
 	time.Sleep(d)
-	if runs, _ := p.executor.atWork(); runs != 0 {
-		p.t.Errorf("%d runs of a cancelled job are at work %v after the cancel", runs, d)
+	if runs, _ := p.executor.runsAndHolds(); runs != 0 {
+		p.t.Errorf("%d runs of a cancelled job are still running %v after the cancellation", runs, d)
 	}
 }
 
-// mustRun checks that a run is at work.
-func (p *cellPlay) mustRun() {
+// requireOneRun fails the test unless exactly one run is running.
+func (p *testCell) requireOneRun() {
 	p.t.Helper()
-	if runs, _ := p.executor.atWork(); runs != 1 {
-		p.t.Fatalf("%d runs are at work, want 1", runs)
+	if runs, _ := p.executor.runsAndHolds(); runs != 1 {
+		p.t.Fatalf("%d runs are running, want 1", runs)
 	}
 }
--- a/internal/dispatch/writer.go
+++ b/internal/dispatch/writer.go
@@ -14,54 +14,56 @@
 	"github.com/skylarklock/skylarklock/internal/work"
 )
 
-// producerName is the name under which leaders write a cell's progress; its
-// epochs fence former ones.
+// producerName is the producer name under which leaders append a cell's records. The epochs
+// of this producer fence former leaders.
 const producerName = "leader"
 
-// Bounds of one append's repeats. An answer may be lost, which only a timeout shows.
-// While the store is slow the timeout follows what the last answers took.
+// Timing of the retries of one append. A lost answer shows only as a timeout. While the store
+// is slow, the timeout follows the duration of the last appends.
 const (
-	appendTimeout    = 120 * time.Millisecond // least
-	appendTimeoutMax = 600 * time.Millisecond // but for appendPatience: an outage may end at any moment
-	appendPatience   = 4                      // times the usual time of an append
-	appendRetry      = 20 * time.Millisecond
+	minAppendTimeout    = 120 * time.Millisecond // of the first attempt
+	maxAppendTimeout    = 600 * time.Millisecond // unless appendTimeoutFactor gives more; kept short, because an outage may end at any moment
+	appendTimeoutFactor = 4                      // times the mean duration of an append
+	appendRetryDelay    = 20 * time.Millisecond
 )
 
-// writer appends the leader's records one append after the other. An append
-// that may have been done is repeated under its number until it is answered,
-// so nothing is written twice or out of order.
+// writer appends the leader's records, one append at a time. An append that may have been
+// applied is repeated under its sequence number until it is answered, so that nothing is
+// written twice or out of order.
 type writer struct {
 	log       platform.PartitionLog
 	partition platform.Partition
 	epoch     api.Epoch
 	sequence  uint64        // of the next append
-	usual     time.Duration // moving mean of what appends take
-	slow      bool          // it was logged that appends take long
-	events    *logrus.Entry
+	mean      time.Duration // moving mean of the duration of appends
+	slow      bool          // whether the store was last logged as slow
+	logger    *logrus.Entry
 }
 
-// newWriter returns the writer of a new leader. What its claim took tells what its first
-// append may take, which at a slow store would else be given too little time at first.
+// newWriter returns the writer of a new leader. It starts with the duration of the append that
+// claimed leadership; at a slow store the timeout of the first append would otherwise be too short.
 func newWriter(cfg Config) *writer {
-	w := &writer{log: cfg.Log, partition: cfg.Jobs, epoch: cfg.Self.Epoch, events: cfg.Logger}
-	w.expect(cfg.LastAppendDuration)
+	w := &writer{log: cfg.Log, partition: cfg.Jobs, epoch: cfg.Self.Epoch, logger: cfg.Logger}
+	w.raiseMean(cfg.LastAppendDuration)
 	return w
 }
 
-// expect has the next append given at least twice what one took.
-func (w *writer) expect(took time.Duration) { w.usual = max(w.usual, took*2/appendPatience) }
+// raiseMean raises the mean so that the timeout of the next append is at least twice took.
+func (w *writer) raiseMean(took time.Duration) {
+	w.mean = max(w.mean, took*2/appendTimeoutFactor)
+}
 
-// fence makes the store refuse the appends of former leaders, and returns where the
-// partition ended then.
+// fence makes the store refuse the appends of former leaders and returns the end of the
+// partition at that time.
 func (w *writer) fence(ctx context.Context) (platform.Offset, error) {
 	return w.append(ctx, nil, false)
 }
 
-// maxAppendBytes bounds one append; the store takes 2 MiB.
+// maxAppendBytes bounds the size of one append; the store accepts up to 2 MiB.
 const maxAppendBytes = 1 << 20
 
-// progress returns the records of progress, in parts that fit one append.
-func progress(records []plan.ProgressRecord) ([][]platform.Record, error) {
+// encodeProgress returns the records of progress, split into parts that each fit one append.
+func encodeProgress(records []plan.ProgressRecord) ([][]platform.Record, error) {
 	var parts [][]platform.Record
 	var part []platform.Record
 	size := 0
@@ -83,15 +85,15 @@
 	return parts, nil
 }
 
-// append repeats one append until it is done and returns the offset of its
-// first record. It fails when a higher epoch has written or ctx has ended;
-// with giveUp also with platform.ErrUnavailable when the store refuses an
-// append that certainly was not done before.
+// append repeats one append until it succeeds and returns the offset of its first record. It
+// fails when a higher epoch has written or when ctx ends. With giveUp it also fails with
+// platform.ErrUnavailable when the store refuses the append and no earlier attempt may have
+// been applied.
 func (w *writer) append(ctx context.Context, records []platform.Record, giveUp bool) (platform.Offset, error) {
-	timeout := max(appendTimeout, appendPatience*w.usual)
-	longest := max(timeout, appendTimeoutMax)
+	timeout := max(minAppendTimeout, appendTimeoutFactor*w.mean)
+	maxTimeout := max(timeout, maxAppendTimeout)
 	for {
-		first, err := w.try(ctx, records, timeout)
+		first, err := w.tryAppend(ctx, records, timeout)
 		var sequence *platform.SequenceError
 		switch {
 		case err == nil:
@@ -104,24 +106,24 @@
 		case ctx.Err() != nil:
 			return 0, ctx.Err()
 		case errors.As(err, &sequence) && sequence.Expected != w.sequence:
-			w.events.WithFields(logrus.Fields{"sent": w.sequence, "expected": sequence.Expected}).Info("store numbers the leader's appends differently")
+			w.logger.WithFields(logrus.Fields{"sent": w.sequence, "expected": sequence.Expected}).Info("store numbers the leader's appends differently")
 			w.sequence = sequence.Expected
 			continue
 		case giveUp && errors.Is(err, platform.ErrUnavailable):
 			return 0, err
 		case errors.Is(err, platform.ErrUncertain):
-			giveUp = false // it may have been done: only a repeat tells
-			timeout = min(2*timeout, longest)
+			giveUp = false // it may have been applied; only a repeat shows whether it was
+			timeout = min(2*timeout, maxTimeout)
 		}
-		w.events.WithError(err).Debug("records not stored yet")
-		pause.For(ctx, appendRetry)
+		w.logger.WithError(err).Debug("records not stored yet")
+		pause.For(ctx, appendRetryDelay)
 	}
 }
 
-// usualShare is the weight of a new measurement in the moving mean.
-const usualShare = 0.2
+// meanWeight is the weight of a new measurement in the moving mean.
+const meanWeight = 0.2
 
-func (w *writer) try(ctx context.Context, records []platform.Record, timeout time.Duration) (platform.Offset, error) {
+func (w *writer) tryAppend(ctx context.Context, records []platform.Record, timeout time.Duration) (platform.Offset, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	sent := time.Now()
@@ -132,24 +134,24 @@
 	})
 	if err == nil {
 		took := time.Since(sent)
-		w.usual += time.Duration(usualShare * float64(took-w.usual))
-		// A store that has become slow would else be given too little time for
-		// the next append, which would be sent twice.
-		w.expect(took)
-		w.noteSpeed()
+		w.mean += time.Duration(meanWeight * float64(took-w.mean))
+		// A store that has just become slow would otherwise get too little time for the next
+		// append, which would be sent twice.
+		w.raiseMean(took)
+		w.logSpeedChange()
 	}
 	return first, err
 }
 
-// slowAppend is the usual time of an append above which the store is logged as slow.
-const slowAppend = 60 * time.Millisecond
+// slowAppendThreshold is the mean append duration above which the store is logged as slow.
+const slowAppendThreshold = 60 * time.Millisecond
 
-// noteSpeed logs when the store becomes slow and when it no longer is.
-func (w *writer) noteSpeed() {
-	slow := w.usual > slowAppend || (w.slow && w.usual > slowAppend/2)
+// logSpeedChange logs when the store becomes slow and when it has recovered.
+func (w *writer) logSpeedChange() {
+	slow := w.mean > slowAppendThreshold || (w.slow && w.mean > slowAppendThreshold/2)
 	if slow == w.slow {
 		return
 	}
 	w.slow = slow
-	w.events.WithFields(logrus.Fields{"append_ms": w.usual.Milliseconds(), "slow": slow}).Info("usual time of appends to the store has changed")
+	w.logger.WithFields(logrus.Fields{"append_ms": w.mean.Milliseconds(), "slow": slow}).Info("usual time of appends to the store has changed")
 }
--- a/internal/dispatch/writer_test.go
+++ b/internal/dispatch/writer_test.go
@@ -12,16 +12,16 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// script answers appends with the errors given, then with success, and keeps
-// the sequence numbers that it saw.
-type script struct {
+// scriptedLog answers appends with the given errors, then with success, and records the sequence
+// numbers that it received.
+type scriptedLog struct {
 	platform.PartitionLog
 	errs      []error
 	sequences []uint64
-	waits     []time.Duration // how long each append was waited for
+	waits     []time.Duration // how long the writer waited for each append without an answer
 }
 
-func (s *script) Append(ctx context.Context, a platform.Append) (platform.Offset, error) {
+func (s *scriptedLog) Append(ctx context.Context, a platform.Append) (platform.Offset, error) {
 	s.sequences = append(s.sequences, a.Producer.Sequence)
 	if len(s.errs) == 0 {
 		return 7, nil
@@ -29,29 +29,29 @@
 	err := s.errs[0]
 	s.errs = s.errs[1:]
 	if errors.Is(err, platform.ErrUncertain) {
-		began := time.Now()
+		start := time.Now()
 		<-ctx.Done() // the answer is lost
-		s.waits = append(s.waits, time.Since(began))
+		s.waits = append(s.waits, time.Since(start))
 	}
 	return 0, err
 }
 
-func play(t *testing.T, s *script, use func(context.Context, *writer)) {
+func runWriter(t *testing.T, s *scriptedLog, run func(context.Context, *writer)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		use(t.Context(), &writer{log: s, epoch: 3, events: logging.Silent()})
+		run(t.Context(), &writer{log: s, epoch: 3, logger: logging.Silent()})
 	})
 }
 
-var one = []platform.Record{{Key: "k", Value: []byte("v")}}
+var oneRecord = []platform.Record{{Key: "k", Value: []byte("v")}}
 
-// An append that may have been done is repeated under its number, with more
-// time each time, and the next one has the next number.
+// An append that may have been applied is repeated under its sequence number, with a longer timeout
+// each time. The next append uses the next number.
 func TestUncertainAppendIsRepeated(t *testing.T) {
-	s := &script{errs: []error{platform.ErrUncertain, platform.ErrUncertain, platform.ErrUnavailable}}
-	play(t, s, func(ctx context.Context, w *writer) {
+	s := &scriptedLog{errs: []error{platform.ErrUncertain, platform.ErrUncertain, platform.ErrUnavailable}}
+	runWriter(t, s, func(ctx context.Context, w *writer) {
 		for range 2 {
-			if _, err := w.append(ctx, one, true); err != nil {
+			if _, err := w.append(ctx, oneRecord, true); err != nil {
 				t.Errorf("append: %v", err)
 			}
 		}
@@ -65,39 +65,39 @@
 			t.Fatalf("sequences %v, want %v", s.sequences, want)
 		}
 	}
-	if s.waits[0] != appendTimeout || s.waits[1] != 2*appendTimeout {
-		t.Errorf("waited %v", s.waits)
+	if s.waits[0] != minAppendTimeout || s.waits[1] != 2*minAppendTimeout {
+		t.Errorf("append timeouts %v", s.waits)
 	}
 }
 
-// What the store refuses at the first try certainly isn't stored.
+// An append that the store refuses at the first attempt is certainly not stored.
 func TestRefusedAppendIsNotRepeated(t *testing.T) {
-	s := &script{errs: []error{platform.ErrUnavailable}}
-	play(t, s, func(ctx context.Context, w *writer) {
-		if _, err := w.append(ctx, one, true); !errors.Is(err, platform.ErrUnavailable) {
+	s := &scriptedLog{errs: []error{platform.ErrUnavailable}}
+	runWriter(t, s, func(ctx context.Context, w *writer) {
+		if _, err := w.append(ctx, oneRecord, true); !errors.Is(err, platform.ErrUnavailable) {
 			t.Errorf("append: %v", err)
 		}
-		if _, err := w.append(ctx, one, true); err != nil {
+		if _, err := w.append(ctx, oneRecord, true); err != nil {
 			t.Errorf("next append: %v", err)
 		}
 	})
 	if len(s.sequences) != 2 || s.sequences[1] != 0 {
-		t.Errorf("sequences %v: the number of what was not stored is used again", s.sequences)
+		t.Errorf("sequences %v, want the number of the refused append to be reused", s.sequences)
 	}
 }
 
-// A fence takes no number, and a higher epoch ends the writer.
+// A fence uses no sequence number, and a higher epoch ends the writer.
 func TestFenceAndHigherEpoch(t *testing.T) {
-	s := &script{}
-	play(t, s, func(ctx context.Context, w *writer) {
+	s := &scriptedLog{}
+	runWriter(t, s, func(ctx context.Context, w *writer) {
 		if _, err := w.fence(ctx); err != nil {
 			t.Errorf("fence: %v", err)
 		}
-		if _, err := w.append(ctx, one, false); err != nil {
+		if _, err := w.append(ctx, oneRecord, false); err != nil {
 			t.Errorf("append: %v", err)
 		}
 		s.errs = []error{platform.ErrFenced}
-		if _, err := w.append(ctx, one, false); !errors.Is(err, platform.ErrFenced) {
+		if _, err := w.append(ctx, oneRecord, false); !errors.Is(err, platform.ErrFenced) {
 			t.Errorf("append of a former leader: %v", err)
 		}
 	})
@@ -106,11 +106,11 @@
 	}
 }
 
-// The store's numbering is taken over where it differs.
+// The writer adopts the sequence number that the store expects.
 func TestStoreSequenceIsAdopted(t *testing.T) {
-	s := &script{errs: []error{&platform.SequenceError{Expected: 5}}}
-	play(t, s, func(ctx context.Context, w *writer) {
-		if _, err := w.append(ctx, one, true); err != nil {
+	s := &scriptedLog{errs: []error{&platform.SequenceError{Expected: 5}}}
+	runWriter(t, s, func(ctx context.Context, w *writer) {
+		if _, err := w.append(ctx, oneRecord, true); err != nil {
 			t.Errorf("append: %v", err)
 		}
 	})
@@ -119,60 +119,60 @@
 	}
 }
 
-// heavyStore answers each append after a while, if that is waited for.
-type heavyStore struct {
+// slowLog answers each append after a delay, unless the append is cancelled before.
+type slowLog struct {
 	platform.PartitionLog
-	takes time.Duration
-	calls int
+	latency time.Duration
+	calls   int
 }
 
-func (s *heavyStore) Append(ctx context.Context, _ platform.Append) (platform.Offset, error) {
+func (s *slowLog) Append(ctx context.Context, _ platform.Append) (platform.Offset, error) {
 	s.calls++
 	select {
-	case <-time.After(s.takes):
+	case <-time.After(s.latency):
 		return 0, nil
 	case <-ctx.Done():
 		return 0, platform.ErrUncertain
 	}
 }
 
-// Once an append has shown how slow the store is, the next ones are waited for:
-// one that is given up shortly before its answer and sent again takes twice its
-// time, and the store makes it twice.
+// Once an append has shown how slow the store is, the next ones get enough time. An append that is
+// abandoned shortly before its answer and sent again takes twice as long and is applied twice by
+// the store.
 func TestTimeoutAdaptsToSlowStoreImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &heavyStore{takes: 250 * time.Millisecond}
-		w := &writer{log: s, epoch: 3, events: logging.Silent()}
+		s := &slowLog{latency: 250 * time.Millisecond}
+		w := &writer{log: s, epoch: 3, logger: logging.Silent()}
 		const appends = 10
-		first := 0
+		firstCalls := 0
 		for i := range appends {
-			if _, err := w.append(t.Context(), one, false); err != nil {
+			if _, err := w.append(t.Context(), oneRecord, false); err != nil {
 				t.Fatal(err)
 			}
 			if i == 0 {
-				first = s.calls
+				firstCalls = s.calls
 			}
 		}
-		if further := s.calls - first; further > appends-1 {
-			t.Errorf("%d appends after the first took %d calls", appends-1, further)
+		if furtherCalls := s.calls - firstCalls; furtherCalls > appends-1 {
+			t.Errorf("%d appends after the first took %d calls", appends-1, furtherCalls)
 		}
 	})
 }
 
-// A leader that takes over at a slow store knows how slow by its claim. Its first append
-// was given 120, 240 and 480 ms in turn, and planning began that much later (by users'
-// lines 1.8 and 2.2 s after the claim, in which nothing started).
+// A new leader knows from its claim how slow the store is. Its first append used to get 120, 240
+// and 480 ms in turn, which delayed planning: users saw nothing start for 1.8 and 2.2 s after the
+// claim.
 func TestFirstAppendTimeoutAtSlowStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const takes = 355 * time.Millisecond
-		store := slowStore{&memoryStore{parts: make(map[string][]platform.Record)}, takes}
-		w := newWriter(Config{Log: store, Jobs: playJobs, LastAppendDuration: 290 * time.Millisecond, Logger: logging.Silent()})
-		began := time.Now()
+		const latency = 355 * time.Millisecond
+		store := slowStore{&memoryStore{partitions: make(map[string][]platform.Record)}, latency}
+		w := newWriter(Config{Log: store, Jobs: jobsPartition, LastAppendDuration: 290 * time.Millisecond, Logger: logging.Silent()})
+		start := time.Now()
 		if _, err := w.fence(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if took := time.Since(began); took != takes {
-			t.Errorf("the first append took %v, the store takes %v", took, takes)
+		if took := time.Since(start); took != latency {
+			t.Errorf("the first append took %v, the store takes %v", took, latency)
 		}
 	})
 }
