--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -1,5 +1,5 @@
-// Package intake makes clients' jobs and cancels durable. Requests that
-// arrive close together share an append to the platform's store.
+// Package intake makes clients' jobs and cancellations durable. Requests that arrive close together
+// share an append to the platform's store.
 package intake
 
 import (
@@ -16,49 +16,46 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// Outcomes of Store besides success.
+// Errors of Intake.Store.
 var (
-	// ErrNotStored: the record is not stored and never will be.
+	// ErrNotStored says that the record is not stored and never will be.
 	ErrNotStored = errors.New("intake: not stored")
-	// ErrUnknown: the record may be stored, or may come to be.
+	// ErrUnknown says that the record may be stored now or later.
 	ErrUnknown = errors.New("intake: may be stored")
 )
 
-// BusyError says that a job was not stored because it would end too late to be
-// of use to its client.
+// BusyError says that a job was not stored because it would end too late to be of use to its client.
 type BusyError struct {
-	RetryAfter time.Duration // when the wait will be shorter
+	RetryAfter time.Duration // delay after which the wait will be shorter
 }
 
 // Error implements error.
 func (e *BusyError) Error() string { return "intake: too much waits before it" }
 
-// ErrNoLeader: there is no leader that could store the records; nothing was
-// done.
+// ErrNoLeader says that there is no leader that could store the records; nothing was done.
 var ErrNoLeader = errors.New("intake: no leader")
 
 // Config holds the intervals and limits of an Intake.
 type Config struct {
 	GatherDelay          time.Duration // how long a request waits for others to share its append
-	AppendTimeout        time.Duration // longest append; its answer may be lost
-	RetryDelay           time.Duration // pause before an append is repeated
-	RefusalDelay         time.Duration // pause before a store that took nothing is tried again
-	MaxRefusalDelay      time.Duration // up to which that pause doubles each time the store refuses an append made from here
-	DeliveryPollInterval time.Duration // between two looks whether a record that is under way was delivered
-	DeliveryPollTimeout  time.Duration // for how long it is looked
-	MaxBatches           int           // batches under way
-	MaxDirectAppends     int           // of these, appends made from here
-	MaxBatchBytes        int           // of one append
-	MaxPending           int           // requests that may wait
+	AppendTimeout        time.Duration // limit of one append, whose answer may be lost
+	RetryDelay           time.Duration // before an append with an uncertain outcome is repeated
+	RefusalDelay         time.Duration // before a store that refused an append is tried again
+	MaxRefusalDelay      time.Duration // limit of that delay, which doubles with each consecutive refusal after the first constantDelayRefusals
+	DeliveryPollInterval time.Duration // between two checks whether a record in progress has been delivered
+	DeliveryPollTimeout  time.Duration // how long these checks continue
+	MaxBatches           int           // batches in progress
+	MaxDirectAppends     int           // direct appends in progress, among these batches
+	MaxBatchBytes        int           // size of one append
+	MaxPending           int           // pending requests
 }
 
-// DefaultConfig returns the configuration in use. An append takes about 5 ms
-// at the store, which makes one at a time in each partition. One that gives
-// no answer is repeated: a second record of the same key changes nothing.
-// Appends made from here are few at a time, since all machines make them at
-// the same moment, when there is no leader, and a slow store takes no more
-// than 20 a second: what waits shares the next one, and a store that refuses
-// since its queue is full is tried less and less often.
+// DefaultConfig returns the configuration in use. An append takes about 5 ms at the store, which
+// makes one append at a time in each partition. An append without an answer is repeated: a second
+// record with the same key changes nothing. Few direct appends are made at a time, because without a
+// leader all machines make them at once, and a slow store accepts no more than 20 a second. Pending
+// requests share the next append, and a store that refuses appends because its queue is full is
+// tried at growing intervals.
 func DefaultConfig() Config {
 	return Config{
 		GatherDelay:          2 * time.Millisecond,
@@ -75,60 +72,60 @@
 	}
 }
 
-// Intake stores records in one keyed partition.
+// Intake stores records in one keyed partition, through the leader or by direct appends.
 type Intake struct {
-	cfg       Config
-	log       platform.PartitionLog
-	partition platform.Partition
-	relay     Relay
-	down      func() bool           // the store has given no answer for a while
-	delivered func(key string) bool // the record of that key is known to be stored
-	events    *logrus.Entry
-	slots     chan struct{}
-	direct    chan struct{}
-	wake      chan struct{}
-	chance    func(below time.Duration) time.Duration // any time from zero up to below
-
-	mu      sync.Mutex
-	pending []*request
-	refused int  // appends made from here that the store has refused in a row
-	ended   bool // Run has returned: nobody would take what is handed in
+	cfg            Config
+	log            platform.PartitionLog
+	partition      platform.Partition
+	relay          Relay
+	storeDown      func() bool           // whether the store has given no answer for a while
+	isDelivered    func(key string) bool // whether the record of a key is known to be stored
+	logger         *logrus.Entry
+	batchSlots     chan struct{} // one element for each batch in progress
+	directSlots    chan struct{} // one element for each direct append in progress
+	wake           chan struct{}
+	randomDuration func(below time.Duration) time.Duration // returns a random duration below its argument
+
+	mu                  sync.Mutex
+	pending             []*request
+	consecutiveRefusals int  // consecutive direct appends that the store has refused
+	stopped             bool // Run has returned, and no further request would be handled
 }
 
-// request is one record that waits to be stored.
+// request is one record that is to be stored.
 type request struct {
-	ctx      context.Context
-	record   platform.Record
-	patience time.Time  // until when a store that takes nothing is waited for
-	done     chan error // takes one value
+	ctx        context.Context
+	record     platform.Record
+	retryUntil time.Time  // until when the request is retried while the store refuses it
+	done       chan error // receives one value
 
 	// Guarded by Intake.mu.
-	underWay  bool // it was taken to be stored, so that it is stored or may come to be
-	withdrawn bool // its client was told that it is not stored
+	inProgress bool // it was taken to be stored and may be stored now or later
+	withdrawn  bool // its client was told that it is not stored
 }
 
-// New returns an intake for a partition.
-func New(cfg Config, log platform.PartitionLog, p platform.Partition, relay Relay, down func() bool, delivered func(string) bool, events *logrus.Entry) *Intake {
+// New returns an Intake for a partition.
+func New(cfg Config, log platform.PartitionLog, p platform.Partition, relay Relay, storeDown func() bool, isDelivered func(string) bool, logger *logrus.Entry) *Intake {
 	return &Intake{
-		cfg:       cfg,
-		log:       log,
-		partition: p,
-		relay:     relay,
-		down:      down,
-		delivered: delivered,
-		events:    events,
-		slots:     make(chan struct{}, cfg.MaxBatches),
-		direct:    make(chan struct{}, cfg.MaxDirectAppends),
-		wake:      make(chan struct{}, 1),
-		chance:    rand.N[time.Duration],
+		cfg:            cfg,
+		log:            log,
+		partition:      p,
+		relay:          relay,
+		storeDown:      storeDown,
+		isDelivered:    isDelivered,
+		logger:         logger,
+		batchSlots:     make(chan struct{}, cfg.MaxBatches),
+		directSlots:    make(chan struct{}, cfg.MaxDirectAppends),
+		wake:           make(chan struct{}, 1),
+		randomDuration: rand.N[time.Duration],
 	}
 }
 
-// Store returns when the record is stored, certainly is not, or ctx has
-// ended. It fails with ErrNotStored or ErrUnknown. A store that takes nothing
-// is waited for up to the given time: its outages are often short.
-func (in *Intake) Store(ctx context.Context, record platform.Record, patience time.Duration) error {
-	r := &request{ctx: ctx, record: record, patience: time.Now().Add(patience), done: make(chan error, 1)}
+// Store returns once the record is stored, is certain not to be stored, or ctx has ended. It fails
+// with ErrNotStored or ErrUnknown. While the store refuses the record, Store retries for up to
+// retryFor, because outages of the store are often short.
+func (in *Intake) Store(ctx context.Context, record platform.Record, retryFor time.Duration) error {
+	r := &request{ctx: ctx, record: record, retryUntil: time.Now().Add(retryFor), done: make(chan error, 1)}
 	if err := in.enqueue(r); err != nil {
 		return err
 	}
@@ -143,18 +140,18 @@
 	}
 }
 
-// enqueue has a request stored, or fails with ErrNotStored.
+// enqueue adds a request to the pending ones, or fails with ErrNotStored.
 func (in *Intake) enqueue(r *request) error {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	if in.ended {
-		return errStops
+	if in.stopped {
+		return errStopping
 	}
 	if len(in.pending) >= in.cfg.MaxPending {
-		return errors.Wrap(ErrNotStored, "too many requests wait")
+		return errors.Wrap(ErrNotStored, "too many requests are pending")
 	}
 	if r.withdrawn {
-		return nil // nobody waits for it
+		return nil // its client no longer waits
 	}
 	in.pending = append(in.pending, r)
 	select {
@@ -164,15 +161,15 @@
 	return nil
 }
 
-// errStops is told of requests that come after the end of Run, or stand in line
-// then: they would wait for their client's deadline.
-var errStops = errors.Wrap(ErrNotStored, "the process stops")
+// errStopping is the answer to requests that are pending when Run returns or arrive later. They would
+// otherwise wait for the deadlines of their clients.
+var errStopping = errors.Wrap(ErrNotStored, "the process is stopping")
 
-// withdraw takes a request out of line, or returns false when it is under way.
+// withdraw removes a pending request. It returns false if the request is already in progress.
 func (in *Intake) withdraw(r *request) bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	if r.underWay {
+	if r.inProgress {
 		return false
 	}
 	r.withdrawn = true
@@ -180,9 +177,9 @@
 	return true
 }
 
-// Run stores what is handed in until ctx ends.
+// Run stores requests until ctx ends.
 func (in *Intake) Run(ctx context.Context) error {
-	defer in.end()
+	defer in.shutDown()
 	for {
 		select {
 		case <-in.wake:
@@ -190,32 +187,32 @@
 			return nil
 		}
 		pause.For(ctx, in.cfg.GatherDelay)
-		for in.waiting() {
+		for in.hasPending() {
 			select {
-			case in.slots <- struct{}{}:
+			case in.batchSlots <- struct{}{}:
 			case <-ctx.Done():
 				return nil
 			}
-			batch := in.take()
+			batch := in.takeBatch()
 			go func() {
-				defer func() { <-in.slots }()
-				if len(batch) > 0 { // all may have been withdrawn meanwhile
-					in.store(batch)
+				defer func() { <-in.batchSlots }()
+				if len(batch) > 0 { // all requests may have been withdrawn in the meantime
+					in.storeBatch(batch)
 				}
 			}()
 		}
 	}
 }
 
-// waiting reports whether a request stands in line.
-func (in *Intake) waiting() bool {
+// hasPending reports whether a request is pending.
+func (in *Intake) hasPending() bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return len(in.pending) > 0
 }
 
-// take returns the next requests that share an append.
-func (in *Intake) take() []*request {
+// takeBatch returns the next requests, which share an append, and marks them as in progress.
+func (in *Intake) takeBatch() []*request {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	size, n := 0, 0
@@ -226,57 +223,56 @@
 	batch := in.pending[:n:n]
 	in.pending = in.pending[n:]
 	for _, r := range batch {
-		r.underWay = true
+		r.inProgress = true
 	}
 	return batch
 }
 
-// end refuses what stands in line and what comes from now on.
-func (in *Intake) end() {
+// shutDown refuses the pending requests and all later ones.
+func (in *Intake) shutDown() {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	for _, r := range in.pending {
-		r.done <- errStops
+		r.done <- errStopping
 	}
 	in.pending = nil
-	in.ended = true
+	in.stopped = true
 }
 
-// store has the leader store a batch. If that isn't possible, or it isn't
-// known what came of it, the batch is appended from here: a record that is
-// stored twice counts once.
-func (in *Intake) store(batch []*request) {
-	uncertain, batch := in.viaLeader(batch)
+// storeBatch makes the leader store a batch. If that is not possible, or if its outcome is unknown, the
+// batch is appended directly: a record that is stored twice counts once.
+func (in *Intake) storeBatch(batch []*request) {
+	uncertain, batch := in.storeViaLeader(batch)
 	if len(batch) == 0 {
 		return
 	}
-	if !in.awaitTurn() {
-		in.giveUp(batch, errors.New("the store has been silent for a while"), uncertain)
+	if !in.acquireDirectSlot() {
+		in.handleRefusal(batch, errors.New("the store has been silent for a while"), uncertain)
 		return
 	}
-	defer func() { <-in.direct }()
-	in.storeHere(expire(batch, uncertain), uncertain)
+	defer func() { <-in.directSlots }()
+	in.appendDirectly(dropExpired(batch, uncertain), uncertain)
 }
 
-// downLook is how often a batch that waits looks whether the store is down.
-const downLook = 50 * time.Millisecond
+// storeDownCheckInterval is the time between two checks of a waiting batch whether the store is down.
+const storeDownCheckInterval = 50 * time.Millisecond
 
-// awaitTurn returns when the batch may be appended from here, or false when
-// the store is down.
-func (in *Intake) awaitTurn() bool {
-	look := time.NewTicker(downLook)
-	defer look.Stop()
-	for !in.down() {
+// acquireDirectSlot waits until the batch may be appended directly. It returns false if the store is
+// down.
+func (in *Intake) acquireDirectSlot() bool {
+	check := time.NewTicker(storeDownCheckInterval)
+	defer check.Stop()
+	for !in.storeDown() {
 		select {
-		case in.direct <- struct{}{}:
+		case in.directSlots <- struct{}{}:
 			return true
-		case <-look.C:
+		case <-check.C:
 		}
 	}
 	return false
 }
 
-// lastDeadline returns when the last of the batch's clients gives up.
+// lastDeadline returns the latest deadline of the batch's clients.
 func lastDeadline(batch []*request) time.Time {
 	var last time.Time
 	for _, r := range batch {
@@ -285,70 +281,69 @@
 		}
 	}
 	if last.IsZero() {
-		return time.Now().Add(noDeadline)
+		return time.Now().Add(defaultWait)
 	}
 	return last
 }
 
-// noDeadline stands in for the time of clients that name none.
-const noDeadline = 3 * time.Second
+// defaultWait replaces the deadline if no client of the batch has one.
+const defaultWait = 3 * time.Second
 
-// storeHere appends a batch, again and again while some of its requests have
-// time left and it isn't known whether it was stored.
-func (in *Intake) storeHere(batch []*request, uncertain bool) {
+// appendDirectly appends a batch. It repeats the append while the outcome is uncertain and some of the
+// requests have time left.
+func (in *Intake) appendDirectly(batch []*request, uncertain bool) {
 	for len(batch) > 0 {
 		err := in.append(batch)
-		in.noteRefused(errors.Is(err, platform.ErrUnavailable))
+		in.recordRefusal(errors.Is(err, platform.ErrUnavailable))
 		if err == nil {
-			answer(batch, nil)
+			answerAll(batch, nil)
 			return
 		}
 		uncertain = uncertain || errors.Is(err, platform.ErrUncertain)
-		if !uncertain || in.down() {
-			in.giveUp(batch, err, uncertain)
+		if !uncertain || in.storeDown() {
+			in.handleRefusal(batch, err, uncertain)
 			return
 		}
-		if batch = expire(batch, uncertain); len(batch) > 0 {
+		if batch = dropExpired(batch, uncertain); len(batch) > 0 {
 			time.Sleep(in.cfg.RetryDelay)
 		}
 	}
 }
 
-// giveUp answers a batch that the store doesn't take. Requests that certainly
-// aren't stored, and whose patience lasts, are tried again a little later.
-func (in *Intake) giveUp(batch []*request, cause error, uncertain bool) {
+// handleRefusal answers a batch that the store did not accept. Requests that are certainly not stored
+// and may still be retried are queued again after a delay.
+func (in *Intake) handleRefusal(batch []*request, cause error, uncertain bool) {
 	if uncertain {
-		answer(batch, errors.Mark(cause, ErrUnknown))
+		answerAll(batch, errors.Mark(cause, ErrUnknown))
 		return
 	}
-	var again []*request
+	var retried []*request
 	for _, r := range batch {
-		if time.Now().Before(r.patience) && r.ctx.Err() == nil {
-			again = append(again, r)
+		if time.Now().Before(r.retryUntil) && r.ctx.Err() == nil {
+			retried = append(retried, r)
 			continue
 		}
 		r.done <- errors.Mark(cause, ErrNotStored)
 	}
-	if refused := len(batch) - len(again); refused > 0 {
-		in.events.WithError(cause).WithField("requests", refused).Info("store takes nothing")
+	if refused := len(batch) - len(retried); refused > 0 {
+		in.logger.WithError(cause).WithField("requests", refused).Info("store takes nothing")
 	}
-	if len(again) > 0 {
-		in.putBack(again)
+	if len(retried) > 0 {
+		in.requeueAfterDelay(retried)
 	}
 }
 
-// putBack has requests of which nothing is stored stand in line again, after a
-// pause.
-func (in *Intake) putBack(batch []*request) {
+// requeueAfterDelay queues requests again after a delay; nothing of them is stored.
+func (in *Intake) requeueAfterDelay(batch []*request) {
 	in.mu.Lock()
 	for _, r := range batch {
-		r.underWay = false
+		r.inProgress = false
 	}
 	in.mu.Unlock()
-	time.AfterFunc(min(in.pauseAgain(), time.Until(firstPatience(batch))), func() { in.tryAgain(batch) })
+	time.AfterFunc(min(in.refusalDelay(), time.Until(earliestRetryDeadline(batch))), func() { in.requeue(batch) })
 }
 
-func (in *Intake) tryAgain(batch []*request) {
+func (in *Intake) requeue(batch []*request) {
 	for _, r := range batch {
 		if err := in.enqueue(r); err != nil {
 			r.done <- err
@@ -356,8 +351,8 @@
 	}
 }
 
-// expire answers the requests whose time is over and returns the others.
-func expire(batch []*request, uncertain bool) []*request {
+// dropExpired answers the requests whose clients no longer wait and returns the others.
+func dropExpired(batch []*request, uncertain bool) []*request {
 	outcome := ErrNotStored
 	if uncertain {
 		outcome = ErrUnknown
@@ -389,7 +384,7 @@
 	return records
 }
 
-func answer(batch []*request, err error) {
+func answerAll(batch []*request, err error) {
 	for _, r := range batch {
 		r.done <- err
 	}
--- a/internal/intake/relay.go
+++ b/internal/intake/relay.go
@@ -9,26 +9,25 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// Outcomes of a Relay while the leader lives: an append made from here would
-// only queue behind the leader's.
+// Errors of a Relay while the leader is active. A direct append would only queue behind the leader's
+// append.
 var (
-	// ErrStoreRefused: the store takes nothing from the leader at the moment; the
-	// record is not stored.
-	ErrStoreRefused = errors.New("intake: the store takes nothing from the leader")
-	// ErrInProgress: the leader's append has no answer yet and will be repeated
-	// until it has.
-	ErrInProgress = errors.New("intake: the leader's append is under way")
+	// ErrStoreRefused says that the store currently accepts no appends from the leader; the record is not
+	// stored.
+	ErrStoreRefused = errors.New("intake: the store accepts nothing from the leader")
+	// ErrInProgress says that the leader's append has no answer yet and will be repeated until it has.
+	ErrInProgress = errors.New("intake: the leader's append is in progress")
 )
 
-// Relay hands records to whoever leads the cell, which stores them with its
-// own. It returns what became of each: nil, ErrNotStored, ErrUnknown,
-// ErrNoLeader, ErrRefused, ErrUnderWay or a *BusyError.
+// Relay passes records to the current leader, which stores them together with its own, and returns
+// the result for each: nil, ErrNotStored, ErrUnknown, ErrNoLeader, ErrStoreRefused, ErrInProgress or a
+// *BusyError.
 type Relay func(ctx context.Context, records []platform.Record) []error
 
-// viaLeader hands a batch to the leader, waits as long as one of its clients
-// does, and answers the requests that it has settled. It returns the others,
-// and whether some of these may be stored.
-func (in *Intake) viaLeader(batch []*request) (uncertain bool, left []*request) {
+// storeViaLeader passes a batch to the leader, waits at most until the last deadline of its clients,
+// and answers the requests that have a final result. It returns the others and whether some of them may
+// be stored.
+func (in *Intake) storeViaLeader(batch []*request) (uncertain bool, left []*request) {
 	ctx, cancel := context.WithDeadline(context.Background(), lastDeadline(batch))
 	defer cancel()
 	var refused []*request
@@ -47,22 +46,22 @@
 		}
 	}
 	if len(refused) > 0 {
-		in.giveUp(refused, ErrStoreRefused, false)
+		in.handleRefusal(refused, ErrStoreRefused, false)
 	}
 	return uncertain, left
 }
 
-// awaitDelivery answers a request whose record the leader is storing, as soon
-// as the record is known to be stored.
+// awaitDelivery answers a request whose record the leader is storing, once the record is known to be
+// stored.
 func (in *Intake) awaitDelivery(r *request) {
-	look := time.NewTicker(in.cfg.DeliveryPollInterval)
-	defer look.Stop()
-	end := time.NewTimer(in.cfg.DeliveryPollTimeout)
-	defer end.Stop()
-	for !in.delivered(r.record.Key) {
+	poll := time.NewTicker(in.cfg.DeliveryPollInterval)
+	defer poll.Stop()
+	timeout := time.NewTimer(in.cfg.DeliveryPollTimeout)
+	defer timeout.Stop()
+	for !in.isDelivered(r.record.Key) {
 		select {
-		case <-look.C:
-		case <-end.C:
+		case <-poll.C:
+		case <-timeout.C:
 			r.done <- errors.Mark(ErrInProgress, ErrUnknown)
 			return
 		case <-r.ctx.Done():
--- a/internal/intake/stop_test.go
+++ b/internal/intake/stop_test.go
@@ -13,31 +13,31 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// longWait is the time of clients that would wait for longer than any test
-// plays: what they are told was not brought about by their deadline.
-const longWait = time.Hour
+// longClientTimeout is longer than any test runs, so that no result in these tests is caused by the
+// deadline of a client.
+const longClientTimeout = time.Hour
 
-// outcome is what a client was told and when.
-type outcome struct {
-	err   error
-	after time.Duration // since it handed its record in
+// clientOutcome is the result that a client received and when.
+type clientOutcome struct {
+	err     error
+	elapsed time.Duration // since its record was submitted
 }
 
-// handIn hands in a record for a client with the given time.
-func handIn(in *Intake, wait, patience time.Duration) <-chan outcome {
-	told := make(chan outcome, 1)
+// submit submits a record for a client with the given timeout.
+func submit(in *Intake, timeout, retryFor time.Duration) <-chan clientOutcome {
+	done := make(chan clientOutcome, 1)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), wait)
+		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
-		began := time.Now()
-		err := in.Store(ctx, platform.Record{Key: "k", Value: []byte{1}}, patience)
-		told <- outcome{err, time.Since(began)}
+		start := time.Now()
+		err := in.Store(ctx, platform.Record{Key: "k", Value: []byte{1}}, retryFor)
+		done <- clientOutcome{err, time.Since(start)}
 	}()
-	return told
+	return done
 }
 
-// begin runs an intake and returns what ends it.
-func begin(cfg Config, relay Relay) (*Intake, context.CancelFunc) {
+// startIntake runs an Intake and returns it with a function that stops it.
+func startIntake(cfg Config, relay Relay) (*Intake, context.CancelFunc) {
 	never := func(string) bool { return false }
 	in := New(cfg, &fakeLog{}, platform.Partition{}, relay, func() bool { return false }, never, logging.Silent())
 	ctx, stop := context.WithCancel(context.Background())
@@ -45,81 +45,77 @@
 	return in, stop
 }
 
-// Users of a machine that was restarted saw their connection closed without an
-// answer. Order of events: the process was asked to stop; its loops ended, the
-// intake's among them; requests that were still being read were handed in, or
-// had been put back in line since the store took nothing; nobody took them any
-// more, so they were left to their clients' time, of which the process didn't
-// await the end. Cause: Run answered what stood in line at the moment of its
-// end, and Store went on to take more. The evidence: after the end of Run,
-// Store returned only with its context, after an hour here.
+// Clients of a restarted machine saw their connections closed without an answer. Run answered only what
+// was pending when it returned, while Store went on to accept requests: those that were still being read,
+// and those put back because the store refused them. Nobody handled these, and the process did not wait
+// until their deadlines. Store then returned only with its context, here after an hour.
 func TestPendingRequestsAreAnsweredAfterStop(t *testing.T) {
-	t.Run("handed in after the end", func(t *testing.T) {
+	t.Run("submitted after the stop", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			in, stop := begin(DefaultConfig(), always(nil))
+			in, stop := startIntake(DefaultConfig(), relayReturning(nil))
 			stop()
 			synctest.Wait()
-			got := <-handIn(in, longWait, time.Second)
-			if !errors.Is(got.err, ErrNotStored) || got.after > 0 {
-				t.Errorf("told %v after %v, want at once that it is not stored", got.err, got.after)
+			got := <-submit(in, longClientTimeout, time.Second)
+			if !errors.Is(got.err, ErrNotStored) || got.elapsed > 0 {
+				t.Errorf("got %v after %v, want ErrNotStored immediately", got.err, got.elapsed)
 			}
 		})
 	})
-	t.Run("put back in line before the end", func(t *testing.T) {
+	t.Run("queued again before the stop", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			cfg := DefaultConfig()
-			in, stop := begin(cfg, always(ErrStoreRefused))
-			told := handIn(in, longWait, longWait/2)
-			time.Sleep(cfg.RefusalDelay / 4) // it was refused once and waits for its next turn
+			in, stop := startIntake(cfg, relayReturning(ErrStoreRefused))
+			done := submit(in, longClientTimeout, longClientTimeout/2)
+			time.Sleep(cfg.RefusalDelay / 4) // it has been refused once and waits to be queued again
 			stop()
-			got := <-told
-			if !errors.Is(got.err, ErrNotStored) || got.after > cfg.MaxRefusalDelay {
-				t.Errorf("told %v after %v, want within %v that it is not stored", got.err, got.after, cfg.MaxRefusalDelay)
+			got := <-done
+			if !errors.Is(got.err, ErrNotStored) || got.elapsed > cfg.MaxRefusalDelay {
+				t.Errorf("got %v after %v, want ErrNotStored within %v", got.err, got.elapsed, cfg.MaxRefusalDelay)
 			}
 		})
 	})
-	t.Run("in line behind batches that are under way", func(t *testing.T) {
+	t.Run("pending behind batches in progress", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			cfg := DefaultConfig()
 			cfg.MaxBatches = 1
-			in, stop := begin(cfg, func(ctx context.Context, records []platform.Record) []error {
+			in, stop := startIntake(cfg, func(ctx context.Context, records []platform.Record) []error {
 				<-ctx.Done()
-				return always(ErrUnknown)(ctx, records)
+				return relayReturning(ErrUnknown)(ctx, records)
 			})
-			first := handIn(in, longWait, time.Second)
-			time.Sleep(2 * cfg.GatherDelay) // it is under way
-			second := handIn(in, longWait, time.Second)
+			first := submit(in, longClientTimeout, time.Second)
+			time.Sleep(2 * cfg.GatherDelay) // it is in progress
+			second := submit(in, longClientTimeout, time.Second)
 			time.Sleep(2 * cfg.GatherDelay)
 			stop()
 			got := <-second
-			if !errors.Is(got.err, ErrNotStored) || got.after > 2*cfg.GatherDelay {
-				t.Errorf("told %v after %v, want at once that it is not stored", got.err, got.after)
+			if !errors.Is(got.err, ErrNotStored) || got.elapsed > 2*cfg.GatherDelay {
+				t.Errorf("got %v after %v, want ErrNotStored immediately", got.err, got.elapsed)
 			}
 			<-first
 		})
 	})
 }
 
-// A client whose time ends while its record still waits in line is told that
-// it is not stored, and nobody stores it afterwards.
+// A client whose deadline passes while its record is pending is told that the record is not stored, and
+// the record is not stored afterwards.
 func TestPendingRequestIsWithdrawnWithClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := DefaultConfig()
 		var tries atomic.Int32
-		in, stop := begin(cfg, func(ctx context.Context, records []platform.Record) []error {
+		in, stop := startIntake(cfg, func(ctx context.Context, records []platform.Record) []error {
 			if tries.Add(1) == 1 {
-				return always(ErrStoreRefused)(ctx, records)
+				return relayReturning(ErrStoreRefused)(ctx, records)
 			}
-			return always(nil)(ctx, records)
+			return relayReturning(nil)(ctx, records)
 		})
 		defer stop()
-		got := <-handIn(in, cfg.RefusalDelay/4, longWait) // it was refused once and waits for its next turn
+		got := <-submit(in, cfg.RefusalDelay/4, longClientTimeout) // it has been refused once and waits to be queued again
 		if !errors.Is(got.err, ErrNotStored) {
-			t.Errorf("told %v, want that it is not stored", got.err)
+			t.Errorf("got %v, want ErrNotStored", got.err)
 		}
 		time.Sleep(2 * cfg.MaxRefusalDelay)
 		if n := tries.Load(); n != 1 {
-			t.Errorf("handed to the leader %d times", n)
+			t.Errorf("passed to the leader %d times, want 1", n)
 		}
 	})
 }
