--- a/internal/fleet/executor.go
+++ b/internal/fleet/executor.go
@@ -1,4 +1,4 @@
-// Package fleet holds what executors report about themselves.
+// Package fleet describes the registered executors.
 package fleet
 
 import (
@@ -8,34 +8,34 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// Executor is one life of an executor as it last registered itself.
+// Executor is one incarnation of an executor as it last registered itself.
 type Executor struct {
 	Ref      platform.ExecutorRef
 	Service  string
 	Zone     string // data centre
 	Labels   []string
 	Capacity api.Resources
-	Draining bool // it leaves soon and may be given no new work
+	Draining bool // it leaves soon and must get no new work
 }
 
-// Equal reports whether two records say the same of an executor.
+// Equal reports whether two registrations of an executor are identical.
 func (e *Executor) Equal(o *Executor) bool {
 	return e.Ref == o.Ref && e.Service == o.Service && e.Zone == o.Zone && slices.Equal(e.Labels, o.Labels) &&
 		e.Capacity == o.Capacity && e.Draining == o.Draining
 }
 
-// rackLabel is the place of the rack among the labels; the first is the kind.
-const rackLabel = 1
+// rackLabelIndex is the index of the rack among the labels; the first label is the kind of the executor.
+const rackLabelIndex = 1
 
-// Rack returns the rack, or "" if the executor names none.
+// Rack returns the rack, or "" if the executor has none.
 func (e *Executor) Rack() string {
-	if len(e.Labels) <= rackLabel {
+	if len(e.Labels) <= rackLabelIndex {
 		return ""
 	}
-	return e.Labels[rackLabel]
+	return e.Labels[rackLabelIndex]
 }
 
-// HasLabel reports whether the executor carries the label.
+// HasLabel reports whether the executor has the label.
 func (e *Executor) HasLabel(label string) bool {
 	for _, l := range e.Labels {
 		if l == label {
