--- a/internal/plan/admit_test.go
+++ b/internal/plan/admit_test.go
@@ -48,7 +48,7 @@
 	})
 }
 
-func TestTurns(t *testing.T) {
+func TestStartOrder(t *testing.T) {
 	Convey("Short work with a tight objective starts before long work that can wait", t, func() {
 		w := newWorld(t, 1)
 		w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(32), Estimate: 10 * time.Second})
@@ -125,7 +125,7 @@
 // A new leader refused 149 jobs in its first second, of which 104 had next to nothing
 // before them: by the executors that had reported until then, of 48, what waited came
 // to 51 s of room and fell to 8 within the second.
-func TestNewLeaderCountsOnExecutorsThatAreYetToReport(t *testing.T) {
+func TestNewLeaderCountsUnreportedExecutors(t *testing.T) {
 	Convey("Given four executors and four seconds of work of a former leader", t, func() {
 		w := newWorld(t, 4)
 		w.job(1, testQueue, work.Step{TaskCount: 16, TaskResources: cpus(32), Estimate: time.Second})
--- a/internal/plan/avoid_test.go
+++ b/internal/plan/avoid_test.go
@@ -10,7 +10,7 @@
 	"github.com/skylarklock/skylarklock/internal/work"
 )
 
-func TestExecutorThatFailsEverything(t *testing.T) {
+func TestFailingExecutorIsAvoided(t *testing.T) {
 	Convey("Given an executor on which tasks of two jobs failed in a row", t, func() {
 		w := newWorld(t, 1)
 		for n := byte(1); n <= 2; n++ {
@@ -62,7 +62,7 @@
 	})
 }
 
-func TestTrialOfAnExecutorThatNothingTriesEnds(t *testing.T) {
+func TestUnusedTrialEnds(t *testing.T) {
 	w := newWorld(t, 1)
 	var failed []platform.EndedRun
 	for n := byte(1); n <= 2; n++ {
--- a/internal/plan/begun_test.go
+++ b/internal/plan/begun_test.go
@@ -9,7 +9,7 @@
 	"github.com/skylarklock/skylarklock/internal/work"
 )
 
-func TestJobIsPendingUntilARunIsKnown(t *testing.T) {
+func TestJobIsPendingUntilRunIsConfirmed(t *testing.T) {
 	Convey("Given a job whose start has been sent", t, func() {
 		w := newWorld(t, 1)
 		j := w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(1), Estimate: time.Minute})
--- a/internal/plan/bench_test.go
+++ b/internal/plan/bench_test.go
@@ -90,7 +90,7 @@
 // expected where, and looked its grants up by name, and 14 when that is shared by
 // all steps (one machine, 20 rounds). With 350, executors without room are passed over
 // before what is known of them is looked up: 7.9 ms before, 5.0 now.
-func BenchmarkAsks(b *testing.B) {
+func BenchmarkAdviceCalls(b *testing.B) {
 	for _, executors := range []int{48, 350, 540} {
 		b.Run(fmt.Sprint(executors), func(b *testing.B) {
 			c, now := fullCell(executors)
--- a/internal/plan/canary_test.go
+++ b/internal/plan/canary_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestStepOfWhichAllTasksCrashTakesDownTheExecutorsOfItsFirstStartsOnly(t *testing.T) {
+func TestWideCrashingStepLosesOnlyFirstExecutors(t *testing.T) {
 	const (
 		executors  = 48
 		tasks      = 200
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestJobsOfAnImageThatWasGivenUpAreTriedOneTaskAtATime(t *testing.T) {
+func TestCanaryForImageOfFailedJob(t *testing.T) {
 	p := newCrashPlay(t, 48, crashingJobs(1, 2))
 	image := work.Step{TaskCount: 100, TaskResources: cpus(2), Estimate: time.Second, Image: "crashing"}
 	p.job(1, testQueue, image)
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestTrialOfAHealthyStepEndsWithItsFirstGoodRun(t *testing.T) {
+func TestCanaryEndsWithFirstSuccessfulRun(t *testing.T) {
 	p := newCrashPlay(t, 12, crashers())
 	j := p.job(1, testQueue, work.Step{TaskCount: 150, TaskResources: cpus(2), Estimate: time.Second})
 	p.runFor(300 * time.Millisecond)
@@ -77,7 +77,7 @@
 
 // Under a job that has its executors for itself three crash by chance, the third under a
 // task that has lost one before.
-func TestCrashWithWhichCanariesBeginBlamesNobody(t *testing.T) {
+func TestCrashThatStartsCanaryDoesNotFailJob(t *testing.T) {
 	w := newWorld(t, 3)
 	j := w.job(1, testQueue, work.Step{TaskCount: 3, TaskResources: cpus(30), Estimate: time.Minute})
 	w.startAll(w.cycle())
--- a/internal/plan/crash_test.go
+++ b/internal/plan/crash_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestTaskThatCrashesItsExecutorsIsNotStartedForEver(t *testing.T) {
+func TestCrashingTaskIsNotRestartedForever(t *testing.T) {
 	p := newCrashPlay(t, 12, crashers(1, 2))
 	p.crowd(10, 58)
 	p.runFor(5 * time.Second)
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestStartsAreNotRepeatedAtAnExecutorThatIsNotReached(t *testing.T) {
+func TestStartIsNotRepeatedOnUnreachableExecutor(t *testing.T) {
 	p := newCrashPlay(t, 2, crashers())
 	p.runFor(time.Second)
 	p.crash("e0")
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestCrashesOfAThirdOfTheExecutorsFailNoHealthyJob(t *testing.T) {
+func TestMassCrashesFailNoHealthyJob(t *testing.T) {
 	p := newCrashPlay(t, 12, crashers(1, 2, 3, 4, 5, 6))
 	p.crowd(10, 58)
 	gang := p.job(7, testQueue, work.Step{TaskCount: 24, TaskResources: cpus(9), Estimate: time.Second, Gang: true})
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestLeadersInTurnKeepTheCountOfCrashes(t *testing.T) {
+func TestCrashCountSurvivesLeaderChanges(t *testing.T) {
 	p := newCrashPlay(t, 12, crashers(1))
 	p.crowd(10, 20)
 	bad := p.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(2), Estimate: time.Second})
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestExecutorsThatAreCutOffOrLeaveAccuseNobody(t *testing.T) {
+func TestCutOffOrLeavingExecutorsCountNoCrash(t *testing.T) {
 	p := newCrashPlay(t, 4, func(work.TaskKey) behaviour { return behaviour{takes: 40 * time.Second} })
 	j := p.job(1, testQueue, work.Step{TaskCount: 8, TaskResources: cpus(4), Estimate: 40 * time.Second})
 	p.runFor(time.Second)
@@ -153,7 +153,7 @@
 	}
 }
 
-func TestServiceThatRunsWellIsNotBlamedForLaterCrashes(t *testing.T) {
+func TestHealthyServiceIsNotBlamedForLaterCrashes(t *testing.T) {
 	p := newCrashPlay(t, 4, func(work.TaskKey) behaviour { return behaviour{takes: time.Hour} })
 	j := p.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(2), Estimate: time.Second, LongRunning: true})
 	for range 8 {
@@ -178,12 +178,12 @@
 	}
 }
 
-func TestServiceThatCrashesItsExecutorsIsNotStartedForEver(t *testing.T) {
+func TestCrashingServiceIsNotRestartedForever(t *testing.T) {
 	p := newCrashPlay(t, 6, crashers(1))
 	p.checkFails(30, work.Step{TaskCount: 3, TaskResources: cpus(2), Estimate: time.Second, LongRunning: true}, 60*time.Second)
 }
 
-func TestGangWithATaskThatCrashesItsExecutorsIsNotStartedForEver(t *testing.T) {
+func TestCrashingGangIsNotRestartedForever(t *testing.T) {
 	p := newCrashPlay(t, 12, crashers(1))
 	p.checkFails(50, work.Step{TaskCount: 10, TaskResources: cpus(9), Estimate: time.Second, Gang: true}, 90*time.Second)
 }
--- a/internal/plan/end_test.go
+++ b/internal/plan/end_test.go
@@ -10,7 +10,7 @@
 	"github.com/skylarklock/skylarklock/internal/work"
 )
 
-func TestEnds(t *testing.T) {
+func TestRunEnds(t *testing.T) {
 	Convey("Given a job of one task that runs", t, func() {
 		w := newWorld(t, 1)
 		j := w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Second})
--- a/internal/plan/foreign_start_test.go
+++ b/internal/plan/foreign_start_test.go
@@ -8,7 +8,7 @@
 	"github.com/skylarklock/skylarklock/internal/queue"
 )
 
-func TestStartsThatAreNoLongerRight(t *testing.T) {
+func TestInvalidStartsAreNotSent(t *testing.T) {
 	Convey("Given a start that is planned", t, func() {
 		w := newWorld(t, 1)
 		w.job(1, testQueue, oneTask(4))
--- a/internal/plan/foreign_test.go
+++ b/internal/plan/foreign_test.go
@@ -50,7 +50,7 @@
 	return work.Step{TaskCount: 1, TaskResources: cpus(cpu), Estimate: time.Minute}
 }
 
-func TestExecutorsOfServicesThatAreNotConfigured(t *testing.T) {
+func TestExecutorsOfUnconfiguredServices(t *testing.T) {
 	Convey("Given an executor of a service that no configuration names", t, func() {
 		w := newWorld(t, 1)
 		w.list("f", "e0", foreignService)
@@ -96,7 +96,7 @@
 	})
 }
 
-func TestExecutorThatIsNoLongerListed(t *testing.T) {
+func TestUnregisteredExecutor(t *testing.T) {
 	Convey("Given an executor with a run that is taken off the registry", t, func() {
 		w := newWorld(t, 2)
 		w.job(1, testQueue, oneTask(32))
@@ -175,7 +175,7 @@
 	})
 }
 
-func TestRecordThatIsPutRight(t *testing.T) {
+func TestCorrectedExecutorRecord(t *testing.T) {
 	Convey("An executor that was read as leaving and has been ready for a while gets work again", t, func() {
 		w := newWorld(t, 1)
 		leaving := *w.listed["e0"]
--- a/internal/plan/gang_test.go
+++ b/internal/plan/gang_test.go
@@ -95,7 +95,7 @@
 	})
 }
 
-func TestUnknownRunsAreStoppedAndHoldTheirRoom(t *testing.T) {
+func TestUnknownRunsAreStoppedAndHoldCapacity(t *testing.T) {
 	Convey("Given a run of a job that ended under a former leader", t, func() {
 		w := newWorld(t, 1)
 		j := w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(30), Estimate: time.Minute})
--- a/internal/plan/lease_test.go
+++ b/internal/plan/lease_test.go
@@ -103,7 +103,7 @@
 // A new leader that may not extend leases yet, since its own is not confirmed,
 // counts on those that the former leader has extended: an executor's first
 // report doesn't say how long they are.
-func TestFormerLeasesCountFromTheFirstReport(t *testing.T) {
+func TestFormerLeaderLeaseCountsFromFirstReport(t *testing.T) {
 	for name, known := range map[string]bool{"a run that it took over": true, "a run of a job that had ended": false} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, 1)
--- a/internal/plan/life_test.go
+++ b/internal/plan/life_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestDoneTaskIsNotStartedAgainWhereAnExecutorStartsAgainUnderItsID(t *testing.T) {
+func TestDoneTaskIsNotRestartedAfterExecutorRestart(t *testing.T) {
 	p := newCrashPlay(t, 6, crashers())
 	p.reuseIDs(shortlyAway)
 	p.crowd(10, 30)
@@ -59,7 +59,7 @@
 	p.checkAcknowledgedEnds()
 }
 
-func TestStartIsNotAwaitedByTheClockOfAFormerLife(t *testing.T) {
+func TestUnconfirmedStartIgnoresClockOfFormerIncarnation(t *testing.T) {
 	p := newCrashPlay(t, 2, crashers())
 	p.reuseIDs(shortlyAway)
 	p.runFor(5 * time.Minute) // by which the clocks are ahead of those of later lives
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestTaskIsNotPlacedOnAnExecutorWhoseLifeIsOver(t *testing.T) {
+func TestTaskIsNotPlacedOnEndedIncarnation(t *testing.T) {
 	w := newWorld(t, 2)
 	w.job(1, testAdvised, work.Step{TaskCount: 2, TaskResources: cpus(20), Estimate: time.Second})
 	asks := w.cell.AdviceCalls(w.now, anybody{})
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestHoldThatOpensAConnectionAcknowledgesNothing(t *testing.T) {
+func TestHoldOnNewConnectionAcknowledgesNoEnds(t *testing.T) {
 	w := newWorld(t, 1)
 	w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(2), Estimate: time.Second})
 	orders := w.cycle()
@@ -148,7 +148,7 @@
 	return w
 }
 
-func TestCallsToTheNextLifeCarryAHigherToken(t *testing.T) {
+func TestNewIncarnationGetsHigherToken(t *testing.T) {
 	w := newWorldOfLives(t, 1)
 	former := w.answer("e0", platform.ExecutorReport{StartTimeMs: bornNext, Clock: 10})
 	next, _ := w.cell.NextHold("e0", HoldTerms{Connected: true, Renew: true})
@@ -165,7 +165,7 @@
 	}
 }
 
-func TestClockThatWentBackIsANewLife(t *testing.T) {
+func TestClockThatGoesBackIsNewIncarnation(t *testing.T) {
 	w := newWorldOfLives(t, 1)
 	w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Minute})
 	orders := w.cycle()
@@ -178,7 +178,7 @@
 	}
 }
 
-func TestRecordOfAnotherLifeDescribesNothing(t *testing.T) {
+func TestRecordOfOtherIncarnationIsNotApplied(t *testing.T) {
 	w := newWorldOfLives(t, 1)
 	next := platform.ExecutorReport{StartTimeMs: bornNext, Clock: 10}
 	w.answer("e0", next)
@@ -204,7 +204,7 @@
 	}
 }
 
-func TestRunsOfAFormerLifeAreSettledByTheAnswerToAHigherToken(t *testing.T) {
+func TestFormerRunsAreSettledByAnswerToHigherToken(t *testing.T) {
 	for name, reached := range map[string]bool{"the order has reached the next life": true, "it has not": false} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorldOfLives(t, 2)
@@ -229,7 +229,7 @@
 	}
 }
 
-func TestTicketOfAFormerLifeIsNotUsed(t *testing.T) {
+func TestTicketOfFormerIncarnationIsNotUsed(t *testing.T) {
 	w := newWorldOfLives(t, 1)
 	w.job(1, testAdvised, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Second})
 	w.cycle()
@@ -278,7 +278,7 @@
 	return w.now.Sub(began)
 }
 
-func TestOrderWithoutAnswerAtASilentExecutorIsAwaited(t *testing.T) {
+func TestUnconfirmedOrderOnUnresponsiveExecutorDefersTask(t *testing.T) {
 	cfg := DefaultConfig()
 	const slack = 1500 * time.Millisecond
 	for _, c := range []struct {
@@ -310,7 +310,7 @@
 	}
 }
 
-func TestLeaseOfALifeThatMayHaveGotOrdersForAFormerOneIsTheLongest(t *testing.T) {
+func TestNewIncarnationMayHoldMaxLease(t *testing.T) {
 	cfg := DefaultConfig()
 	w := newWorldOfLives(t, 2)
 	w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Minute})
@@ -337,7 +337,7 @@
 	return w.cell.jobs[job.ID].activeOccurrences[0].steps[0].tasks[0], orders[0].Start.To.ID
 }
 
-func TestRunLostWithAFormerLifeBeforeATakeoverCounts(t *testing.T) {
+func TestLossBeforeTakeoverCounts(t *testing.T) {
 	for answers, want := range map[int64]int{bornNext: 1, bornFirst: 0} {
 		w := newWorldOfLives(t, 1)
 		task, id := w.startedByFormerLeader()
@@ -348,7 +348,7 @@
 	}
 }
 
-func TestEndOfTheLifeThatALateRecordNamesEndsNoRunOfAnotherOne(t *testing.T) {
+func TestLossNamedByLateRecordEndsNoOtherRuns(t *testing.T) {
 	w := newWorldOfLives(t, 2)
 	for id := range w.listed {
 		w.tell(id, bornNext)
@@ -370,7 +370,7 @@
 	}
 }
 
-func TestTaskLostWithAnExecutorStartsOnAnotherOne(t *testing.T) {
+func TestLostTaskStartsOnOtherExecutor(t *testing.T) {
 	p := newCrashPlay(t, 2, crashers(1))
 	p.reuseIDs(shortlyAway)
 	p.runFor(time.Second)
@@ -384,7 +384,7 @@
 	}
 }
 
-func TestFailedEndThatIsListedAgainAfterATakeoverCountsOnce(t *testing.T) {
+func TestRepeatedFailedEndCountsOnceAcrossTakeover(t *testing.T) {
 	w := newWorld(t, 1)
 	job := w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Second})
 	orders := w.cycle()
@@ -400,7 +400,7 @@
 	}
 }
 
-func TestNextLifeAtAnotherAddressIsFound(t *testing.T) {
+func TestNewIncarnationAtOtherAddressIsFound(t *testing.T) {
 	w := newWorldOfLives(t, 1)
 	w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Minute})
 	w.startAll(w.cycle())
--- a/internal/plan/move_test.go
+++ b/internal/plan/move_test.go
@@ -19,7 +19,7 @@
 
 // Executors fall to a sixth of their pace or stand still for seconds, in the middle of
 // runs of a second. Those of which nothing would be left of use go on elsewhere.
-func TestRunsMoveAwayFromExecutorsThatHaveBecomeSlow(t *testing.T) {
+func TestRunsMoveFromSlowExecutors(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		step     work.Step
--- a/internal/plan/progress_test.go
+++ b/internal/plan/progress_test.go
@@ -9,7 +9,7 @@
 )
 
 // An estimate says a second; the executor's reports say four.
-func TestProgressForetellsTheEndOfARun(t *testing.T) {
+func TestProgressPredictsRunEnd(t *testing.T) {
 	w := newWorld(t, 1)
 	w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(20), Estimate: time.Second})
 	orders := w.cycle()
@@ -43,7 +43,7 @@
 }
 
 // What a run had done before it went on from a checkpoint tells nothing of its pace.
-func TestProgressOfARunThatWentOn(t *testing.T) {
+func TestProgressOfResumedRun(t *testing.T) {
 	var p progress
 	now := testStart
 	p.add(60, 1000, now.Add(-time.Millisecond), true, now)
--- a/internal/plan/promise_test.go
+++ b/internal/plan/promise_test.go
@@ -19,7 +19,7 @@
 	return sum
 }
 
-func TestPromises(t *testing.T) {
+func TestTentativeAllocations(t *testing.T) {
 	Convey("Given two gangs that ask for advice at the same moment", t, func() {
 		w := newWorld(t, 12)
 		w.pass(2 * time.Second)
@@ -68,7 +68,7 @@
 // call of the first left, and so on with dozens of gangs, none had tickets for all of its
 // tasks at one time: accepted jobs stood still for 14 s beside executors of which most
 // was free.
-func TestGangThatCouldNotStartIsNotAskedAbout(t *testing.T) {
+func TestNoAdviceCallForGangThatCannotStart(t *testing.T) {
 	w := newWorld(t, 10)
 	w.pass(2 * time.Second)
 	w.reportAll()
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestGangIsNotLeftWaitingBesideRoomThatItWasNotAskedAbout(t *testing.T) {
+func TestWaitingGangCallsAboutFreeExecutors(t *testing.T) {
 	w := newWorld(t, 5)
 	w.pass(2 * time.Second)
 	w.reportAll()
--- a/internal/plan/random_test.go
+++ b/internal/plan/random_test.go
@@ -203,7 +203,7 @@
 // Under any mix of troubles no task runs twice at once, and once they are over
 // whatever is at work of a job that has ended is stopped in time. The latter is
 // played too where executors carry out starts that are void.
-func TestRandomTroubles(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	for _, seed := range tellingSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { playTroubles(t, seed, true) })
 	}
--- a/internal/plan/recall_test.go
+++ b/internal/plan/recall_test.go
@@ -8,7 +8,7 @@
 )
 
 // A leader is lost right after an executor, whose record is gone when the next one begins.
-func TestRunsLostWithAnExecutorBeforeATakeoverStartAgainOnceItIsBack(t *testing.T) {
+func TestRunsLostBeforeTakeoverRestart(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		recalls bool
--- a/internal/plan/refused_test.go
+++ b/internal/plan/refused_test.go
@@ -28,7 +28,7 @@
 	return sent
 }
 
-func TestRefusedStartsAreNotRepeatedAtFullPace(t *testing.T) {
+func TestRefusedStartsBackOff(t *testing.T) {
 	const most = 4 * 10 // one a second and executor, and one more each
 	for _, reason := range []platform.Refusal{
 		platform.RefusedNoCapacity, platform.RefusedLeaseExpired, platform.RefusedInvalidOrder, platform.RefusedUnhealthy, platform.RefusedOldRun,
--- a/internal/plan/shrink_test.go
+++ b/internal/plan/shrink_test.go
@@ -25,7 +25,7 @@
 	w.cell.UpdateExecutors(listed, w.now)
 }
 
-func TestPlannedStartIsNotSentToAnExecutorThatHasShrunk(t *testing.T) {
+func TestPlannedStartIsNotSentToShrunkExecutor(t *testing.T) {
 	w := newWorld(t, 1)
 	w.job(1, testQueue, work.Step{TaskCount: 3, TaskResources: cpus(8), Estimate: time.Second})
 	starts := w.cell.Plan(w.now)
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestGangIsNotSentInPartToAnExecutorThatHasShrunk(t *testing.T) {
+func TestGangIsNotPartlySentToShrunkExecutor(t *testing.T) {
 	w := newWorld(t, 1)
 	w.job(1, testQueue, work.Step{TaskCount: 3, TaskResources: cpus(8), Estimate: time.Second, Gang: true})
 	starts := w.cell.Plan(w.now)
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestRoomThatGrowsWakesStepsThatWaitForAdvice(t *testing.T) {
+func TestGrownCapacityTriggersAdviceCheck(t *testing.T) {
 	w := newWorld(t, 2)
 	for _, id := range []string{"e0", "e1"} {
 		w.resize(id, roomOfCPUs(1))
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestJobThatNoExecutorHasRoomForWaitsUntilOneHas(t *testing.T) {
+func TestJobWaitsForLargeEnoughExecutor(t *testing.T) {
 	p := newCrashPlay(t, 2, crashers())
 	for _, id := range p.ids() {
 		p.resize(id, roomOfCPUs(4))
@@ -155,7 +155,7 @@
 	return ""
 }
 
-func TestNoStartOverfillsExecutorsWhoseRoomsChange(t *testing.T) {
+func TestStartsNeverOverfillResizedExecutors(t *testing.T) {
 	const seeds = 30
 	for seed := range uint64(seeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/plan/suspect_test.go
+++ b/internal/plan/suspect_test.go
@@ -16,7 +16,7 @@
 	return s
 }
 
-func TestExecutorIsNotKeptForeverForATaskThatNeverStarts(t *testing.T) {
+func TestIsolationEndsIfTaskNeverStarts(t *testing.T) {
 	w := newWorld(t, 1)
 	w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(8), Estimate: time.Minute})
 	w.startAll(w.cycle())
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestSuspectedRunOfAFormerLeaderKeepsOthersOffForAWhileOnly(t *testing.T) {
+func TestInheritedSuspectedRunIsIsolatedForLimitedTime(t *testing.T) {
 	w := newWorld(t, 1)
 	w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(8), Estimate: time.Minute})
 	w.suspect(work.ID{1})
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestSuspectedTaskStartsAloneThoughTheCellIsFull(t *testing.T) {
+func TestSuspectedTaskStartsAloneInFullCell(t *testing.T) {
 	w := newWorld(t, 2)
 	w.job(1, testQueue, work.Step{TaskCount: 16, TaskResources: cpus(4), Estimate: time.Minute})
 	first := w.cycle()
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestGangOfSuspectedTasksStartsWhereExecutorsAreFewerThanTasks(t *testing.T) {
+func TestSuspectedGangStartsOnFewExecutors(t *testing.T) {
 	p := newCrashPlay(t, 3, crashers())
 	p.runFor(time.Second)
 	gang := p.job(1, testQueue, work.Step{TaskCount: 8, TaskResources: cpus(4), Estimate: time.Second, Gang: true})
--- a/internal/plan/unwanted_test.go
+++ b/internal/plan/unwanted_test.go
@@ -69,7 +69,7 @@
 
 // A start without an answer that is carried out after its job has ended, or
 // before, doesn't run on.
-func TestLateStartOfAnEndedJobIsStopped(t *testing.T) {
+func TestLateStartOfEndedJobIsStopped(t *testing.T) {
 	for ending, end := range endings {
 		for standing, stand := range standings {
 			for stops, fates := range stopFates {
@@ -106,7 +106,7 @@
 
 // The same holds when the leader that sent the start is gone and another one,
 // which knows only what is durable, leads from some time on.
-func TestLateStartOfAFormerLeaderIsStopped(t *testing.T) {
+func TestLateStartOfFormerLeaderIsStopped(t *testing.T) {
 	for standing, stand := range standings {
 		for stops, fates := range stopFates {
 			for _, order := range []struct{ started, ended, led time.Duration }{
@@ -158,7 +158,7 @@
 // A run that was at work before its job was cancelled is stopped by a leader
 // that finds neither the job nor the run in what it takes over, and by one
 // that can reach the executor only later.
-func TestRunAtWorkIsStoppedByANewLeader(t *testing.T) {
+func TestNewLeaderStopsRunOfCancelledJob(t *testing.T) {
 	for standing, stand := range standings {
 		for stops, fates := range stopFates {
 			for _, order := range []struct{ ended, led time.Duration }{
@@ -191,7 +191,7 @@
 
 // An executor that was out of reach for longer than its lease isn't forgotten:
 // what starts there late is stopped when it can be reached again.
-func TestLateStartAfterACutIsStopped(t *testing.T) {
+func TestLateStartAfterNetworkCutIsStopped(t *testing.T) {
 	for standing, stand := range standings {
 		for _, order := range []struct{ started, ended time.Duration }{
 			{2 * time.Second, 500 * time.Millisecond},
@@ -245,7 +245,7 @@
 
 // Stops are not repeated to an executor that gives no report either: it is
 // asked for one first.
-func TestStopsWaitForASilentExecutor(t *testing.T) {
+func TestStopsWaitForUnresponsiveExecutor(t *testing.T) {
 	p := newPlay(t, 1)
 	job := p.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Minute})
 	p.cycleOnce()
@@ -264,7 +264,7 @@
 
 // Wherever a run stands when its job is cancelled, it isn't started after that
 // or it is stopped, and the stop is repeated as long as a report lists the run.
-func TestCancelInEachStateOfARun(t *testing.T) {
+func TestCancelInEachAllocationState(t *testing.T) {
 	sent := 0 // orders in the newest case
 	nothing := func(*world, []Start) {}
 	send := func(w *world, s []Start) { sent += len(w.cell.Confirm(s, w.now)) }
@@ -333,7 +333,7 @@
 
 // The done end of one member of a gang counts for all. A member that is listed
 // as at work all the same is stopped.
-func TestGangMemberThatGoesOnIsStopped(t *testing.T) {
+func TestRunningMemberOfDoneGangIsStopped(t *testing.T) {
 	for name, steps := range map[string][]work.Step{
 		"the job has ended":  {{TaskCount: 2, TaskResources: cpus(20), Estimate: time.Second, Gang: true}},
 		"another step comes": {{TaskCount: 2, TaskResources: cpus(20), Estimate: time.Second, Gang: true}, {TaskCount: 1, TaskResources: cpus(40), DependsOn: []int{0}}},
--- a/internal/plan/yield_test.go
+++ b/internal/plan/yield_test.go
@@ -59,7 +59,7 @@
 
 // Executors are full of work that can wait, in pieces: a gang finds no room, however
 // much time that work has.
-func TestGangStartsInPlaceOfWorkThatCanWait(t *testing.T) {
+func TestGangPreemptsLessUrgentRuns(t *testing.T) {
 	w := newCrowd(t, 4)
 	roster := w.roster(1, 16, true)
 	w.startAndSettle()
@@ -85,7 +85,7 @@
 }
 
 // What a run is stopped for, and what for not.
-func TestWhatYields(t *testing.T) {
+func TestPreemptibleRuns(t *testing.T) {
 	const tasks = 16
 	for _, c := range []struct {
 		name  string
@@ -119,7 +119,7 @@
 }
 
 // Nothing is stopped for a gang that would find too little room all the same.
-func TestNothingYieldsInVain(t *testing.T) {
+func TestNoPreemptionIfGangStillDoesNotFit(t *testing.T) {
 	w := newCrowd(t, 4)
 	w.roster(1, 16, true)
 	w.startAndSettle()
@@ -181,7 +181,7 @@
 
 // In random plays no run is stopped more often than allowed or for a less urgent one,
 // and no gang waits beyond its time where what may yield would make room.
-func TestYieldingIsBounded(t *testing.T) {
+func TestPreemptionIsBounded(t *testing.T) {
 	for seed := range uint64(30) {
 		p := &crowdPlay{
 			world: newCrowd(t, 8), rand: rand.New(rand.NewPCG(seed, 1)),
