--- a/internal/plan/backlog.go
+++ b/internal/plan/backlog.go
@@ -141,7 +141,7 @@
 }
 
 // FirstAdviceCall returns the size and cost expected of a first advice call for a job of
-// the queue, or the zero Call if the queue needs no advice.
+// the queue, or the zero CallTime if the queue needs no advice.
 func (c *Cell) FirstAdviceCall(q *queue.Queue) queue.CallTime {
 	if q == nil || q.Advice == nil {
 		return queue.CallTime{}
--- a/internal/plan/canary.go
+++ b/internal/plan/canary.go
@@ -12,23 +12,23 @@
 
 // The tasks of a step run the same program. If all of them crash their executors, a wide
 // step takes many executors down before the first crash is known, and again with each
-// restart. A step under which several executors were lost therefore starts with a canary:
-// one task alone, until one has done well. So does a new step with an image for which a job
-// was failed because it crashed its executors.
+// restart. A step under which several executors were lost therefore starts with a canary: one
+// task alone, until one has ended as done or has run for longer than the lost ones. So does a
+// new step with an image for which a job was failed because it crashed its executors.
 
 const (
 	// canaryMinLosses is how many executors have to be lost under a step's tasks for it to
 	// start with a canary.
 	canaryMinLosses = 3
 	// canaryRunMargin is added to twice the longest lost run of the step. A canary that
-	// runs for longer than that has done well.
+	// runs for longer than that has succeeded.
 	canaryRunMargin = time.Second
 	// failedImageRetention is how long new steps start with a canary after a job with their
 	// image was failed because it crashed its executors.
 	failedImageRetention = 10 * time.Minute
 )
 
-// canary holds what the tasks of a step have lost since one of them last did well.
+// canary holds what the tasks of a step have lost since one of them last succeeded.
 type canary struct {
 	lostExecutors map[work.ExecutorIncarnation]struct{}
 	longestRun    time.Duration // longest time from the order of a lost run to the loss of its executor
@@ -75,7 +75,7 @@
 	}
 }
 
-// endCanary lets all tasks of a step start again after one of them did well.
+// endCanary lets all tasks of a step start again after one of them has succeeded.
 func (c *Cell) endCanary(s *step) {
 	if s.inCanary() {
 		c.logger.WithField("step", s.key()).Info("step starts all its tasks again: one of them did well")
--- a/internal/plan/crash_random_test.go
+++ b/internal/plan/crash_random_test.go
@@ -9,51 +9,53 @@
 	"github.com/skylarklock/skylarklock/internal/work"
 )
 
-// Bounds of a random play with crashes.
+// Parameters of the random simulation with crashes.
 const (
-	crashSeeds    = 40
-	crashTroubled = 40 * time.Second
-	crashCalm     = 60 * time.Second
-	crashBad      = 4 // one job in so many has a task that crashes its executors
-	// crashesShown is how many executors have to have crashed under a task for its job to be
-	// shown as failed.
-	crashesShown = 2
+	crashSeeds       = 40
+	crashFaultPeriod = 40 * time.Second
+	crashCalmPeriod  = 60 * time.Second
+	crashingJobRatio = 4 // one job in this many has a task that crashes its executors
+	// minCrashesOfFailedJob is how many executors must have crashed under a task before its
+	// job may be recorded as failed.
+	minCrashesOfFailedJob = 2
 )
 
-// randomCrashes has jobs, some of which crash their executors, come while executors crash,
+// randomCrashes submits jobs, some of which crash their executors, while executors crash or
 // are cut off, leaders change and the store is down.
 type randomCrashes struct {
-	*crashPlay
-	rand *rand.Rand
-	bad  map[work.ID]bool
+	*crashSimulation
+	rand         *rand.Rand
+	crashingJobs map[work.ID]bool
 }
 
 func newRandomCrashes(t *testing.T, seed uint64) *randomCrashes {
-	r := &randomCrashes{rand: rand.New(rand.NewPCG(seed, 3)), bad: make(map[work.ID]bool)}
-	r.crashPlay = newCrashPlay(t, 8, func(k work.TaskKey) behaviour {
-		b := behaviour{takes: time.Duration(200+150*(k.Index%6)) * time.Millisecond}
-		if r.bad[k.Job] && k.Index == 0 {
-			b.crashes = time.Duration(10+40*int64(k.Job[0]%5)) * time.Millisecond
+	r := &randomCrashes{rand: rand.New(rand.NewPCG(seed, 3)), crashingJobs: make(map[work.ID]bool)}
+	r.crashSimulation = newCrashSimulation(t, 8, func(k work.TaskKey) behaviour {
+		b := behaviour{runTime: time.Duration(200+150*(k.Index%6)) * time.Millisecond}
+		if r.crashingJobs[k.Job] && k.Index == 0 {
+			b.crashAfter = time.Duration(10+40*int64(k.Job[0]%5)) * time.Millisecond
 		}
 		return b
 	})
 	return r
 }
 
-func (r *randomCrashes) submit(n byte) {
-	job := r.job(n, testQueue, work.Step{
+// submitRandomJob submits a job of random size that may crash its executors.
+func (r *randomCrashes) submitRandomJob(n byte) {
+	job := r.submitJob(n, testQueue, work.Step{
 		TaskCount: 1 + r.rand.IntN(8), TaskResources: cpus(1 + r.rand.Int64N(8)), Estimate: time.Second, Gang: r.rand.IntN(4) == 0,
 	})
-	r.bad[job.ID] = r.rand.IntN(crashBad) == 0
+	r.crashingJobs[job.ID] = r.rand.IntN(crashingJobRatio) == 0
 }
 
-func (r *randomCrashes) trouble() {
-	ids := r.ids()
+// injectFault causes a random fault, or none.
+func (r *randomCrashes) injectFault() {
+	ids := r.liveIDs()
 	if len(ids) == 0 {
 		return
 	}
 	e := r.executors[ids[r.rand.IntN(len(ids))]]
-	lasts := time.Duration(500+r.rand.Int64N(4000)) * time.Millisecond
+	duration := time.Duration(500+r.rand.Int64N(4000)) * time.Millisecond
 	switch r.rand.IntN(8) {
 	case 0:
 		r.crash(ids[r.rand.IntN(len(ids))])
@@ -62,58 +64,61 @@
 			r.crash(id)
 		}
 	case 2:
-		r.cutOff(e, lasts)
+		r.cutOffFor(e, duration)
 	case 3:
-		r.replaceLeader(lasts / 3)
+		r.replaceLeaderAfter(duration / 3)
 	case 4:
-		r.failStore(lasts)
+		r.failStoreFor(duration)
 	}
 }
 
-// checkEnds fails where a job hasn't ended, or is shown as failed without a cause.
-func (r *randomCrashes) checkEnds(t *testing.T) {
-	for id := range r.stored {
-		state := r.state(id)
+// checkOutcomes fails the test if a job hasn't ended, or has failed without enough crashes
+// under one of its tasks.
+func (r *randomCrashes) checkOutcomes(t *testing.T) {
+	for id := range r.submittedJobs {
+		state := r.durableState(id)
 		if !state.Final() {
-			t.Errorf("job %v (crashes its executors: %t) is %v", id, r.bad[id], state)
+			t.Errorf("job %v (crashes its executors: %t) is %v", id, r.crashingJobs[id], state)
 		}
 		if state != work.Failed {
 			continue
 		}
-		most := 0
-		for task, crashes := range r.crashes {
+		maxCrashes := 0
+		for task, crashes := range r.crashTimes {
 			if task.Job == id {
-				most = max(most, len(crashes))
+				maxCrashes = max(maxCrashes, len(crashes))
 			}
 		}
-		if most < crashesShown {
-			t.Errorf("job %v is shown as failed after %d crashes under one task", id, most)
+		if maxCrashes < minCrashesOfFailedJob {
+			t.Errorf("job %v failed after only %d crashes under one task", id, maxCrashes)
 		}
 	}
 }
 
+// No task may run on two executors at once, however many executors crash, and a task that
+// crashes its executors must neither be restarted without limit nor fail other jobs.
 func TestRandomCrashes(t *testing.T) {
 	for seed := range uint64(crashSeeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			r := newRandomCrashes(t, seed)
 			for _, e := range r.executors {
-				e.strict = true
+				e.refusesVoidStarts = true
 			}
-			began, next, n := r.now, r.now, byte(0)
-			for r.now.Sub(began) < crashTroubled+crashCalm {
-				if !r.now.Before(next) && r.now.Sub(began) < crashTroubled {
+			startedAt, nextFault, n := r.now, r.now, byte(0)
+			for r.now.Sub(startedAt) < crashFaultPeriod+crashCalmPeriod {
+				if !r.now.Before(nextFault) && r.now.Sub(startedAt) < crashFaultPeriod {
 					n++
-					r.submit(n)
-					r.trouble()
-					next = r.now.Add(time.Duration(300+r.rand.Int64N(700)) * time.Millisecond)
+					r.submitRandomJob(n)
+					r.injectFault()
+					nextFault = r.now.Add(time.Duration(300+r.rand.Int64N(700)) * time.Millisecond)
 				}
-				r.runFor(playStep)
-				if wrong := r.twice(); wrong != "" {
-					t.Fatalf("after %v: %s", r.now.Sub(began), wrong)
+				r.runFor(simulationStep)
+				if violation := r.findDuplicateRun(); violation != "" {
+					t.Fatalf("after %v: %s", r.now.Sub(startedAt), violation)
 				}
 			}
-			r.checkBudget()
-			r.checkEnds(t)
+			r.checkLaterStarts()
+			r.checkOutcomes(t)
 		})
 	}
 }
--- a/internal/plan/deferral.go
+++ b/internal/plan/deferral.go
@@ -23,7 +23,8 @@
 	}
 }
 
-// setInheritedOrderExpiry does so for an order of a former leader, which may still be sent.
+// setInheritedOrderExpiry sets until when the order of a former leader may be carried out.
+// That leader may still send it.
 func (c *Cell) setInheritedOrderExpiry(alloc *allocation, now time.Time) {
 	validity := c.cfg.MaxOrderDelay
 	if q := c.queueOf(alloc.task.step.job); q != nil && q.Advice != nil {
--- a/internal/plan/executors.go
+++ b/internal/plan/executors.go
@@ -36,8 +36,8 @@
 }
 
 // dropReplaced removes executors whose address has been taken by another one. A record that
-// names the address is no proof, since it may belong to somebody else: the other executor
-// must have answered there, and later.
+// names the address is no proof, since the record may be wrong or out of date: the other
+// executor must have answered there, and later.
 func (c *Cell) dropReplaced(now time.Time) {
 	var replaced []platform.ExecutorRef
 	for _, v := range c.sortedVMs {
--- a/internal/plan/explain.go
+++ b/internal/plan/explain.go
@@ -19,8 +19,8 @@
 	explainMaxLines = 5 // lines per interval
 )
 
-// LogWaitingSteps logs at intervals why steps wait that have waited for long, in start
-// order.
+// LogWaitingSteps logs at intervals the state of the steps that have waited for at least
+// explainMinWait, in start order.
 func (c *Cell) LogWaitingSteps(now time.Time) {
 	if now.Sub(c.lastExplained) < explainInterval {
 		return
--- a/internal/plan/harness_test.go
+++ b/internal/plan/harness_test.go
@@ -13,162 +13,162 @@
 	"github.com/skylarklock/skylarklock/internal/work"
 )
 
-// world drives a cell on a clock of its own, in place of a leader's loops.
-type world struct {
-	t      *testing.T
-	cell   *Cell
-	now    time.Time
-	stored map[work.ID]*work.Job
-	saved  map[work.ID]*work.Progress // durable
-	listed map[string]*fleet.Executor
-	clock  platform.ExecutorClock
-	epoch  api.Epoch
+// testEnv drives a cell on a simulated clock in place of a leader's loops.
+type testEnv struct {
+	t             *testing.T
+	cell          *Cell
+	now           time.Time
+	submittedJobs map[work.ID]*work.Job
+	savedProgress map[work.ID]*work.Progress // durable progress of the jobs
+	registry      map[string]*fleet.Executor
+	executorClock platform.ExecutorClock
+	epoch         api.Epoch
 }
 
 const (
-	testQueue   = "q"
-	testAdvised = "advised"
-	testService = "svc"
+	testQueue        = "q"
+	testAdvisedQueue = "advised"
+	testService      = "svc"
 
 	testAttempts = 2
 )
 
 var testStart = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-func newWorld(t *testing.T, executors int) *world {
-	w := &world{
-		t:      t,
-		now:    testStart,
-		stored: make(map[work.ID]*work.Job),
-		saved:  make(map[work.ID]*work.Progress),
-		listed: make(map[string]*fleet.Executor),
-		clock:  1000,
+func newTestEnv(t *testing.T, executors int) *testEnv {
+	env := &testEnv{
+		t:             t,
+		now:           testStart,
+		submittedJobs: make(map[work.ID]*work.Job),
+		savedProgress: make(map[work.ID]*work.Progress),
+		registry:      make(map[string]*fleet.Executor),
+		executorClock: 1000,
 	}
-	w.takeOver()
+	env.takeOver()
 	for i := range executors {
-		w.addExecutor(fmt.Sprintf("e%d", i))
+		env.addExecutor(fmt.Sprintf("e%d", i))
 	}
-	return w
+	return env
 }
 
-func testTable() *queue.Configuration {
+func testQueueConfig() *queue.Configuration {
 	return &queue.Configuration{
 		Queues: []queue.Queue{
 			{Name: testQueue, Service: testService, MaxAttempts: testAttempts, Stretch: 2, TargetLatency: time.Second},
-			{Name: testAdvised, Service: testService, MaxAttempts: testAttempts, Stretch: 2, TargetLatency: time.Second,
+			{Name: testAdvisedQueue, Service: testService, MaxAttempts: testAttempts, Stretch: 2, TargetLatency: time.Second,
 				Advice: &queue.Advice{DecisionTime: 10 * time.Millisecond, TimePerVM: time.Millisecond, TicketValidity: 2 * time.Second}},
 		},
 		Services: map[string]queue.Service{testService: {Name: testService}},
 	}
 }
 
-// takeOver replaces the cell by that of a new leader, which knows only what
-// is durable.
-func (w *world) takeOver() {
-	lookup := func(id work.ID) *work.Job { return w.stored[id] }
-	w.epoch++
+// takeOver replaces the cell by that of a new leader, which knows only what is durable.
+func (env *testEnv) takeOver() {
+	lookup := func(id work.ID) *work.Job { return env.submittedJobs[id] }
+	env.epoch++
 	cfg := DefaultConfig()
-	cfg.Epoch = w.epoch
-	w.cell = NewCell(cfg, lookup, logging.Silent(), w.now)
-	w.cell.Configure(testTable())
-	for id, j := range w.stored {
-		if p := w.saved[id]; p == nil || !p.State.Final() {
-			w.cell.AddJob(j, p, w.now.UnixMilli(), w.now)
+	cfg.Epoch = env.epoch
+	env.cell = NewCell(cfg, lookup, logging.Silent(), env.now)
+	env.cell.Configure(testQueueConfig())
+	for id, j := range env.submittedJobs {
+		if p := env.savedProgress[id]; p == nil || !p.State.Final() {
+			env.cell.AddJob(j, p, env.now.UnixMilli(), env.now)
 		}
 	}
-	w.cell.UpdateExecutors(w.listed, w.now)
+	env.cell.UpdateExecutors(env.registry, env.now)
 }
 
 // addExecutor registers an executor of 32 processors and has it report.
-func (w *world) addExecutor(id string) {
-	w.listed[id] = &fleet.Executor{
+func (env *testEnv) addExecutor(id string) {
+	env.registry[id] = &fleet.Executor{
 		Ref:      platform.ExecutorRef{ID: id, Address: "10.0.0.1:" + id},
 		Service:  testService,
 		Labels:   []string{"a", "rack-" + id},
 		Capacity: api.Resources{MilliCPU: 32000, MemoryMB: 64000},
 	}
-	w.cell.UpdateExecutors(w.listed, w.now)
-	w.report(id, nil, nil)
+	env.cell.UpdateExecutors(env.registry, env.now)
+	env.report(id, nil, nil)
 }
 
-func (w *world) report(id string, running []platform.RunningTask, ended []platform.EndedRun) {
-	r := platform.ExecutorReport{Clock: w.clock, Running: running, Ended: ended}
-	h, _ := w.cell.NextHold(id, HoldTerms{})
-	w.cell.HandleReport(h, r, w.now, w.now)
+// report has an executor report its running and ended runs.
+func (env *testEnv) report(id string, running []platform.RunningTask, ended []platform.EndedRun) {
+	r := platform.ExecutorReport{Clock: env.executorClock, Running: running, Ended: ended}
+	h, _ := env.cell.NextHold(id, HoldTerms{})
+	env.cell.HandleReport(h, r, env.now, env.now)
 }
 
-// ref returns how the cell calls an executor.
-func (w *world) ref(id string) platform.ExecutorRef {
-	if v := w.cell.vms[id]; v != nil {
+// executorRef returns the reference by which the cell calls an executor.
+func (env *testEnv) executorRef(id string) platform.ExecutorRef {
+	if v := env.cell.vms[id]; v != nil {
 		return v.Ref
 	}
 	return platform.ExecutorRef{ID: id}
 }
 
-// reportAll has every executor report that all runs which it was given are at
-// work.
-func (w *world) reportAll() {
-	for id, v := range w.cell.vms {
+// reportAll has every executor report all runs allocated to it as running.
+func (env *testEnv) reportAll() {
+	for id, v := range env.cell.vms {
 		var runs []platform.Run
 		for run := range v.allocations {
 			runs = append(runs, run)
 		}
-		w.report(id, running(runs...), nil)
+		env.report(id, running(runs...), nil)
 	}
 }
 
-// pass lets time go by, on the executors' clocks too.
-func (w *world) pass(d time.Duration) {
-	w.now = w.now.Add(d)
-	w.clock = w.clock.Add(d)
+// advance advances the clocks of the leader and the executors.
+func (env *testEnv) advance(d time.Duration) {
+	env.now = env.now.Add(d)
+	env.executorClock = env.executorClock.Add(d)
 }
 
-// job hands in a job of one step.
-func (w *world) job(n byte, queueName string, s work.Step) *work.Job {
-	j := &work.Job{ID: work.ID{n}, Queue: queueName, Service: testService, AcceptedMs: w.now.UnixMilli(), Steps: []work.Step{s}}
-	w.add(j)
+// submitJob submits a job with one step.
+func (env *testEnv) submitJob(n byte, queueName string, s work.Step) *work.Job {
+	j := &work.Job{ID: work.ID{n}, Queue: queueName, Service: testService, AcceptedMs: env.now.UnixMilli(), Steps: []work.Step{s}}
+	env.submit(j)
 	return j
 }
 
-func (w *world) add(j *work.Job) {
-	w.stored[j.ID] = j
-	w.cell.AddJob(j, w.saved[j.ID], w.now.UnixMilli(), w.now)
+// submit adds a job to the cell and to the jobs that a later leader reads.
+func (env *testEnv) submit(j *work.Job) {
+	env.submittedJobs[j.ID] = j
+	env.cell.AddJob(j, env.savedProgress[j.ID], env.now.UnixMilli(), env.now)
 }
 
-// save makes what is dirty durable.
-func (w *world) save() {
-	for _, r := range w.cell.TakeDirtyRecords() {
-		w.saved[r.Job] = r.Progress
+// saveRecords makes the dirty records durable.
+func (env *testEnv) saveRecords() {
+	for _, r := range env.cell.TakeDirtyRecords() {
+		env.savedProgress[r.Job] = r.Progress
 	}
 }
 
-// cycle plans, makes it durable and returns the orders.
-func (w *world) cycle() []ConfirmedStart {
-	w.cell.StartDueOccurrences(w.now.UnixMilli(), w.now)
-	w.cell.DropExpired(w.now)
-	starts := w.cell.Plan(w.now)
-	w.save()
-	return w.cell.Confirm(starts, w.now)
-}
-
-// checkClaims fails where a task counts claims that no executor of the cell holds: nothing
-// would ever end them, and the task wouldn't start again.
-func (w *world) checkClaims() {
-	w.t.Helper()
-	held := make(map[*task]int)
-	for _, v := range w.cell.vms {
-		for _, cl := range v.allocations {
-			if cl.task != nil {
-				held[cl.task]++
+// runCycle plans, makes the records durable and returns the confirmed starts.
+func (env *testEnv) runCycle() []ConfirmedStart {
+	env.cell.StartDueOccurrences(env.now.UnixMilli(), env.now)
+	env.cell.DropExpired(env.now)
+	starts := env.cell.Plan(env.now)
+	env.saveRecords()
+	return env.cell.Confirm(starts, env.now)
+}
+
+// checkAllocations fails the test if a task counts allocations that no executor of the cell
+// holds. Nothing would end these, and the task would never start again.
+func (env *testEnv) checkAllocations() {
+	env.t.Helper()
+	allocated := make(map[*task]int)
+	for _, v := range env.cell.vms {
+		for _, alloc := range v.allocations {
+			if alloc.task != nil {
+				allocated[alloc.task]++
 			}
 		}
 	}
-	for _, j := range w.cell.jobs {
+	for _, j := range env.cell.jobs {
 		for _, o := range j.activeOccurrences {
 			for _, s := range o.steps {
 				for _, t := range s.tasks {
-					if t.allocations != held[t] {
-						w.t.Errorf("task %v counts %d claims, and the executors hold %d", t.key(), t.allocations, held[t])
+					if t.allocations != allocated[t] {
+						env.t.Errorf("task %v counts %d allocations, the executors hold %d", t.key(), t.allocations, allocated[t])
 					}
 				}
 			}
@@ -176,19 +176,22 @@
 	}
 }
 
-// startAll has all orders answered as started.
-func (w *world) startAll(orders []ConfirmedStart) {
+// confirmStarts has the executors answer that all orders were carried out.
+func (env *testEnv) confirmStarts(orders []ConfirmedStart) {
 	for _, o := range orders {
-		w.cell.HandleStartAnswer(o.Start, nil, w.now)
+		env.cell.HandleStartAnswer(o.Start, nil, env.now)
 	}
 }
 
+// cpus returns resources of n processors and little memory.
 func cpus(n int64) api.Resources { return api.Resources{MilliCPU: n * 1000, MemoryMB: 100} }
 
-func ended(number uint64, run platform.Run, how platform.EndReason) []platform.EndedRun {
-	return []platform.EndedRun{{Number: number, Run: run, Reason: how}}
+// ended returns a list of one ended run for a report.
+func ended(number uint64, run platform.Run, reason platform.EndReason) []platform.EndedRun {
+	return []platform.EndedRun{{Number: number, Run: run, Reason: reason}}
 }
 
+// running returns a list of running tasks for a report, without known progress.
 func running(runs ...platform.Run) []platform.RunningTask {
 	var rows []platform.RunningTask
 	for _, r := range runs {
--- a/internal/plan/loss_log.go
+++ b/internal/plan/loss_log.go
@@ -64,7 +64,8 @@
 // newestFirst returns the executor's allocations, newest orders first.
 func (v *vm) newestFirst() []*allocation { return v.unlistedNewestFirst(nil) }
 
-// unlistedNewestFirst does so for the allocations whose runs aren't listed.
+// unlistedNewestFirst returns the executor's allocations whose runs aren't listed, newest
+// orders first.
 func (v *vm) unlistedNewestFirst(listed map[platform.Run]bool) []*allocation {
 	var allocs []*allocation
 	for _, alloc := range v.allocations {
--- a/internal/plan/losses.go
+++ b/internal/plan/losses.go
@@ -11,8 +11,8 @@
 
 // A task may crash every executor that starts it. The runs that are lost with an executor
 // are therefore counted durably for their tasks, and a task that has lost too many isn't
-// started again. docs/design/crashes.md explains how the task to blame is told from those
-// that ran beside it.
+// started again. docs/design/crashes.md explains how the task to blame is distinguished
+// from those that ran beside it.
 
 const (
 	// maxLosses is how many runs of a task may be lost with their executors. The platform
--- a/internal/plan/move.go
+++ b/internal/plan/move.go
@@ -6,9 +6,9 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Runs move away from executors that have become slow or stalled. The case behind this:
-// short tasks whose executor drops to a sixth of its pace in the middle of the run. If such
-// a task stays there, it ends when its result is of no use any more.
+// Runs are moved away from executors that have become slow or stalled. Executors have been
+// seen to drop to a sixth of their pace in the middle of the run of a short task. If the task
+// stayed there, it would end when its result is no longer useful.
 
 const (
 	// minSlowdown is how many times slower than before a run has to be for its executor to
--- a/internal/plan/preempt.go
+++ b/internal/plan/preempt.go
@@ -9,10 +9,10 @@
 	"github.com/skylarklock/skylarklock/internal/queue"
 )
 
-// Runs of less urgent queues are preempted for gangs that don't fit. The case behind this:
-// wide gangs with little time to spare beside narrow tasks with much. The narrow tasks fill
-// every gap that opens, so the capacity for a gang is never free at one moment, however
-// much is free in total.
+// Runs of less urgent queues are preempted for gangs that don't fit. This is needed when wide
+// gangs with little spare time compete with narrow tasks that have much of it: the narrow
+// tasks take any capacity that becomes free, so there is never enough for a whole gang at one
+// moment, however much becomes free over time.
 //
 // A run is preempted only if that costs its job nothing but spare time: its progress is
 // saved, its job can still be in time, and it has not been preempted often before.
--- a/internal/plan/report.go
+++ b/internal/plan/report.go
@@ -28,7 +28,7 @@
 //
 // A hold that opens a connection may reach another incarnation than the known one under the
 // same ID. It acknowledges no ends, since the other incarnation would forget ends that
-// nobody has read.
+// were never read.
 //
 // The lease counts from the executor's last report. If it counted from now, each attempt to
 // reach an unresponsive executor would postpone the time from which its runs are certainly
--- a/internal/plan/restart_random_test.go
+++ b/internal/plan/restart_random_test.go
@@ -14,92 +14,94 @@
 	"github.com/skylarklock/skylarklock/internal/work"
 )
 
-// Bounds of a random play with restarts.
+// Parameters of the random simulation with restarts.
 const (
-	restartSeeds    = 60
-	restartTroubled = 30 * time.Second
-	restartCalm     = 40 * time.Second
-	restartLateMost = 12 * time.Second // an order is carried out that late at most
-	restartVMs      = 6
-	// restartHeartbeat is the time between two records of an executor.
-	restartHeartbeat = 1500 * time.Millisecond
+	restartSeeds       = 60
+	restartFaultPeriod = 30 * time.Second
+	restartCalmPeriod  = 40 * time.Second
+	maxOrderLateness   = 12 * time.Second // longest time after which a late order is carried out
+	restartExecutors   = 6
+	// recordInterval is the time between two records of an executor.
+	recordInterval = 1500 * time.Millisecond
 )
 
-// randomRestarts has jobs come while executors start again under their ids, noticed or not,
-// with clocks that begin anywhere; orders and renewals are lost or carried out late, by
-// whichever life is there; records come late; executors are cut off, leaders change and
-// the store is down.
+// randomRestarts submits jobs while executors restart under their IDs, with or without a
+// failed call, and with clocks that start at any value. Orders and renewals are lost or
+// carried out late by the incarnation that is there at that time, registry records are
+// late, executors are cut off, leaders change and the store is down.
 type randomRestarts struct {
-	*crashPlay
-	rand *rand.Rand
-	used map[int64]bool // starts of lives
+	*crashSimulation
+	rand           *rand.Rand
+	usedStartTimes map[int64]bool // start times of incarnations so far, which have to be unique
 }
 
 func newRandomRestarts(t *testing.T, seed uint64) *randomRestarts {
-	r := &randomRestarts{rand: rand.New(rand.NewPCG(seed, 7)), used: make(map[int64]bool)}
-	r.crashPlay = newCrashPlay(t, restartVMs, func(k work.TaskKey) behaviour {
-		return behaviour{takes: time.Duration(100+150*(k.Index%7)) * time.Millisecond, fails: k.Job[0]%9 == 0 && k.Index == 0}
+	r := &randomRestarts{rand: rand.New(rand.NewPCG(seed, 7)), usedStartTimes: make(map[int64]bool)}
+	r.crashSimulation = newCrashSimulation(t, restartExecutors, func(k work.TaskKey) behaviour {
+		return behaviour{runTime: time.Duration(100+150*(k.Index%7)) * time.Millisecond, fails: k.Job[0]%9 == 0 && k.Index == 0}
 	})
-	r.anyLife = true
-	r.drawFate = r.fate
-	for _, id := range r.ids() {
-		r.startLife(*r.listed[id], 0)
+	r.anyIncarnation = true
+	r.drawFault = r.randomFault
+	for _, id := range r.liveIDs() {
+		r.startIncarnation(*r.registry[id], 0)
 	}
 	return r
 }
 
-func (r *randomRestarts) between(low, high time.Duration) time.Duration {
+func (r *randomRestarts) randomDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(r.rand.Int64N(int64(high-low)))
 }
 
-// troubled reports whether troubles come at this time.
-func (r *randomRestarts) troubled() bool { return r.now.Sub(testStart) < restartTroubled }
+// inFaultPeriod reports whether faults are injected at this time.
+func (r *randomRestarts) inFaultPeriod() bool { return r.now.Sub(testStart) < restartFaultPeriod }
 
-func (r *randomRestarts) fate() fate {
+// randomFault draws the fault of an order or renewal.
+func (r *randomRestarts) randomFault() deliveryFault {
 	switch {
-	case !r.troubled():
-		return fate{}
+	case !r.inFaultPeriod():
+		return deliveryFault{}
 	case r.rand.IntN(12) == 0:
-		return fate{lost: true}
+		return deliveryFault{lost: true}
 	case r.rand.IntN(6) == 0:
-		return fate{late: r.between(20*time.Millisecond, restartLateMost)}
+		return deliveryFault{late: r.randomDuration(20*time.Millisecond, maxOrderLateness)}
 	case r.rand.IntN(3) == 0:
-		return fate{slow: r.between(10*time.Millisecond, playCallTimeout-playStep)}
+		return deliveryFault{slow: r.randomDuration(10*time.Millisecond, callTimeout-simulationStep)}
 	default:
-		return fate{}
+		return deliveryFault{}
 	}
 }
 
-// startLife begins a life of an executor, and writes its record after a while.
-func (r *randomRestarts) startLife(record fleet.Executor, recordAfter time.Duration) {
-	ahead := platform.ExecutorClock(0)
+// startIncarnation starts an incarnation of an executor and writes its record after a
+// delay.
+func (r *randomRestarts) startIncarnation(record fleet.Executor, recordDelay time.Duration) {
+	clockOffset := platform.ExecutorClock(0)
 	if r.rand.IntN(2) == 0 {
-		ahead = platform.ExecutorClock(r.rand.Int64N(int64(10 * time.Minute / time.Millisecond)))
+		clockOffset = platform.ExecutorClock(r.rand.Int64N(int64(10 * time.Minute / time.Millisecond)))
 	}
-	e := r.newPlayedExecutor(r.clock - ahead)
-	e.strict, e.tickets = true, true
-	e.born = r.now.Add(r.between(-5*time.Second, 5*time.Second)).UnixMilli()
-	for r.used[e.born] {
-		e.born++
+	e := r.newSimulatedExecutor(r.executorClock - clockOffset)
+	e.refusesVoidStarts, e.checksTickets = true, true
+	e.startTimeMs = r.now.Add(r.randomDuration(-5*time.Second, 5*time.Second)).UnixMilli()
+	for r.usedStartTimes[e.startTimeMs] {
+		e.startTimeMs++
 	}
-	r.used[e.born] = true
+	r.usedStartTimes[e.startTimeMs] = true
 	r.executors[record.Ref.ID] = e
-	r.everyLife = append(r.everyLife, e)
-	record.Ref.StartTimeMs = e.born
-	r.after(recordAfter, func() { r.writeRecord(e, &record) })
+	r.allIncarnations = append(r.allIncarnations, e)
+	record.Ref.StartTimeMs = e.startTimeMs
+	r.after(recordDelay, func() { r.writeRecord(e, &record) })
 }
 
-// writeRecord writes an executor's record, and again as long as it lives.
-func (r *randomRestarts) writeRecord(e *playedExecutor, record *fleet.Executor) {
-	listed := maps.Clone(r.listed)
-	listed[record.Ref.ID] = record
-	r.list(listed)
+// writeRecord writes an executor's record, and repeats it while the incarnation lasts.
+func (r *randomRestarts) writeRecord(e *simulatedExecutor, record *fleet.Executor) {
+	registry := maps.Clone(r.registry)
+	registry[record.Ref.ID] = record
+	r.setRegistry(registry)
 	if r.executors[record.Ref.ID] == e {
-		r.after(restartHeartbeat, func() { r.writeRecord(e, record) })
+		r.after(recordInterval, func() { r.writeRecord(e, record) })
 	}
 }
 
-// restart ends a life of an executor and begins the next one.
+// restart ends an incarnation of an executor and starts the next one after a delay.
 func (r *randomRestarts) restart(id string) {
 	e := r.executors[id]
 	if e == nil {
@@ -110,24 +112,25 @@
 	for run := range e.running {
 		r.breakGang(run)
 	}
-	if h := r.holds[id]; h != nil && r.rand.IntN(2) == 0 { // else nobody notices that it is gone
-		*h = call{again: r.now}
+	if h := r.holds[id]; h != nil && r.rand.IntN(2) == 0 { // otherwise the leader doesn't notice at once that it has ended
+		*h = holdCall{nextAt: r.now}
 	}
-	away := r.between(20*time.Millisecond, 3*time.Second)
+	delay := r.randomDuration(20*time.Millisecond, 3*time.Second)
 	if r.rand.IntN(3) == 0 {
-		away = r.between(20*time.Millisecond, 200*time.Millisecond)
+		delay = r.randomDuration(20*time.Millisecond, 200*time.Millisecond)
 	}
-	recordAfter := r.between(0, 2*time.Second)
-	r.after(away, func() { r.startLife(record, recordAfter) })
+	recordDelay := r.randomDuration(0, 2*time.Second)
+	r.after(delay, func() { r.startIncarnation(record, recordDelay) })
 }
 
-func (r *randomRestarts) trouble() {
-	ids := r.ids()
+// injectFault causes a random fault, or none.
+func (r *randomRestarts) injectFault() {
+	ids := r.liveIDs()
 	if len(ids) == 0 {
 		return
 	}
 	id := ids[r.rand.IntN(len(ids))]
-	lasts := r.between(500*time.Millisecond, 6*time.Second)
+	duration := r.randomDuration(500*time.Millisecond, 6*time.Second)
 	switch r.rand.IntN(8) {
 	case 0, 1, 2:
 		r.restart(id)
@@ -137,91 +140,94 @@
 		}
 	case 4:
 		e := r.executors[id]
-		r.cutOff(e, lasts)
-		if r.rand.IntN(2) == 0 { // it starts again behind the cut
-			r.after(lasts/4, func() {
+		r.cutOffFor(e, duration)
+		if r.rand.IntN(2) == 0 { // it restarts while it is cut off
+			r.after(duration/4, func() {
 				r.restart(id)
 				r.after(3*time.Second, func() {
 					if n := r.executors[id]; n != nil {
-						r.cutOff(n, lasts)
+						r.cutOffFor(n, duration)
 					}
 				})
 			})
 		}
 	case 5:
-		r.replaceLeader(lasts / 3)
+		r.replaceLeaderAfter(duration / 3)
 	case 6:
-		r.failStore(lasts)
+		r.failStoreFor(duration)
 	}
 }
 
-func (r *randomRestarts) submit(n byte) {
+// submitRandomJob submits a job of two steps of random size.
+func (r *randomRestarts) submitRandomJob(n byte) {
 	first := work.Step{TaskCount: 1 + r.rand.IntN(8), TaskResources: cpus(1 + r.rand.Int64N(8)), Estimate: time.Second, Gang: r.rand.IntN(4) == 0}
 	second := work.Step{TaskCount: 1 + r.rand.IntN(3), TaskResources: cpus(2), Estimate: time.Second, DependsOn: []int{0}}
 	queue := testQueue
 	if r.rand.IntN(2) == 0 {
-		queue = testAdvised
+		queue = testAdvisedQueue
 	}
-	r.add(&work.Job{
+	r.submit(&work.Job{
 		ID: work.ID{n}, Queue: queue, Service: testService, AcceptedMs: r.now.UnixMilli(), Steps: []work.Step{first, second},
 	})
 }
 
-// advise has the calls for advice made that are due. Tickets are of the lives that are there
-// when the service answers, whichever were there when it was asked.
-func (r *randomRestarts) advise() {
-	if r.paused {
+// makeAdviceCalls makes the advice calls that are due. Tickets are for the incarnations that
+// exist when the service answers, which may differ from those at the time of the call.
+func (r *randomRestarts) makeAdviceCalls() {
+	if r.hasNoLeader {
 		return
 	}
 	cell := r.cell
-	for _, ask := range cell.AdviceCalls(r.now, anybody{}) {
-		r.after(r.between(10*time.Millisecond, 150*time.Millisecond), func() {
+	for _, call := range cell.AdviceCalls(r.now, acceptingDispatcher{}) {
+		r.after(r.randomDuration(10*time.Millisecond, 150*time.Millisecond), func() {
 			var grants []platform.Grant
-			for _, id := range ask.Executors {
-				if e := r.executors[id]; e != nil && (int(id[1])+int(ask.Step.Job[0]))%3 > 0 {
-					grants = append(grants, platform.Grant{Executor: id, Ticket: fmt.Sprint(e.born)})
+			for _, id := range call.Executors {
+				if e := r.executors[id]; e != nil && (int(id[1])+int(call.Step.Job[0]))%3 > 0 {
+					grants = append(grants, platform.Grant{Executor: id, Ticket: fmt.Sprint(e.startTimeMs)})
 				}
 			}
-			cell.HandleGrants(ask, grants, 2*time.Second, r.now)
+			cell.HandleGrants(call, grants, 2*time.Second, r.now)
 		})
 	}
 }
 
-// unfinished returns the jobs that have not ended.
-func (r *randomRestarts) unfinished() []work.ID {
-	var open []work.ID
-	for _, id := range slices.SortedFunc(maps.Keys(r.stored), func(a, b work.ID) int { return int(a[0]) - int(b[0]) }) {
-		if !r.state(id).Final() {
-			open = append(open, id)
+// unfinishedJobs returns the jobs that have not ended.
+func (r *randomRestarts) unfinishedJobs() []work.ID {
+	var unfinished []work.ID
+	for _, id := range slices.SortedFunc(maps.Keys(r.submittedJobs), func(a, b work.ID) int { return int(a[0]) - int(b[0]) }) {
+		if !r.durableState(id).Final() {
+			unfinished = append(unfinished, id)
 		}
 	}
-	return open
+	return unfinished
 }
 
+// When executors restart under the same ID, no task may run on two executors at once or be
+// started again after its end was acknowledged, and every job must end.
 func TestRandomRestartsUnderTheSameID(t *testing.T) {
 	for seed := range uint64(restartSeeds) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playRestarts(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { simulateRestarts(t, seed) })
 	}
 }
 
-func playRestarts(t *testing.T, seed uint64) {
+func simulateRestarts(t *testing.T, seed uint64) {
 	r := newRandomRestarts(t, seed)
-	next, n := r.now, byte(0)
-	for r.now.Sub(testStart) < restartTroubled+restartCalm {
-		if r.troubled() && !r.now.Before(next) {
+	nextFault, n := r.now, byte(0)
+	for r.now.Sub(testStart) < restartFaultPeriod+restartCalmPeriod {
+		if r.inFaultPeriod() && !r.now.Before(nextFault) {
 			n++
-			r.submit(n)
-			r.trouble()
-			next = r.now.Add(r.between(100*time.Millisecond, 700*time.Millisecond))
+			r.submitRandomJob(n)
+			r.injectFault()
+			nextFault = r.now.Add(r.randomDuration(100*time.Millisecond, 700*time.Millisecond))
 		}
-		r.advise()
-		r.runFor(playStep)
-		if wrong := r.twice(); wrong != "" {
-			t.Fatalf("after %v: %s", r.now.Sub(testStart), wrong)
+		r.makeAdviceCalls()
+		r.runFor(simulationStep)
+		if violation := r.findDuplicateRun(); violation != "" {
+			t.Fatalf("after %v: %s", r.now.Sub(testStart), violation)
 		}
 	}
 	r.checkAcknowledgedEnds()
-	for _, id := range r.unfinished() {
-		t.Errorf("job %v is %v", id, r.state(id))
+	for _, id := range r.unfinishedJobs() {
+		t.Errorf("job %v has not ended: %v", id, r.durableState(id))
 	}
 }
--- a/internal/plan/suspect_test.go
+++ b/internal/plan/suspect_test.go
@@ -8,75 +8,82 @@
 	"github.com/skylarklock/skylarklock/internal/work"
 )
 
-// suspect has a task of a job lose two executors, so that it is suspected.
-func (w *world) suspect(id work.ID) *step {
-	w.t.Helper()
-	s := w.cell.jobs[id].activeOccurrences[0].steps[0]
+// markSuspected sets the crashes of a job's first task such that it is suspected, and returns
+// its step.
+func (env *testEnv) markSuspected(id work.ID) *step {
+	env.t.Helper()
+	s := env.cell.jobs[id].activeOccurrences[0].steps[0]
 	s.tasks[0].losses.crashes = suspectCrashes
 	return s
 }
 
+// An executor that is kept for a suspected task on which the task never fits must be released
+// for other work.
 func TestIsolationEndsIfTaskNeverStarts(t *testing.T) {
-	w := newWorld(t, 1)
-	w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(8), Estimate: time.Minute})
-	w.startAll(w.cycle())
-	w.job(2, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(30), Estimate: time.Second})
-	w.suspect(work.ID{2})
+	env := newTestEnv(t, 1)
+	env.submitJob(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(8), Estimate: time.Minute})
+	env.confirmStarts(env.runCycle())
+	env.submitJob(2, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(30), Estimate: time.Second})
+	env.markSuspected(work.ID{2})
 	for range 30 {
-		w.cycle()
-		w.pass(200 * time.Millisecond)
-		w.reportAll()
+		env.runCycle()
+		env.advance(200 * time.Millisecond)
+		env.reportAll()
 	}
-	w.job(3, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(8), Estimate: time.Second})
-	if orders := w.cycle(); len(orders) != 1 {
-		t.Errorf("%d starts on an executor that has room, 6 s after it was first kept", len(orders))
+	env.submitJob(3, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(8), Estimate: time.Second})
+	if orders := env.runCycle(); len(orders) != 1 {
+		t.Errorf("%d starts on an executor with free capacity, 6 s after it was first isolated, want 1", len(orders))
 	}
 }
 
+// A leader doesn't know when a former leader ordered a suspected run. The run must keep other
+// work off its executor for isolationTime and not forever.
 func TestInheritedSuspectedRunIsIsolatedForLimitedTime(t *testing.T) {
-	w := newWorld(t, 1)
-	w.job(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(8), Estimate: time.Minute})
-	w.suspect(work.ID{1})
-	orders := w.cycle()
-	w.startAll(orders)
-	w.takeOver()
-	w.report("e0", running(orders[0].Start.Run), nil)
-	w.job(2, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(8), Estimate: time.Second})
-	if orders := w.cycle(); len(orders) != 0 {
-		t.Errorf("%d starts beside a suspected run", len(orders))
+	env := newTestEnv(t, 1)
+	env.submitJob(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(8), Estimate: time.Minute})
+	env.markSuspected(work.ID{1})
+	orders := env.runCycle()
+	env.confirmStarts(orders)
+	env.takeOver()
+	env.report("e0", running(orders[0].Start.Run), nil)
+	env.submitJob(2, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(8), Estimate: time.Second})
+	if orders := env.runCycle(); len(orders) != 0 {
+		t.Errorf("%d starts beside a suspected run, want none", len(orders))
 	}
 	for range 11 {
-		w.pass(time.Second)
-		w.reportAll()
+		env.advance(time.Second)
+		env.reportAll()
 	}
-	if orders := w.cycle(); len(orders) != 1 {
-		t.Errorf("%d starts beside a suspected run that has been at work for %v", len(orders), isolationTime)
+	if orders := env.runCycle(); len(orders) != 1 {
+		t.Errorf("%d starts beside a suspected run that has been running for more than %v, want 1", len(orders), isolationTime)
 	}
 }
 
+// In a full cell an executor is never empty by itself. One is isolated until its runs have
+// ended, so that the suspected task starts alone.
 func TestSuspectedTaskStartsAloneInFullCell(t *testing.T) {
-	w := newWorld(t, 2)
-	w.job(1, testQueue, work.Step{TaskCount: 16, TaskResources: cpus(4), Estimate: time.Minute})
-	first := w.cycle()
-	w.startAll(first)
-	w.job(2, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Second})
-	s := w.suspect(work.ID{2})
-	w.cycle()
-	kept := s.isolation.vm
-	if kept == nil {
-		t.Fatal("no executor is kept")
+	env := newTestEnv(t, 2)
+	env.submitJob(1, testQueue, work.Step{TaskCount: 16, TaskResources: cpus(4), Estimate: time.Minute})
+	first := env.runCycle()
+	env.confirmStarts(first)
+	env.submitJob(2, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Second})
+	s := env.markSuspected(work.ID{2})
+	env.runCycle()
+	isolated := s.isolation.vm
+	if isolated == nil {
+		t.Fatal("no executor is isolated")
 	}
-	var last uint64
+	var lastEnd uint64
 	for _, o := range first {
-		if o.Start.To.ID == kept.Ref.ID {
-			last++
-			w.report(kept.Ref.ID, nil, ended(last, o.Start.Run, platform.EndDone))
-			w.job(byte(10+last), testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Second})
-			for _, next := range w.cycle() {
+		if o.Start.To.ID == isolated.Ref.ID {
+			lastEnd++
+			env.report(isolated.Ref.ID, nil, ended(lastEnd, o.Start.Run, platform.EndDone))
+			env.submitJob(byte(10+lastEnd), testQueue, work.Step{TaskCount: 1, TaskResources: cpus(4), Estimate: time.Second})
+			for _, next := range env.runCycle() {
 				if next.Start.Run.Task.Job != (work.ID{2}) {
-					t.Errorf("%v starts on the executor that is kept", next.Start.Run.Task)
-				} else if len(kept.allocations) != 1 {
-					t.Errorf("the suspected task starts beside %d runs", len(kept.allocations)-1)
+					t.Errorf("%v starts on the isolated executor", next.Start.Run.Task)
+				} else if len(isolated.allocations) != 1 {
+					t.Errorf("the suspected task starts beside %d runs", len(isolated.allocations)-1)
 				}
 			}
 		}
@@ -86,17 +93,19 @@
 	}
 }
 
+// A gang whose tasks are all suspected must start even if there are fewer executors than
+// tasks, so not each of them can run alone.
 func TestSuspectedGangStartsOnFewExecutors(t *testing.T) {
-	p := newCrashPlay(t, 3, crashers())
-	p.runFor(time.Second)
-	gang := p.job(1, testQueue, work.Step{TaskCount: 8, TaskResources: cpus(4), Estimate: time.Second, Gang: true})
-	for _, s := range p.cell.jobs[gang.ID].activeOccurrences[0].steps {
+	sim := newCrashSimulation(t, 3, firstTaskCrashes())
+	sim.runFor(time.Second)
+	gang := sim.submitJob(1, testQueue, work.Step{TaskCount: 8, TaskResources: cpus(4), Estimate: time.Second, Gang: true})
+	for _, s := range sim.cell.jobs[gang.ID].activeOccurrences[0].steps {
 		for _, task := range s.tasks {
 			task.losses.unproven = suspectLosses
 		}
 	}
-	p.runFor(20 * time.Second)
-	if state := p.state(gang.ID); state != work.Completed {
+	sim.runFor(20 * time.Second)
+	if state := sim.durableState(gang.ID); state != work.Completed {
 		t.Errorf("the gang is %v", state)
 	}
 }
