--- a/internal/assist/publisher_test.go
+++ b/internal/assist/publisher_test.go
@@ -68,7 +68,7 @@
 		BulkCaller:         m,
 		LastRenewal:        func() leader.Renewal { return leader.Renewal{} },
 		OnReplaced:         func(e api.Epoch) { f.replaced = e },
-		Logger:             logging.Silent(),
+		Logger:             logging.Nop(),
 	}, 10)
 	return f
 }
--- a/internal/assist/slowlink_test.go
+++ b/internal/assist/slowlink_test.go
@@ -97,7 +97,7 @@
 	c := &linkCaller{link: l, machines: machines}
 	p := NewPublisher(PublisherConfig{
 		Self: leader.Leader{Epoch: 3, Node: "front-eagle-1", Incarnation: 1 << 60, Address: "10.1.0.13:7720"}, LinkBytesPerSecond: slowLinkBytesPerSecond, Peers: peers, Caller: c, BulkCaller: c,
-		LastRenewal: func() leader.Renewal { return leader.Renewal{} }, OnReplaced: func(api.Epoch) {}, Logger: logging.Silent(),
+		LastRenewal: func() leader.Renewal { return leader.Renewal{} }, OnReplaced: func(api.Epoch) {}, Logger: logging.Nop(),
 	}, 10)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer time.Sleep(10 * time.Second) // everything in flight ends
--- a/internal/capacity/heartbeat.go
+++ b/internal/capacity/heartbeat.go
@@ -45,7 +45,7 @@
 func (granter) Granted(ownership.Identity, time.Time) {}
 
 func quietLog() *logrus.Logger {
-	return logging.Silent().Logger
+	return logging.Nop().Logger
 }
 
 // speaker is one entry VM's part of the heartbeats.
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -29,7 +29,7 @@
 	Settings *settings.Settings
 	Node     *entry.Node
 	Stop     context.CancelFunc // starts a graceful shutdown
-	Ended    chan struct{}      // closed when the node has stopped
+	Done     chan struct{}      // closed when the node has stopped
 }
 
 // Cluster is a site with running entry nodes.
@@ -64,7 +64,7 @@
 	if err != nil {
 		return err
 	}
-	c.Entries = append(c.Entries, &Entry{Settings: s, Node: node, Stop: func() {}, Ended: make(chan struct{})})
+	c.Entries = append(c.Entries, &Entry{Settings: s, Node: node, Stop: func() {}, Done: make(chan struct{})})
 	return nil
 }
 
@@ -72,7 +72,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	e.Stop = stop
 	c.running.Go(func() {
-		defer close(e.Ended)
+		defer close(e.Done)
 		_ = e.Node.Run(ctx) // what went wrong is in the node's log
 	})
 }
--- a/internal/controller/vms/vms.go
+++ b/internal/controller/vms/vms.go
@@ -43,7 +43,7 @@
 		DataCentre: dc,
 		Poll:       time.Second,
 		Timeout:    3 * time.Second,
-		Directory:  directory.Config{Grace: goneAfter},
+		Directory:  directory.Config{GracePeriod: goneAfter},
 	}
 }
 
@@ -124,7 +124,7 @@
 	contacts := c.contacts()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := adopt(c.view.Observe(contacts), journaled, now)
+	known := adopt(c.view.ApplyContacts(contacts), journaled, now)
 	next, events := directory.Merge(c.cfg.Directory, known, vms, true, now)
 	for _, e := range events {
 		c.note(e, known)
@@ -138,7 +138,7 @@
 	c.counters.Inc("vm_list", api.Reason(e.Type))
 	switch e.Type {
 	case directory.EventDropped:
-		c.departed[e.VM] = known.Entries[e.VM].Missing
+		c.departed[e.VM] = known.Entries[e.VM].MissingSince
 	case directory.EventAdded:
 		delete(c.departed, e.VM)
 	}
@@ -155,7 +155,7 @@
 			view.Entries = make(map[api.VMID]directory.Entry)
 		}
 		vm := api.VM{ID: id, Rack: v.Rack, Capacity: v.Capacity}
-		view.Entries[id] = directory.Entry{VM: vm, Missing: now}
+		view.Entries[id] = directory.Entry{VM: vm, MissingSince: now}
 	}
 	return view
 }
@@ -166,7 +166,7 @@
 	defer c.mu.RUnlock()
 	for _, id := range slices.Sorted(maps.Keys(c.view.Entries)) {
 		entry := c.view.Entries[id]
-		if !entry.Suspect() && isWorker(entry.VM) && differs(entry.VM, journaled[id]) {
+		if !entry.IsMissing() && isWorker(entry.VM) && differs(entry.VM, journaled[id]) {
 			seen = append(seen, cell.SeenVM{ID: id, Rack: entry.VM.Rack, Capacity: entry.VM.Capacity})
 		}
 	}
@@ -214,8 +214,8 @@
 		absent[id] = now.Sub(since)
 	}
 	for id, entry := range c.view.Entries {
-		if entry.Suspect() {
-			absent[id] = now.Sub(entry.Missing)
+		if entry.IsMissing() {
+			absent[id] = now.Sub(entry.MissingSince)
 		}
 	}
 	return absent
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -8,7 +8,7 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-func TestNodesCountApartAndRegisterOnce(t *testing.T) {
+func TestSetsAreIndependentAndPublishOnce(t *testing.T) {
 	a, b := NewSet(), NewSet()
 	var wg sync.WaitGroup
 	for range 8 {
--- a/internal/ctl/lines.go
+++ b/internal/ctl/lines.go
@@ -27,7 +27,7 @@
 			if _, err := work.ParseID(args[0]); err != nil {
 				return badInput("story: %w", err)
 			}
-			return writeStory(stdout, logread.Tell(lines.Ordered(), args[0]))
+			return writeStory(stdout, logread.TraceJob(lines.Ordered(), args[0]))
 		})
 }
 
@@ -81,18 +81,18 @@
 }
 
 // writeStory prints a story: its events, and what they come to.
-func writeStory(out io.Writer, s logread.Story) error {
+func writeStory(out io.Writer, s logread.JobTrace) error {
 	for _, e := range s.Events {
 		mark := " "
-		if s.Decided != nil && e.Number == s.Decided.Number {
+		if s.DecisiveEvent != nil && e.Number == s.DecisiveEvent.Number {
 			mark = "*"
 		}
 		if _, err := fmt.Fprintf(out, "%s line %-7d %s  %s  %s\n", mark, e.Number, e.Time.Format("15:04:05.000"), e.Node, e.Describe()); err != nil {
 			return err
 		}
 	}
-	if s.Ended >= 0 {
-		if _, err := fmt.Fprintf(out, "advised after %s, started after %s, ended after %s\n", elapsed(s.Advised), elapsed(s.Started), elapsed(s.Ended)); err != nil {
+	if s.TimeToEnd >= 0 {
+		if _, err := fmt.Fprintf(out, "advised after %s, started after %s, ended after %s\n", elapsed(s.TimeToAdvice), elapsed(s.TimeToStart), elapsed(s.TimeToEnd)); err != nil {
 			return err
 		}
 	}
--- a/internal/demo/jobs.go
+++ b/internal/demo/jobs.go
@@ -44,7 +44,7 @@
 		if status.Reason == api.ReasonNeverFits {
 			continue // waits for a larger VM, as it was told
 		}
-		recorder.Job(history.Job{
+		recorder.AddJob(history.Job{
 			Spec: status.Spec, Submitted: api.OutcomeRan, Cancelled: id == "withdrawn", Tasks: status.Tasks,
 		})
 	}
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -84,7 +84,7 @@
 		return err
 	}
 	runner.KeepAnswers = true
-	runner.OnSample = func(s load.Sample) { recorder.Request(requestOf(s, cfg.Streams[s.Stream])) }
+	runner.OnSample = func(s load.Sample) { recorder.AddRequest(requestOf(s, cfg.Streams[s.Stream])) }
 	faultsEnded := make(chan struct{})
 	go func() {
 		defer close(faultsEnded)
@@ -115,7 +115,7 @@
 		h.Workers = append(h.Workers, c.Site.Workers.VM(vm.ID).Record())
 	}
 	h.End = time.Now()
-	violations := history.Check(h, history.Limits{Connections: connections, Leaving: leavingTime, Attempts: maxAttempts})
+	violations := history.Check(h, history.Limits{MaxConnections: connections, LeavingGracePeriod: leavingTime, MaxAttempts: maxAttempts})
 	for _, v := range violations {
 		fmt.Fprintf(out, "broken %s\n", v)
 	}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -13,57 +13,57 @@
 
 // Defaults of Config.
 const (
-	DefaultGrace       = 10 * time.Second
-	DefaultMaxShrink   = 0.2
-	DefaultMinMissing  = 2
-	DefaultMaxSuspense = 10 * time.Minute
+	DefaultGracePeriod    = 10 * time.Second
+	DefaultMaxShrink      = 0.2
+	DefaultMinMissing     = 2
+	DefaultMaxMissingTime = 10 * time.Minute
 )
 
 // Config holds the settings of Merge. Zero fields take their defaults.
 type Config struct {
-	Grace       time.Duration // a missing VM is kept that long
-	MaxShrink   float64       // share of the VMs missing above which the list is doubted, 0 to 1
-	MinMissing  int           // fewer missing VMs never cast doubt on the list
-	MaxSuspense time.Duration // a missing VM is dropped after it, even if it answers
+	GracePeriod    time.Duration // a missing VM is kept that long
+	MaxShrink      float64       // share of the VMs missing above which the list is doubted, 0 to 1
+	MinMissing     int           // fewer missing VMs never cast doubt on the list
+	MaxMissingTime time.Duration // a missing VM is dropped after it, even if it answers
 }
 
 // WithDefaults returns c with its zero fields filled in.
 func (c Config) WithDefaults() Config {
-	defaults.Set(&c.Grace, DefaultGrace)
+	defaults.Set(&c.GracePeriod, DefaultGracePeriod)
 	defaults.Set(&c.MaxShrink, DefaultMaxShrink)
 	defaults.Set(&c.MinMissing, DefaultMinMissing)
-	defaults.Set(&c.MaxSuspense, DefaultMaxSuspense)
+	defaults.Set(&c.MaxMissingTime, DefaultMaxMissingTime)
 	return c
 }
 
 // Validate adds the faults of c to findings, with paths below path.
 func (c Config) Validate(path string, findings *finding.List) {
-	findings.Check(c.Grace >= 0, path+".grace", c.Grace, "a duration that is not negative")
+	findings.Check(c.GracePeriod >= 0, path+".grace", c.GracePeriod, "a duration that is not negative")
 	findings.Check(c.MaxShrink >= 0 && c.MaxShrink <= 1, path+".max_shrink", c.MaxShrink, "a share from 0 to 1")
 	findings.Check(c.MinMissing >= 0, path+".min_missing", c.MinMissing, "a count that is not negative")
-	findings.Check(c.MaxSuspense >= 0, path+".max_suspense", c.MaxSuspense, "a duration that is not negative")
+	findings.Check(c.MaxMissingTime >= 0, path+".max_suspense", c.MaxMissingTime, "a duration that is not negative")
 }
 
 // Entry is what is believed of one VM.
 type Entry struct {
-	VM       api.VM
-	Missing  time.Time // since when it is missing from the list; zero when listed
-	Answered time.Time // when the VM or one of its endpoints last answered; zero: never
-	Failed   time.Time // when it was last tried in vain; zero: never
+	VM           api.VM
+	MissingSince time.Time // since when it is missing from the list; zero when listed
+	LastAnswer   time.Time // when the VM or one of its endpoints last answered; zero: never
+	LastFailure  time.Time // when it was last tried in vain; zero: never
 }
 
-// Suspect reports whether the VM is missing from the list.
-func (e Entry) Suspect() bool { return !e.Missing.IsZero() }
+// IsMissing reports whether the VM is missing from the list.
+func (e Entry) IsMissing() bool { return !e.MissingSince.IsZero() }
 
-// Silent reports whether the VM did not answer when it was last tried. One
+// IsUnresponsive reports whether the VM did not answer when it was last tried. One
 // that was not tried at all is not silent: nobody may have had work for it.
-func (e Entry) Silent() bool { return e.Failed.After(e.Answered) }
+func (e Entry) IsUnresponsive() bool { return e.LastFailure.After(e.LastAnswer) }
 
 // View is what is believed of the VMs of one data centre. The zero value
 // knows none. A view is never changed; Merge returns a new one.
 type View struct {
-	Entries map[api.VMID]Entry
-	Doubted bool // the last list was cut so short that it is not believed
+	Entries   map[api.VMID]Entry
+	Untrusted bool // the last list was cut so short that it is not believed
 }
 
 // EventType says what changed.
@@ -71,14 +71,14 @@
 
 // Types of events.
 const (
-	EventAdded    EventType = "vm_added"
-	EventLeaving  EventType = "vm_leaving"
-	EventChanged  EventType = "vm_changed" // address, capacity or endpoints
-	EventMissing  EventType = "vm_missing" // kept as a suspect
-	EventReturned EventType = "vm_returned"
-	EventDropped  EventType = "vm_dropped"
-	EventDoubted  EventType = "vm_list_doubted"
-	EventBelieved EventType = "vm_list_believed" // again, after it was doubted
+	EventAdded         EventType = "vm_added"
+	EventLeaving       EventType = "vm_leaving"
+	EventChanged       EventType = "vm_changed" // address, capacity or endpoints
+	EventMissing       EventType = "vm_missing" // kept as a suspect
+	EventReturned      EventType = "vm_returned"
+	EventDropped       EventType = "vm_dropped"
+	EventListUntrusted EventType = "vm_list_doubted"
+	EventListTrusted   EventType = "vm_list_believed" // again, after it was doubted
 )
 
 // Event is one change between two views.
@@ -131,11 +131,11 @@
 // take believes what the list says of a VM.
 func (m *merge) take(vm api.VM) {
 	old, known := m.prev.Entries[vm.ID]
-	m.next.Entries[vm.ID] = Entry{VM: vm, Answered: old.Answered, Failed: old.Failed}
+	m.next.Entries[vm.ID] = Entry{VM: vm, LastAnswer: old.LastAnswer, LastFailure: old.LastFailure}
 	switch {
 	case !known:
 		m.note(EventAdded, vm.ID)
-	case old.Suspect():
+	case old.IsMissing():
 		m.note(EventReturned, vm.ID)
 	}
 	if vm.State == api.VMLeaving && old.VM.State != api.VMLeaving {
@@ -167,20 +167,20 @@
 		}
 	}
 	tooMany := float64(missing) > m.cfg.MaxShrink*float64(expected)
-	m.next.Doubted = tooMany && missing >= m.cfg.MinMissing
+	m.next.Untrusted = tooMany && missing >= m.cfg.MinMissing
 	switch {
-	case m.next.Doubted && !m.prev.Doubted:
-		m.note(EventDoubted, "")
-	case !m.next.Doubted && m.prev.Doubted:
-		m.note(EventBelieved, "")
+	case m.next.Untrusted && !m.prev.Untrusted:
+		m.note(EventListUntrusted, "")
+	case !m.next.Untrusted && m.prev.Untrusted:
+		m.note(EventListTrusted, "")
 	}
 }
 
 // suspect keeps or drops a VM that is missing from the list.
 func (m *merge) suspect(id api.VMID) {
 	entry := m.prev.Entries[id]
-	if !entry.Suspect() {
-		entry.Missing = m.now
+	if !entry.IsMissing() {
+		entry.MissingSince = m.now
 		m.note(EventMissing, id)
 	}
 	if m.drops(entry) {
@@ -192,14 +192,14 @@
 
 // drops decides whether a missing VM is given up.
 func (m *merge) drops(e Entry) bool {
-	missing := m.now.Sub(e.Missing)
-	if missing < m.cfg.Grace {
+	missing := m.now.Sub(e.MissingSince)
+	if missing < m.cfg.GracePeriod {
 		return false
 	}
-	if e.VM.State == api.VMLeaving || missing >= m.cfg.MaxSuspense {
+	if e.VM.State == api.VMLeaving || missing >= m.cfg.MaxMissingTime {
 		return true
 	}
-	return !m.next.Doubted || e.Silent()
+	return !m.next.Untrusted || e.IsUnresponsive()
 }
 
 // Contact is the result of reaching a VM or one of its endpoints. Any answer,
@@ -210,19 +210,19 @@
 	Answered bool
 }
 
-// Observe returns a view that takes contacts into account.
-func (v View) Observe(contacts []Contact) View {
-	next := View{Entries: maps.Clone(v.Entries), Doubted: v.Doubted}
+// ApplyContacts returns a view that takes contacts into account.
+func (v View) ApplyContacts(contacts []Contact) View {
+	next := View{Entries: maps.Clone(v.Entries), Untrusted: v.Untrusted}
 	for _, c := range contacts {
 		entry, ok := next.Entries[c.VM]
 		if !ok {
 			continue
 		}
-		if c.Answered && c.At.After(entry.Answered) {
-			entry.Answered = c.At
+		if c.Answered && c.At.After(entry.LastAnswer) {
+			entry.LastAnswer = c.At
 		}
-		if !c.Answered && c.At.After(entry.Failed) {
-			entry.Failed = c.At
+		if !c.Answered && c.At.After(entry.LastFailure) {
+			entry.LastFailure = c.At
 		}
 		next.Entries[c.VM] = entry
 	}
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -31,7 +31,7 @@
 
 // Fifty VMs are believed; each case shows what becomes of them when the list
 // changes and stays so.
-func TestShrinkingListIsNotBelievedBlindly(t *testing.T) {
+func TestShrinkingListIsVerified(t *testing.T) {
 	full := vms(50)
 	cases := []struct {
 		name    string
@@ -42,12 +42,12 @@
 		kept    int
 		doubted bool
 	}{
-		{"within the grace time", full[:45], true, 0, DefaultGrace / 2, 50, false},
-		{"a few go", full[:45], true, 0, DefaultGrace, 45, false},
+		{"within the grace time", full[:45], true, 0, DefaultGracePeriod / 2, 50, false},
+		{"a few go", full[:45], true, 0, DefaultGracePeriod, 45, false},
 		{"many go missing, all answer", full[:10], true, 0, time.Minute, 50, true},
 		{"many go missing, some are silent", full[:10], true, 15, time.Minute, 35, true},
 		{"an empty list", nil, true, 0, time.Minute, 50, true},
-		{"an empty list for very long", nil, true, 0, DefaultMaxSuspense, 0, true},
+		{"an empty list for very long", nil, true, 0, DefaultMaxMissingTime, 0, true},
 		{"the platform is down", nil, false, 0, time.Hour, 50, false},
 	}
 	for _, tc := range cases {
@@ -64,12 +64,12 @@
 			for i, vm := range full {
 				contacts = append(contacts, Contact{VM: vm.ID, At: start.Add(time.Second), Answered: i < 50-tc.silent})
 			}
-			view, events = Merge(Config{}, view.Observe(contacts), tc.list, tc.listed, start.Add(tc.after))
-			if len(view.Endpoints()) != tc.kept || view.Doubted != tc.doubted || count(events, EventDropped) != 50-tc.kept {
-				t.Errorf("kept %d, doubted %v, events %v", len(view.Endpoints()), view.Doubted, events)
+			view, events = Merge(Config{}, view.ApplyContacts(contacts), tc.list, tc.listed, start.Add(tc.after))
+			if len(view.Endpoints()) != tc.kept || view.Untrusted != tc.doubted || count(events, EventDropped) != 50-tc.kept {
+				t.Errorf("kept %d, doubted %v, events %v", len(view.Endpoints()), view.Untrusted, events)
 			}
 			view, events = Merge(Config{}, view, full, true, start.Add(tc.after+time.Second))
-			if len(view.Endpoints()) != 50 || view.Doubted || (tc.doubted && tc.kept > 0 && count(events, EventBelieved) != 1) {
+			if len(view.Endpoints()) != 50 || view.Untrusted || (tc.doubted && tc.kept > 0 && count(events, EventListTrusted) != 1) {
 				t.Errorf("after the full list: kept %d, events %v", len(view.Endpoints()), events)
 			}
 		})
@@ -78,7 +78,7 @@
 
 // Marks are believed at once, also together with a short list, and VMs that
 // were leaving cast no doubt on the list when they go.
-func TestLeavingMarksAreBelievedAtOnce(t *testing.T) {
+func TestLeavingMarksApplyImmediately(t *testing.T) {
 	full := vms(10)
 	view, _ := Merge(Config{}, View{}, full, true, start)
 	marked := vms(10)
@@ -92,12 +92,12 @@
 			leaving++
 		}
 	}
-	if count(events, EventLeaving) != 5 || leaving != 5 || !view.Doubted {
+	if count(events, EventLeaving) != 5 || leaving != 5 || !view.Untrusted {
 		t.Errorf("leaving %d, events %v", leaving, events)
 	}
 	view, _ = Merge(Config{}, view, marked[5:], true, start)
-	view, events = Merge(Config{}, view, marked[5:], true, start.Add(DefaultGrace))
-	if len(view.Entries) != 5 || view.Doubted || count(events, EventDropped) != 5 {
+	view, events = Merge(Config{}, view, marked[5:], true, start.Add(DefaultGracePeriod))
+	if len(view.Entries) != 5 || view.Untrusted || count(events, EventDropped) != 5 {
 		t.Errorf("entries %d, events %v", len(view.Entries), events)
 	}
 }
--- a/internal/dispatch/resubmit_test.go
+++ b/internal/dispatch/resubmit_test.go
@@ -22,7 +22,7 @@
 		time.Sleep(submissionRetention + 3*cleanupInterval)
 		p.requireIdleAfter(0)
 		p.stop()
-		p.replica = replica.New(time.Hour, logging.Silent())
+		p.replica = replica.New(time.Hour, logging.Nop())
 		p.reader = &replica.Reader{
 			Replica: p.replica, Log: p.store, Partition: jobsPartition,
 			Timing: replica.DefaultTiming(), Leads: func() bool { return true },
--- a/internal/dispatch/runner_test.go
+++ b/internal/dispatch/runner_test.go
@@ -34,7 +34,7 @@
 // newWaitingCell returns a cell with an executor and jobs that wait for advice.
 func newWaitingCell(jobs int) *plan.Cell {
 	now := time.Now()
-	cell := plan.NewCell(plan.DefaultConfig(), func(work.ID) *work.Job { return nil }, logging.Silent(), now.Add(-time.Minute))
+	cell := plan.NewCell(plan.DefaultConfig(), func(work.ID) *work.Job { return nil }, logging.Nop(), now.Add(-time.Minute))
 	cell.Configure(&queue.Configuration{Queues: []queue.Queue{{
 		Name: "q", Service: "svc", MaxAttempts: 1, Stretch: 2, TargetLatency: time.Second,
 		Advice: &queue.Advice{DecisionTime: 10 * time.Millisecond, TimePerVM: time.Millisecond, TicketValidity: 2 * time.Second},
@@ -60,7 +60,7 @@
 func TestAdviceIsRequestedWhileStoreIsSlow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		adviser := &countingAdviser{latency: 11 * time.Millisecond}
-		r := New(Config{Peers: assist.NewPeers("a", adviser, nil), Logger: logging.Silent()})
+		r := New(Config{Peers: assist.NewPeers("a", adviser, nil), Logger: logging.Nop()})
 		r.cell = newWaitingCell(20)
 		ctx, stop := context.WithCancel(context.Background())
 		r.spawn(func() { r.runAdviceLoop(ctx) })
@@ -107,7 +107,7 @@
 func TestLeasesAreRenewedWhileEndsAreNotDurable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		executor := &repeatingExecutor{}
-		r := New(Config{Executors: executor, CanRenewLeases: func() bool { return true }, Logger: logging.Silent()})
+		r := New(Config{Executors: executor, CanRenewLeases: func() bool { return true }, Logger: logging.Nop()})
 		r.cell = newWaitingCell(0)
 		ctx, stop := context.WithCancel(context.Background())
 		r.spawn(func() { r.runHoldLoop(ctx, "e") })
@@ -156,7 +156,7 @@
 // Submissions are accepted while the first append is in flight for as long as while later appends are.
 func TestSubmissionsAreAcceptedDuringFirstAppend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := New(Config{Logger: logging.Silent()})
+		r := New(Config{Logger: logging.Nop()})
 		now := time.Now()
 		r.markAppendPending(now)
 		if r.storeUnavailable(now.Add(minAppendWaitLimit / 2)) {
@@ -207,8 +207,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		const wrong, right = "10.0.0.1:1", "10.0.0.2:1"
 		e := &addressedExecutor{address: right, callCounts: make(map[string]int)}
-		r := New(Config{Executors: e, CanRenewLeases: func() bool { return true }, Logger: logging.Silent()})
-		cell := plan.NewCell(plan.DefaultConfig(), func(work.ID) *work.Job { return nil }, logging.Silent(), time.Now())
+		r := New(Config{Executors: e, CanRenewLeases: func() bool { return true }, Logger: logging.Nop()})
+		cell := plan.NewCell(plan.DefaultConfig(), func(work.ID) *work.Job { return nil }, logging.Nop(), time.Now())
 		cell.Configure(&queue.Configuration{Services: map[string]queue.Service{"svc": {Name: "svc"}}})
 		r.cell = cell
 		ctx, stop := context.WithCancel(t.Context())
--- a/internal/dispatch/stop_test.go
+++ b/internal/dispatch/stop_test.go
@@ -43,7 +43,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
 		log := &cancelLog{stop: stop}
-		jobs := replica.New(time.Minute, logging.Silent())
+		jobs := replica.New(time.Minute, logging.Nop())
 		reader := &replica.Reader{Replica: jobs, Log: log, Timing: replica.DefaultTiming()}
 		if err := reader.Restore(ctx); err != nil { // a process that has not read the jobs claims no leadership
 			t.Fatal(err)
@@ -55,7 +55,7 @@
 			Peers:         assist.NewPeers("a", nil, nil),
 			Configuration: func() *queue.Configuration { return &queue.Configuration{} },
 			LastRenewal:   func() leader.Renewal { return leader.Renewal{} },
-			Logger:        logging.Silent(),
+			Logger:        logging.Nop(),
 		})
 		if err := r.Run(ctx); err == nil || log.reads.Load() == 0 {
 			t.Fatalf("Run returned %v after %d reads", err, log.reads.Load())
--- a/internal/dispatch/testcell_test.go
+++ b/internal/dispatch/testcell_test.go
@@ -262,7 +262,7 @@
 		t:        t,
 		store:    &memoryStore{partitions: make(map[string][]platform.Record)},
 		executor: newFakeExecutor(),
-		replica:  replica.New(time.Hour, logging.Silent()),
+		replica:  replica.New(time.Hour, logging.Nop()),
 		stop:     func() {},
 	}
 	p.log = p.store
@@ -310,7 +310,7 @@
 		OnFenced:       func() {},
 		LastRenewal:    func() leader.Renewal { return leader.Renewal{} },
 		OnHigherEpoch:  func(api.Epoch) {},
-		Logger:         logging.Silent(),
+		Logger:         logging.Nop(),
 	})
 	ctx, cancel := context.WithCancel(p.t.Context())
 	var loops sync.WaitGroup
--- a/internal/dispatch/writer_test.go
+++ b/internal/dispatch/writer_test.go
@@ -39,7 +39,7 @@
 func runWriter(t *testing.T, s *scriptedLog, run func(context.Context, *writer)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		run(t.Context(), &writer{log: s, epoch: 3, logger: logging.Silent()})
+		run(t.Context(), &writer{log: s, epoch: 3, logger: logging.Nop()})
 	})
 }
 
@@ -142,7 +142,7 @@
 func TestTimeoutAdaptsToSlowStoreImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &slowLog{latency: 250 * time.Millisecond}
-		w := &writer{log: s, epoch: 3, logger: logging.Silent()}
+		w := &writer{log: s, epoch: 3, logger: logging.Nop()}
 		const appends = 10
 		firstCalls := 0
 		for i := range appends {
@@ -166,7 +166,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const latency = 355 * time.Millisecond
 		store := slowStore{&memoryStore{partitions: make(map[string][]platform.Record)}, latency}
-		w := newWriter(Config{Log: store, Jobs: jobsPartition, LastAppendDuration: 290 * time.Millisecond, Logger: logging.Silent()})
+		w := newWriter(Config{Log: store, Jobs: jobsPartition, LastAppendDuration: 290 * time.Millisecond, Logger: logging.Nop()})
 		start := time.Now()
 		if _, err := w.fence(t.Context()); err != nil {
 			t.Fatal(err)
--- a/internal/entry/cluster_test.go
+++ b/internal/entry/cluster_test.go
@@ -210,7 +210,7 @@
 		}
 	}
 	h.End = time.Now()
-	for _, v := range history.Check(h, history.Limits{Connections: 60, Leaving: leavingBound, Attempts: 3}) {
+	for _, v := range history.Check(h, history.Limits{MaxConnections: 60, LeavingGracePeriod: leavingBound, MaxAttempts: 3}) {
 		c.t.Error(v)
 	}
 }
@@ -253,7 +253,7 @@
 func (c *cluster) publish(p *process, kind api.Kind, name string, basedOn api.Revision, spec string) api.PublishAnswer {
 	body, err := json.Marshal(api.Record{Kind: kind, Name: name, SchemaVersion: schema.Newest(kind), BasedOn: basedOn, Spec: json.RawMessage(spec)})
 	must(c.t, err)
-	done := history.Publish{Entry: string(p.settings.NodeID), Key: string(kind) + "/" + name, Value: spec, BasedOn: basedOn, Start: c.rec.Now()}
+	done := history.Publication{Entry: string(p.settings.NodeID), Key: string(kind) + "/" + name, Value: spec, BasedOn: basedOn, Start: c.rec.Now()}
 	c.await("publication of "+done.Key, func() bool {
 		_, _, answer, err := c.do(http.MethodPost, "http://"+p.settings.Listen.Operators+"/v1/records", string(body))
 		if err != nil || json.Unmarshal(answer, &done.Answer) != nil {
@@ -262,7 +262,7 @@
 		return done.Answer.Outcome == api.PublishAccepted || done.Answer.Outcome == api.PublishConflict
 	})
 	done.End = c.rec.Now()
-	c.rec.Publish(done)
+	c.rec.AddPublication(done)
 	return done.Answer
 }
 
--- a/internal/entry/config_test.go
+++ b/internal/entry/config_test.go
@@ -23,7 +23,7 @@
 	if err != nil || status != http.StatusOK && status != http.StatusNotFound || json.Unmarshal(answer, &state) != nil {
 		return 0, false
 	}
-	c.rec.Reading(history.Reading{
+	c.rec.AddReading(history.Reading{
 		Entry: fmt.Sprintf("%s/%d", p.settings.NodeID, p.origin.Incarnation), Key: "quota/" + name, At: at,
 		Revision: state.Revision, Value: string(state.Record.Spec), Final: final,
 	})
--- a/internal/entry/faults_test.go
+++ b/internal/entry/faults_test.go
@@ -244,7 +244,7 @@
 				continue
 			}
 			for _, ep := range vm.Endpoints {
-				c.rec.Leaving(history.Leaving{Endpoint: ep.ID, VM: vm.ID, At: time.Now()})
+				c.rec.AddLeavingNotice(history.LeavingNotice{Endpoint: ep.ID, VM: vm.ID, At: time.Now()})
 			}
 		}
 		announced := time.Now()
@@ -295,7 +295,7 @@
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.callers()+"/v1/services/"+service+"/", nil)
 	must(c.t, err)
 	id := fmt.Sprintf("hanging-%d", c.rec.Now())
-	c.rec.Request(history.Request{ID: id, Idempotent: true, Start: c.rec.Now()})
+	c.rec.AddRequest(history.Request{ID: id, Idempotent: true, Start: c.rec.Now()})
 	req.Header.Set(api.HeaderRequestID, id)
 	req.Header.Set(api.HeaderIdempotent, "true")
 	req.Header.Set(api.HeaderTimeout, fmt.Sprint(deadline.Milliseconds()))
--- a/internal/entry/jobs_test.go
+++ b/internal/entry/jobs_test.go
@@ -103,7 +103,7 @@
 	w.c.t.Helper()
 	w.await()
 	for _, job := range w.jobs {
-		w.c.rec.Job(job)
+		w.c.rec.AddJob(job)
 	}
 }
 
@@ -139,7 +139,7 @@
 			c.running("bne", 8)
 			fault(c.site.Workers.VM(c.site.VMs[0].ID))
 			if name == "leaving" {
-				c.rec.Leaving(history.Leaving{VM: c.site.VMs[0].ID, At: time.Now()})
+				c.rec.AddLeavingNotice(history.LeavingNotice{VM: c.site.VMs[0].ID, At: time.Now()})
 			}
 			second := c.submit("bne", "second", 2, runTime)
 			second.await()
--- a/internal/entry/traffic_test.go
+++ b/internal/entry/traffic_test.go
@@ -87,7 +87,7 @@
 func (c *cluster) record(cfg load.Config, s load.Sample) {
 	end := c.rec.Now()
 	stream := cfg.Streams[s.Stream]
-	c.rec.Request(history.Request{
+	c.rec.AddRequest(history.Request{
 		ID: s.ID, Idempotent: stream.Idempotent, Body: make([]byte, stream.BodyBytes), Start: end - s.Latency, End: end,
 		Outcome: s.Outcome, Reason: s.Reason, Status: s.Status, Answer: s.Answer, Checksum: s.Checksum,
 	})
--- a/internal/experiment/inforce.go
+++ b/internal/experiment/inforce.go
@@ -50,7 +50,7 @@
 	last := c.Entries[len(c.Entries)-1]
 	last.Node.Abort()
 	c.Entries = c.Entries[:len(c.Entries)-1]
-	<-last.Ended
+	<-last.Done
 }
 
 // measureInForce publishes records one after the other, each under the fault,
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -40,8 +40,8 @@
 	Checksum   string // from the answer's trailer
 }
 
-// Publish is one publication of a record.
-type Publish struct {
+// Publication is one publication of a record.
+type Publication struct {
 	Entry      string
 	Key        string
 	Value      string // the spec, as published
@@ -60,8 +60,8 @@
 	Final    bool // read when all publications were long over
 }
 
-// Leaving says when a VM or an endpoint on it was announced to be leaving.
-type Leaving struct {
+// LeavingNotice says when a VM or an endpoint on it was announced to be leaving.
+type LeavingNotice struct {
 	Endpoint api.EndpointID // empty: the VM's tasks are meant
 	VM       api.VMID
 	At       time.Time
@@ -83,14 +83,14 @@
 
 // History is the complete record of a run.
 type History struct {
-	Requests  []Request
-	Publishes []Publish
-	Readings  []Reading
-	Leavings  []Leaving
-	Jobs      []Job
-	Endpoints []Endpoint
-	Workers   []worker.Record
-	End       time.Time // when Endpoints and Workers were read
+	Requests       []Request
+	Publications   []Publication
+	Readings       []Reading
+	LeavingNotices []LeavingNotice
+	Jobs           []Job
+	Endpoints      []Endpoint
+	Workers        []worker.Record
+	End            time.Time // when Endpoints and Workers were read
 }
 
 // Recorder gathers a history. It is safe for concurrent use.
@@ -111,37 +111,37 @@
 	return time.Since(r.start)
 }
 
-// Request adds one copy of a request.
-func (r *Recorder) Request(x Request) {
+// AddRequest adds one copy of a request.
+func (r *Recorder) AddRequest(x Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history.Requests = append(r.history.Requests, x)
 }
 
-// Publish adds one publication.
-func (r *Recorder) Publish(p Publish) {
+// AddPublication adds one publication.
+func (r *Recorder) AddPublication(p Publication) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.history.Publishes = append(r.history.Publishes, p)
+	r.history.Publications = append(r.history.Publications, p)
 }
 
-// Reading adds one look at a record. Those of one entry VM are added in the
+// AddReading adds one look at a record. Those of one entry VM are added in the
 // order in which they were made.
-func (r *Recorder) Reading(x Reading) {
+func (r *Recorder) AddReading(x Reading) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history.Readings = append(r.history.Readings, x)
 }
 
-// Leaving adds the announcement that a VM or endpoint is leaving.
-func (r *Recorder) Leaving(l Leaving) {
+// AddLeavingNotice adds the announcement that a VM or endpoint is leaving.
+func (r *Recorder) AddLeavingNotice(l LeavingNotice) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.history.Leavings = append(r.history.Leavings, l)
+	r.history.LeavingNotices = append(r.history.LeavingNotices, l)
 }
 
-// Job adds what became of a job.
-func (r *Recorder) Job(j Job) {
+// AddJob adds what became of a job.
+func (r *Recorder) AddJob(j Job) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history.Jobs = append(r.history.Jobs, j)
@@ -154,32 +154,32 @@
 	defer r.mu.Unlock()
 	h := r.history
 	h.Requests = slices.Clone(h.Requests)
-	h.Publishes = slices.Clone(h.Publishes)
+	h.Publications = slices.Clone(h.Publications)
 	h.Readings = slices.Clone(h.Readings)
-	h.Leavings = slices.Clone(h.Leavings)
+	h.LeavingNotices = slices.Clone(h.LeavingNotices)
 	h.Jobs = slices.Clone(h.Jobs)
 	return h
 }
 
 // Limits are the bounds that the checkers hold a run against.
 type Limits struct {
-	Connections int           // most at one endpoint
-	Leaving     time.Duration // longest time of new work after a leaving was announced
-	Attempts    int           // most runs that one copy of an idempotent request may cause
+	MaxConnections     int           // most at one endpoint
+	LeavingGracePeriod time.Duration // longest time of new work after a leaving was announced
+	MaxAttempts        int           // most runs that one copy of an idempotent request may cause
 }
 
 // Check runs every checker.
 func Check(h History, l Limits) []Violation {
 	return slices.Concat(
-		AtMostOnce(h.Requests, h.Endpoints),
-		NotRun(h.Requests, h.Endpoints, l.Attempts),
-		WholeAnswers(h.Requests, h.Endpoints),
-		EndpointLimits(h.Endpoints, l.Connections),
-		OnePlace(h.Workers, h.End),
-		Capacity(h.Workers),
-		NoNewWork(h.Leavings, h.Endpoints, h.Workers, l.Leaving),
-		Register(h.Publishes),
-		NoReverts(h.Publishes, h.Readings),
-		TruthfulJobs(h.Jobs, h.Workers),
+		CheckAtMostOnce(h.Requests, h.Endpoints),
+		CheckNotRun(h.Requests, h.Endpoints, l.MaxAttempts),
+		CheckAnswers(h.Requests, h.Endpoints),
+		CheckEndpointLimits(h.Endpoints, l.MaxConnections),
+		CheckExclusiveRuns(h.Workers, h.End),
+		CheckCapacity(h.Workers),
+		CheckNoNewWork(h.LeavingNotices, h.Endpoints, h.Workers, l.LeavingGracePeriod),
+		CheckRegister(h.Publications),
+		CheckNoReverts(h.Publications, h.Readings),
+		CheckJobs(h.Jobs, h.Workers),
 	)
 }
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -54,8 +54,8 @@
 	return worker.Record{VM: api.VMID(id), Capacity: full, MaxInUse: full, Runs: runs}
 }
 
-func publish(start, end int, basedOn api.Revision, value string, outcome api.PublishOutcome, revision, inForce api.Revision) Publish {
-	return Publish{
+func publish(start, end int, basedOn api.Revision, value string, outcome api.PublishOutcome, revision, inForce api.Revision) Publication {
+	return Publication{
 		Key: "k", Value: value, BasedOn: basedOn, Start: time.Duration(start), End: time.Duration(end),
 		Answer: api.PublishAnswer{Outcome: outcome, Revision: revision, InForce: inForce},
 	}
@@ -71,14 +71,14 @@
 			asked("never", false, api.OutcomeNotRun), asked("never", false, ""),
 			asked("retried", true, api.OutcomeRan), asked("retried", true, api.OutcomeNotRun),
 		},
-		Endpoints: []Endpoint{endpoint("a", map[string][]int{"once": {1}, "retried": {1, 2}}), endpoint("b", map[string][]int{"retried": {3}})},
-		Leavings:  []Leaving{{Endpoint: "a", VM: "v", At: at(1)}, {VM: "v", At: at(5)}},
+		Endpoints:      []Endpoint{endpoint("a", map[string][]int{"once": {1}, "retried": {1, 2}}), endpoint("b", map[string][]int{"retried": {3}})},
+		LeavingNotices: []LeavingNotice{{Endpoint: "a", VM: "v", At: at(1)}, {VM: "v", At: at(5)}},
 		Workers: []worker.Record{
 			vm("v", attempt("v", 0, 1, 1, 3, platform.RunKilled), attempt("v", 1, 1, 1, 2, platform.RunKilled)),
 			vm("w", attempt("w", 0, 2, 3, 5, platform.RunSucceeded)),
 		},
 		Jobs: []Job{job},
-		Publishes: []Publish{
+		Publications: []Publication{
 			publish(1, 5, 0, "x", api.PublishAccepted, 1, 0), publish(2, 6, 0, "y", api.PublishConflict, 0, 1),
 			publish(3, 4, 1, "z", api.PublishUnsettled, 0, 0), publish(8, 9, 2, "u", api.PublishAccepted, 3, 0),
 		},
@@ -90,16 +90,16 @@
 	}
 }
 
-var limits = Limits{Connections: 60, Leaving: 2 * time.Second, Attempts: 3}
+var limits = Limits{MaxConnections: 60, LeavingGracePeriod: 2 * time.Second, MaxAttempts: 3}
 
-func TestSoundHistoryPasses(t *testing.T) {
+func TestValidHistoryPasses(t *testing.T) {
 	for _, v := range Check(sound(), limits) {
 		t.Error(v)
 	}
 }
 
-// TestPlantedViolationsAreCaught breaks a sound history in one place at a time.
-func TestPlantedViolationsAreCaught(t *testing.T) {
+// TestInjectedViolationsAreFound breaks a sound history in one place at a time.
+func TestInjectedViolationsAreFound(t *testing.T) {
 	for _, row := range []struct {
 		want  string
 		plant func(h *History)
@@ -121,8 +121,10 @@
 		{"capacity: v:", func(h *History) { h.Workers[0].MaxInUse.MilliCPU = 5 }},
 		{"leaving: a: retried started 3s", func(h *History) { h.Endpoints[0].Runs["retried"][1].Start = at(4) }},
 		{"leaving: v: j/1 started 3s", func(h *History) { h.Workers[0].Runs[1].Start, h.Workers[0].Runs[1].End = at(8), at(9) }},
-		{"register: k: 4 publications", func(h *History) { h.Publishes[1].Answer = api.PublishAnswer{Outcome: api.PublishAccepted, Revision: 2} }},
-		{"register: k: 4 publications", func(h *History) { h.Publishes[1].Start, h.Publishes[1].End = -2, -1 }},
+		{"register: k: 4 publications", func(h *History) {
+			h.Publications[1].Answer = api.PublishAnswer{Outcome: api.PublishAccepted, Revision: 2}
+		}},
+		{"register: k: 4 publications", func(h *History) { h.Publications[1].Start, h.Publications[1].End = -2, -1 }},
 		{"no-reverts: k: e showed 1 after 2", func(h *History) { h.Readings[3].Revision, h.Readings[3].Value = 1, "x" }},
 		{"no-reverts: k: f showed revision 1 as z", func(h *History) { h.Readings[2].Value = "z" }},
 		{"no-reverts: k: f ended at revision 1, 3", func(h *History) { h.Readings[2].Final = true }},
--- a/internal/history/register.go
+++ b/internal/history/register.go
@@ -13,25 +13,25 @@
 // publication that was accepted without its publisher being told, one that is
 // only known to be above Revision.
 type inForce struct {
-	Revision api.Revision
-	Above    bool
+	Revision      api.Revision
+	AboveRevision bool
 }
 
 // is reports whether r may be the revision in force.
 func (s inForce) is(r api.Revision) bool {
-	return !s.Above && r == s.Revision || s.Above && r > s.Revision
+	return !s.AboveRevision && r == s.Revision || s.AboveRevision && r > s.Revision
 }
 
 // registerModel is one key of the configuration as a compare-and-set register.
 var registerModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{inForce{}} },
 	Step: func(state, input, output any) []any {
-		return step(state.(inForce), input.(Publish), output.(api.PublishAnswer))
+		return step(state.(inForce), input.(Publication), output.(api.PublishAnswer))
 	},
 }
 
 // step returns what may be in force after p was answered.
-func step(s inForce, p Publish, answer api.PublishAnswer) []any {
+func step(s inForce, p Publication, answer api.PublishAnswer) []any {
 	switch answer.Outcome {
 	case api.PublishAccepted:
 		if s.is(p.BasedOn) && answer.Revision > p.BasedOn {
@@ -40,7 +40,7 @@
 		return nil
 	case api.PublishConflict:
 		// The entry VM may lag, so what it names in force may have gone.
-		if s.Above || s.Revision != p.BasedOn && answer.InForce <= s.Revision {
+		if s.AboveRevision || s.Revision != p.BasedOn && answer.InForce <= s.Revision {
 			return []any{s}
 		}
 		return nil
@@ -48,14 +48,14 @@
 		return []any{s}
 	}
 	if s.is(p.BasedOn) {
-		return []any{s, inForce{Revision: p.BasedOn, Above: true}}
+		return []any{s, inForce{Revision: p.BasedOn, AboveRevision: true}}
 	}
 	return []any{s}
 }
 
-// Register finds keys whose publications don't behave as those of one
+// CheckRegister finds keys whose publications don't behave as those of one
 // compare-and-set register.
-func Register(publishes []Publish) []Violation {
+func CheckRegister(publishes []Publication) []Violation {
 	byKey := make(map[string][]porcupine.Operation)
 	for i, p := range publishes {
 		end := int64(p.End)
@@ -81,10 +81,10 @@
 	return a.Outcome == "" || a.Outcome == api.PublishUnsettled
 }
 
-// NoReverts finds entry VMs that showed an older record after a newer one,
+// CheckNoReverts finds entry VMs that showed an older record after a newer one,
 // revisions that were seen with two values, and final readings that show an
 // older record than one that was accepted.
-func NoReverts(publishes []Publish, readings []Reading) []Violation {
+func CheckNoReverts(publishes []Publication, readings []Reading) []Violation {
 	const rule = "no-reverts"
 	type place struct{ entry, key string }
 	type version struct {
--- a/internal/history/requests.go
+++ b/internal/history/requests.go
@@ -33,9 +33,9 @@
 	return copies
 }
 
-// AtMostOnce finds non-idempotent ids that ran more than once, and runs of
+// CheckAtMostOnce finds non-idempotent ids that ran more than once, and runs of
 // ids that nobody sent.
-func AtMostOnce(requests []Request, endpoints []Endpoint) []Violation {
+func CheckAtMostOnce(requests []Request, endpoints []Endpoint) []Violation {
 	const rule = "at-most-once"
 	copies := copiesByID(requests)
 	var found []Violation
@@ -51,11 +51,11 @@
 	return found
 }
 
-// NotRun finds answers "not-run" that are untrue. Of a non-idempotent request
+// CheckNotRun finds answers "not-run" that are untrue. Of a non-idempotent request
 // the answer speaks of the id, so that no copy ever ran. Of an idempotent one
 // it speaks of that copy, so that the other copies account for every run, each
 // for at most attempts.
-func NotRun(requests []Request, endpoints []Endpoint, attempts int) []Violation {
+func CheckNotRun(requests []Request, endpoints []Endpoint, attempts int) []Violation {
 	runs := runsByID(endpoints)
 	var found []Violation
 	for id, copies := range copiesByID(requests) {
@@ -72,9 +72,9 @@
 	return found
 }
 
-// WholeAnswers finds answers "ran" that are not the whole answer of an
+// CheckAnswers finds answers "ran" that are not the whole answer of an
 // endpoint to that very request.
-func WholeAnswers(requests []Request, endpoints []Endpoint) []Violation {
+func CheckAnswers(requests []Request, endpoints []Endpoint) []Violation {
 	const rule = "whole-answer"
 	runs := runsByID(endpoints)
 	var found []Violation
@@ -107,9 +107,9 @@
 	return ""
 }
 
-// EndpointLimits finds endpoints that had more requests running than slots,
+// CheckEndpointLimits finds endpoints that had more requests running than slots,
 // or more connections than the smaller of their own bound and connections.
-func EndpointLimits(endpoints []Endpoint, connections int) []Violation {
+func CheckEndpointLimits(endpoints []Endpoint, connections int) []Violation {
 	const rule = "endpoint-limits"
 	var found []Violation
 	for _, ep := range endpoints {
--- a/internal/history/tasks.go
+++ b/internal/history/tasks.go
@@ -26,9 +26,9 @@
 	return runs
 }
 
-// OnePlace finds tasks of which two attempts ran at the same time, and
+// CheckExclusiveRuns finds tasks of which two attempts ran at the same time, and
 // attempts that ran twice. An attempt without an end ran until end.
-func OnePlace(workers []worker.Record, end time.Time) []Violation {
+func CheckExclusiveRuns(workers []worker.Record, end time.Time) []Violation {
 	const rule = "one-place"
 	var found []Violation
 	for task, runs := range runsByTask(workers) {
@@ -55,8 +55,8 @@
 	return found
 }
 
-// Capacity finds VMs that were given more than they hold.
-func Capacity(workers []worker.Record) []Violation {
+// CheckCapacity finds VMs that were given more than they hold.
+func CheckCapacity(workers []worker.Record) []Violation {
 	var found []Violation
 	for _, w := range workers {
 		if !w.MaxInUse.Fits(w.Capacity) {
@@ -66,9 +66,9 @@
 	return found
 }
 
-// NoNewWork finds work that was started on an endpoint or VM later than
+// CheckNoNewWork finds work that was started on an endpoint or VM later than
 // within after it was announced to be leaving.
-func NoNewWork(leavings []Leaving, endpoints []Endpoint, workers []worker.Record, within time.Duration) []Violation {
+func CheckNoNewWork(leavings []LeavingNotice, endpoints []Endpoint, workers []worker.Record, within time.Duration) []Violation {
 	const rule = "leaving"
 	var found []Violation
 	late := func(subject, work string, start, announced time.Time) {
@@ -99,10 +99,10 @@
 	return found
 }
 
-// TruthfulJobs finds accepted jobs that did not come to their end, tasks
+// CheckJobs finds accepted jobs that did not come to their end, tasks
 // reported as finished that never ended well on a VM, jobs that ran although
 // they were answered as not taken, and tasks of cancelled jobs that run on.
-func TruthfulJobs(jobs []Job, workers []worker.Record) []Violation {
+func CheckJobs(jobs []Job, workers []worker.Record) []Violation {
 	const rule = "jobs"
 	byJob := make(map[api.JobID][]worker.Run)
 	for task, runs := range runsByTask(workers) {
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -70,7 +70,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		l.startedAt = time.Now()
-		in := New(DefaultConfig(), l, platform.Partition{}, relay, func() bool { return l.storeDown }, l.isDelivered, logging.Silent())
+		in := New(DefaultConfig(), l, platform.Partition{}, relay, func() bool { return l.storeDown }, l.isDelivered, logging.Nop())
 		if l.randomDuration != nil {
 			in.randomDuration = l.randomDuration
 		}
--- a/internal/intake/stop_test.go
+++ b/internal/intake/stop_test.go
@@ -39,7 +39,7 @@
 // startIntake runs an Intake and returns it with a function that stops it.
 func startIntake(cfg Config, relay Relay) (*Intake, context.CancelFunc) {
 	never := func(string) bool { return false }
-	in := New(cfg, &fakeLog{}, platform.Partition{}, relay, func() bool { return false }, never, logging.Silent())
+	in := New(cfg, &fakeLog{}, platform.Partition{}, relay, func() bool { return false }, never, logging.Nop())
 	ctx, stop := context.WithCancel(context.Background())
 	go func() { _ = in.Run(ctx) }()
 	return in, stop
--- a/internal/jobapi/api.go
+++ b/internal/jobapi/api.go
@@ -15,8 +15,8 @@
 	"github.com/skylarklock/skylarklock/internal/work"
 )
 
-// Forms are the bodies and headers that clients send and get.
-type Forms struct {
+// Codec are the bodies and headers that clients send and get.
+type Codec struct {
 	Remaining     func(http.Header) (time.Duration, bool) // how long the client waits for the answer
 	DecodeJob     func([]byte) (*work.Job, error)
 	EncodeState   func(work.State) []byte
@@ -31,14 +31,14 @@
 
 // API answers clients' requests.
 type API struct {
-	Forms   Forms
-	Table   func() *queue.Configuration // nil before the first configuration
-	Replica *replica.Replica
-	Sync    func(ctx context.Context) error // reads what the store holds by now
-	Store   Store
-	CutOff  func() bool // this machine reaches nobody who could store anything; nil: never
-	Leaving func() bool // the process ends soon: clients should go elsewhere
-	Events  *logrus.Entry
+	Codec         Codec
+	CurrentConfig func() *queue.Configuration // nil before the first configuration
+	Replica       *replica.Replica
+	Sync          func(ctx context.Context) error // reads what the store holds by now
+	Store         Store
+	CutOff        func() bool // this machine reaches nobody who could store anything; nil: never
+	Leaving       func() bool // the process ends soon: clients should go elsewhere
+	Logger        *logrus.Entry
 }
 
 // Timing of answers.
@@ -99,7 +99,7 @@
 
 // patience returns how long the answer may take.
 func (a *API) patience(h http.Header) time.Duration {
-	wait, ok := a.Forms.Remaining(h)
+	wait, ok := a.Codec.Remaining(h)
 	if !ok {
 		wait = defaultWait
 	}
@@ -108,7 +108,7 @@
 
 // configured refuses while there is no configuration.
 func (a *API) configured(r *request) *reply {
-	r.table = a.Table()
+	r.table = a.CurrentConfig()
 	if r.table == nil {
 		return a.refuse(http.StatusServiceUnavailable, "no configuration yet", busyRetryAfter)
 	}
@@ -148,9 +148,9 @@
 
 // refuse returns a refusal with its reason.
 func (a *API) refuse(status int, reason string, retryAfter time.Duration) *reply {
-	body, err := a.Forms.EncodeError(reason, retryAfter)
+	body, err := a.Codec.EncodeError(reason, retryAfter)
 	if err != nil {
-		a.Events.WithError(err).Error("reason of a refusal not encoded")
+		a.Logger.WithError(err).Error("reason of a refusal not encoded")
 	}
 	return &reply{status: status, body: body, retryAfter: retryAfter}
 }
--- a/internal/jobapi/jobs.go
+++ b/internal/jobapi/jobs.go
@@ -26,7 +26,7 @@
 	if _, known := a.Replica.Get(id); known {
 		return accepted()
 	}
-	job, err := a.Forms.DecodeJob(body)
+	job, err := a.Codec.DecodeJob(body)
 	if err != nil {
 		return a.refuse(http.StatusBadRequest, err.Error(), 0)
 	}
@@ -99,7 +99,7 @@
 func (a *API) store(r *request, record platform.Record, patience, retryAfter time.Duration) *reply {
 	if a.CutOff != nil && a.CutOff() {
 		// Nothing was sent, and the client's next try may reach a machine elsewhere.
-		a.Events.WithFields(logrus.Fields{"job": r.rest, "queue": r.queue.Name, "method": r.Method}).Info("request refused: this machine is cut off")
+		a.Logger.WithFields(logrus.Fields{"job": r.rest, "queue": r.queue.Name, "method": r.Method}).Info("request refused: this machine is cut off")
 		return a.refuse(http.StatusServiceUnavailable, "this machine reaches neither the store nor the leader", busyRetryAfter)
 	}
 	err := a.Store.Store(r.Context(), record, patience)
@@ -107,7 +107,7 @@
 		return accepted()
 	}
 	answer := a.notConfirmed(err, retryAfter)
-	a.Events.WithError(err).WithFields(logrus.Fields{
+	a.Logger.WithError(err).WithFields(logrus.Fields{
 		"job": r.rest, "queue": r.queue.Name, "method": r.Method, "answered": answer.status,
 	}).Info("request not confirmed")
 	return answer
@@ -135,13 +135,13 @@
 	e, known := a.Replica.Get(id)
 	if !known || !e.Submitted() {
 		if err := a.Sync(r.Context()); err != nil {
-			a.Events.WithError(err).WithField("job", id).Info("job not known here and the store gives no answer")
+			a.Logger.WithError(err).WithField("job", id).Info("job not known here and the store gives no answer")
 			return e, a.refuse(http.StatusServiceUnavailable, "the store gives no answer", busyRetryAfter)
 		}
 		e, known = a.Replica.Get(id)
 	}
 	if !known || !e.Submitted() || e.Queue() != r.queue.Name {
-		a.Events.WithFields(logrus.Fields{
+		a.Logger.WithFields(logrus.Fields{
 			"job": id, "queue": r.queue.Name, "has_records": known, "has_submission": e.Submitted(), "read_up_to": a.Replica.Position(),
 		}).Info("no such job")
 		return e, a.refuse(http.StatusGone, "no such job", 0)
@@ -155,7 +155,7 @@
 	if refusal != nil {
 		return refusal
 	}
-	return &reply{status: http.StatusOK, body: a.Forms.EncodeState(e.State())}
+	return &reply{status: http.StatusOK, body: a.Codec.EncodeState(e.State())}
 }
 
 // cancelPatience is how long the store is waited for with a cancel.
@@ -168,7 +168,7 @@
 		return refusal
 	}
 	if e.State().Final() {
-		return &reply{status: http.StatusOK, body: a.Forms.EncodeState(e.State())}
+		return &reply{status: http.StatusOK, body: a.Codec.EncodeState(e.State())}
 	}
 	return a.store(r, platform.Record{Key: work.Key(work.KindCancellation, id), Value: work.CancellationValue}, cancelPatience, busyRetryAfter)
 }
@@ -182,11 +182,11 @@
 func (a *API) pending(r *request) *reply {
 	if a.Replica.Lag(time.Now()) > pendingAge {
 		if err := a.Sync(r.Context()); err != nil {
-			a.Events.WithError(err).WithField("queue", r.queue.Name).Info("number of pending jobs not known here")
+			a.Logger.WithError(err).WithField("queue", r.queue.Name).Info("number of pending jobs not known here")
 			return a.refuse(http.StatusServiceUnavailable, "the store gives no answer", busyRetryAfter)
 		}
 	}
-	body, err := a.Forms.EncodePending(a.Replica.PendingJobs(r.queue.Name))
+	body, err := a.Codec.EncodePending(a.Replica.PendingJobs(r.queue.Name))
 	if err != nil {
 		return a.refuse(http.StatusInternalServerError, err.Error(), 0)
 	}
@@ -207,6 +207,6 @@
 	}
 	w.WriteHeader(answer.status)
 	if _, err := w.Write(answer.body); err != nil {
-		a.Events.WithError(err).Debug("answer not delivered")
+		a.Logger.WithError(err).Debug("answer not delivered")
 	}
 }
--- a/internal/jobapi/leaving_test.go
+++ b/internal/jobapi/leaving_test.go
@@ -15,10 +15,10 @@
 func TestLeavingClosesConnections(t *testing.T) {
 	for _, leaving := range []bool{false, true} {
 		api := &API{
-			Forms:   Forms{Remaining: platform.RemainingTime, EncodeError: platform.EncodeError},
-			Table:   func() *queue.Configuration { return nil },
-			Leaving: func() bool { return leaving },
-			Events:  logging.Silent(),
+			Codec:         Codec{Remaining: platform.RemainingTime, EncodeError: platform.EncodeError},
+			CurrentConfig: func() *queue.Configuration { return nil },
+			Leaving:       func() bool { return leaving },
+			Logger:        logging.Nop(),
 		}
 		w := httptest.NewRecorder()
 		api.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "http://h/q/", nil))
--- a/internal/jobapi/pending_test.go
+++ b/internal/jobapi/pending_test.go
@@ -17,7 +17,7 @@
 )
 
 // A machine that has heard nothing for a while doesn't tell an old number.
-func TestPendingIsNotTold(t *testing.T) {
+func TestStalePendingCountIsNotReported(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		silent time.Duration
@@ -31,17 +31,17 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := replica.New(time.Minute, logging.Silent())
+				r := replica.New(time.Minute, logging.Nop())
 				r.MarkCurrent(time.Now())
 				time.Sleep(c.silent)
 				syncs := 0
 				api := &API{
-					Forms: Forms{
+					Codec: Codec{
 						Remaining:     platform.RemainingTime,
 						EncodePending: platform.EncodePending,
 						EncodeError:   platform.EncodeError,
 					},
-					Table: func() *queue.Configuration {
+					CurrentConfig: func() *queue.Configuration {
 						return &queue.Configuration{Queues: []queue.Queue{{Name: "q", Host: "h", PathPrefix: "/q/"}}}
 					},
 					Replica: r,
@@ -50,7 +50,7 @@
 						syncs++
 						return c.sync
 					},
-					Events: logging.Silent(),
+					Logger: logging.Nop(),
 				}
 				request := httptest.NewRequest(http.MethodGet, "/q/", nil)
 				request.Host = "h"
--- a/internal/jobapi/retry_test.go
+++ b/internal/jobapi/retry_test.go
@@ -26,7 +26,7 @@
 // Clients try a few times. Told to come back each second, they had no try left when
 // an outage of 5 s ended, also for jobs that could wait for 10 s and longer. So
 // they come back after a part of the job's objective, in whole seconds.
-func TestClientsComeBackInTheJobsTime(t *testing.T) {
+func TestRetryAfterFollowsTheLatencyObjective(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		work       time.Duration // estimated
@@ -38,23 +38,23 @@
 		{"work of a minute", time.Minute, "3"},
 	} {
 		api := &API{
-			Forms: Forms{
+			Codec: Codec{
 				Remaining:   func(http.Header) (time.Duration, bool) { return 3 * time.Second, true },
 				EncodeError: func(string, time.Duration) ([]byte, error) { return []byte("{}"), nil },
 				DecodeJob: func([]byte) (*work.Job, error) {
 					return &work.Job{Steps: []work.Step{{TaskCount: 1, Estimate: c.work}}}, nil
 				},
 			},
-			Table: func() *queue.Configuration {
+			CurrentConfig: func() *queue.Configuration {
 				return &queue.Configuration{
 					Queues: []queue.Queue{{Name: "q", Host: "h", PathPrefix: "/q/", Stretch: 1.5, TargetLatency: 250 * time.Millisecond}},
 					Limits: queue.Limits{MaxBodyBytes: 1 << 10},
 				}
 			},
-			Replica: replica.New(time.Minute, logging.Silent()),
+			Replica: replica.New(time.Minute, logging.Nop()),
 			Leaving: func() bool { return false },
 			Store:   refusingStore{},
-			Events:  logging.Silent(),
+			Logger:  logging.Nop(),
 		}
 		request := httptest.NewRequest(http.MethodPost, "/q/00000000000000ab", strings.NewReader("{}"))
 		request.Host = "h"
@@ -68,28 +68,28 @@
 
 // A machine that reaches nobody refuses at once, without a try that could be carried
 // out later: the client's next try may reach a machine elsewhere.
-func TestMachineThatIsCutOffRefusesAtOnce(t *testing.T) {
+func TestCutOffMachineRefusesImmediately(t *testing.T) {
 	store := &countingStore{}
 	cut := true
 	api := &API{
-		Forms: Forms{
+		Codec: Codec{
 			Remaining:   func(http.Header) (time.Duration, bool) { return 3 * time.Second, true },
 			EncodeError: func(string, time.Duration) ([]byte, error) { return []byte("{}"), nil },
 			DecodeJob: func([]byte) (*work.Job, error) {
 				return &work.Job{Steps: []work.Step{{TaskCount: 1, Estimate: time.Second}}}, nil
 			},
 		},
-		Table: func() *queue.Configuration {
+		CurrentConfig: func() *queue.Configuration {
 			return &queue.Configuration{
 				Queues: []queue.Queue{{Name: "q", Host: "h", PathPrefix: "/q/", Stretch: 1.5}},
 				Limits: queue.Limits{MaxBodyBytes: 1 << 10},
 			}
 		},
-		Replica: replica.New(time.Minute, logging.Silent()),
+		Replica: replica.New(time.Minute, logging.Nop()),
 		CutOff:  func() bool { return cut },
 		Leaving: func() bool { return false },
 		Store:   store,
-		Events:  logging.Silent(),
+		Logger:  logging.Nop(),
 	}
 	hand := func() *httptest.ResponseRecorder {
 		request := httptest.NewRequest(http.MethodPost, "/q/00000000000000ab", strings.NewReader("{}"))
--- a/internal/journal/config.go
+++ b/internal/journal/config.go
@@ -89,7 +89,7 @@
 		c.Now = time.Now
 	}
 	if c.Logger == nil {
-		c.Logger = logging.Silent()
+		c.Logger = logging.Nop()
 	}
 	return c
 }
--- a/internal/leader/elector_test.go
+++ b/internal/leader/elector_test.go
@@ -75,7 +75,7 @@
 			Log:    log,
 			Self:   Leader{Node: api.NodeID(rune('a' + i)), Incarnation: api.Incarnation(i + 1)},
 			Timing: DefaultTiming(),
-			Logger: logging.Silent(),
+			Logger: logging.Nop(),
 			Suitability: func() Suitability {
 				if time.Since(start) < time.Second {
 					return AssessSuitability(p, 0)
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -44,9 +44,9 @@
 	return log.WithFields(logrus.Fields{KeyNode: string(node), KeyDataCentre: string(dc)})
 }
 
-// Silent returns an entry whose events go nowhere, for parts that were given no
+// Nop returns an entry whose events go nowhere, for parts that were given no
 // log and for tests.
-func Silent() *logrus.Entry {
+func Nop() *logrus.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return logrus.NewEntry(log)
--- a/internal/logread/line.go
+++ b/internal/logread/line.go
@@ -20,12 +20,12 @@
 
 // Line is one line of a process.
 type Line struct {
-	Number  int       // in the input, from 1
-	At      time.Time // by the machine's clock
-	Node    string
-	Message string
-	Epoch   uint64 // of the leader that wrote it; 0: no leader did
-	fields  map[string]string
+	Number    int       // in the input, from 1
+	Timestamp time.Time // by the machine's clock
+	Node      string
+	Message   string
+	Epoch     uint64 // of the leader that wrote it; 0: no leader did
+	fields    map[string]string
 }
 
 // Field returns the value of a field; empty: it has none.
@@ -115,7 +115,7 @@
 	if err != nil || l.fields[keyMessage] == "" {
 		return nil
 	}
-	l.At, l.Node, l.Message = at, l.fields[logging.KeyNode], l.fields[keyMessage]
+	l.Timestamp, l.Node, l.Message = at, l.fields[logging.KeyNode], l.fields[keyMessage]
 	if epoch, err := strconv.ParseUint(l.fields[keyEpoch], 10, 64); err == nil {
 		l.Epoch = epoch
 	}
--- a/internal/logread/logread_test.go
+++ b/internal/logread/logread_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestLinesAreOrderedByCauseThoughClocksDiffer(t *testing.T) {
+func TestLinesAreOrderedDespiteClockSkew(t *testing.T) {
 	// n2's clock is 20 s behind, and n1's jumps back.
 	lines := mustRead(t, at(10, "n1", `msg="this process leads the cell" epoch=1`)+
 		at(12, "n1", `msg=first epoch=1`)+
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestStories(t *testing.T) {
+func TestTraceJob(t *testing.T) {
 	took := func(advised, started, ended int, state string) string {
 		return fmt.Sprintf(`msg="job ended" job=%s queue=q epoch=5 advised_ms=%d started_ms=%d ended_ms=%d state=%s`, jobA, advised, started, ended, state)
 	}
@@ -75,30 +75,30 @@
 		cause   Cause
 		decided int // number of the line; 0: none
 	}{
-		{"nothing", at(1, "n1", `msg="job ended" job=`+jobB), NotSeen, CauseUntold, 0},
-		{"in time", at(1, "n1", took(20, 40, 900, "completed")), Completed, CauseWork, 1},
-		{"waited for advice", at(9, "n1", took(7487, 7502, 9182, "completed")), Completed, CauseAdvice, 1},
-		{"waited for room", at(9, "n1", took(200, 7502, 9182, "completed")), Completed, CauseRoom, 1},
-		{"a new leader", at(3, "n2", `msg="this process begins to plan for the cell" epoch=5`) + at(9, "n2", took(6000, 6100, 8900, "completed")), Completed, CauseLeader, 1},
+		{"nothing", at(1, "n1", `msg="job ended" job=`+jobB), NotMentioned, CauseUnknown, 0},
+		{"in time", at(1, "n1", took(20, 40, 900, "completed")), Completed, CauseRunTime, 1},
+		{"waited for advice", at(9, "n1", took(7487, 7502, 9182, "completed")), Completed, CauseAdviceWait, 1},
+		{"waited for room", at(9, "n1", took(200, 7502, 9182, "completed")), Completed, CauseCapacityWait, 1},
+		{"a new leader", at(3, "n2", `msg="this process begins to plan for the cell" epoch=5`) + at(9, "n2", took(6000, 6100, 8900, "completed")), Completed, CauseNoLeader, 1},
 		{"taken over", at(3, "n2", `msg="this process begins to plan for the cell" epoch=5`) + at(9, "n2", took(-1, -1, 8900, "completed")), Completed, CauseTakeover, 1},
-		{"lost with an executor", at(3, "n1", `msg="executor is lost with its runs" epoch=5 lost="`+jobB+`.0.0.1/1:3 `+jobA+`.0.0.0/1:10"`) + at(9, "n1", took(20, 40, 8000, "completed")), Completed, CauseLost, 1},
-		{"attempts", at(9, "n1", took(20, 40, 900, "failed")), Failed, CauseAttempts, 1},
+		{"lost with an executor", at(3, "n1", `msg="executor is lost with its runs" epoch=5 lost="`+jobB+`.0.0.1/1:3 `+jobA+`.0.0.0/1:10"`) + at(9, "n1", took(20, 40, 8000, "completed")), Completed, CauseExecutorLost, 1},
+		{"attempts", at(9, "n1", took(20, 40, 900, "failed")), Failed, CauseMaxAttempts, 1},
 		{"crashes", at(8, "n1", `msg="job is given up: executors were lost under one of its tasks again and again" job=`+jobA+` task=`+jobA+`.0.0.0 epoch=5`) + at(9, "n1", took(20, 40, 9000, "failed")), Failed, CauseCrashes, 1},
-		{"cancelled", at(9, "n1", took(20, 40, 900, "cancelled")), Cancelled, CauseClient, 1},
+		{"cancelled", at(9, "n1", took(20, 40, 900, "cancelled")), Cancelled, CauseClientCancelled, 1},
 		{"refused thrice", at(1, "n1", `msg="request not confirmed" error="the store has been silent for a while" answered=503 job=`+jobA) + at(2, "n2", `msg="request not confirmed" error="the store has been silent for a while" answered=503 job=`+jobA), Refused, CauseStore, 2},
-		{"unknown, then done", at(1, "n1", `msg="request not confirmed" error="context deadline exceeded" answered=504 job=`+jobA) + at(9, "n1", took(20, 40, 900, "completed")), Completed, CauseWork, 2},
+		{"unknown, then done", at(1, "n1", `msg="request not confirmed" error="context deadline exceeded" answered=504 job=`+jobA) + at(9, "n1", took(20, 40, 900, "completed")), Completed, CauseRunTime, 2},
 		{"unknown", at(1, "n1", `msg="request not confirmed" error="context deadline exceeded" answered=504 job=`+jobA), Unknown, CauseStore, 1},
-		{"its client left", at(1, "n1", `msg="request not confirmed" error="context canceled" answered=504 job=`+jobA), Unknown, CauseLeft, 1},
+		{"its client left", at(1, "n1", `msg="request not confirmed" error="context canceled" answered=504 job=`+jobA), Unknown, CauseClientLeft, 1},
 		{"too much waits", at(1, "n1", `msg="job refused: too much waits" short_of=room job=`+jobA), Refused, CauseAdmission, 1},
-		{"full link", at(1, "n1", `msg="job refused: this machine's link is full" job=`+jobA), Refused, CauseLink, 1},
-		{"cut off", at(1, "n1", `msg="request refused: this machine is cut off" job=`+jobA), Refused, CauseCut, 1},
-		{"no such job", at(1, "n1", `msg="no such job" job=`+jobA), NotKnown, CauseUntold, 1},
+		{"full link", at(1, "n1", `msg="job refused: this machine's link is full" job=`+jobA), Refused, CauseLinkFull, 1},
+		{"cut off", at(1, "n1", `msg="request refused: this machine is cut off" job=`+jobA), Refused, CauseCutOff, 1},
+		{"no such job", at(1, "n1", `msg="no such job" job=`+jobA), NotFound, CauseUnknown, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := Tell(mustRead(t, c.lines).Ordered(), jobA)
+			s := TraceJob(mustRead(t, c.lines).Ordered(), jobA)
 			decided := 0
-			if s.Decided != nil {
-				decided = s.Decided.Number
+			if s.DecisiveEvent != nil {
+				decided = s.DecisiveEvent.Number
 			}
 			if s.Outcome != c.outcome || s.Cause != c.cause || decided != c.decided {
 				t.Errorf("%s: %s by line %d, want %s: %s by line %d", s.Outcome, s.Cause, decided, c.outcome, c.cause, c.decided)
@@ -112,14 +112,14 @@
 		at(2, "n1", `msg="job ended" queue=q epoch=5 advised_ms=1 started_ms=2 ended_ms=900 state=completed job=`+jobA)+
 		at(3, "n1", `msg="job ended" queue=q epoch=5 advised_ms=1 started_ms=2 ended_ms=900 state=completed job=`+jobB))
 	got := Tally(lines.Ordered())
-	want := []Count{{Queue: "q", Outcome: Completed, Cause: CauseLost, Jobs: 2}}
+	want := []Count{{Queue: "q", Outcome: Completed, Cause: CauseExecutorLost, Jobs: 2}}
 	if !slices.Equal(got, want) {
 		t.Errorf("tally %+v, want %+v", got, want)
 	}
 }
 
 // Whatever stands in the lines, a machine's own never change their order.
-func TestOrderKeepsEachMachinesOwn(t *testing.T) {
+func TestOrderPreservesEachMachinesLines(t *testing.T) {
 	const seeds = 200
 	for seed := range uint64(seeds) {
 		r := rand.New(rand.NewPCG(seed, 2))
@@ -152,6 +152,6 @@
 		}
 		events := lines.Ordered()
 		Tally(events)
-		Tell(events, jobA)
+		TraceJob(events, jobA)
 	})
 }
--- a/internal/logread/order.go
+++ b/internal/logread/order.go
@@ -23,7 +23,7 @@
 	began := make(map[uint64]time.Time)     // corrected, when a leader began, by epoch
 	events := make([]Event, 0, len(l.All))
 	for _, line := range l.leadersFirst() {
-		at := line.At.Add(shift[line.Node])
+		at := line.Timestamp.Add(shift[line.Node])
 		floor := last[line.Node]
 		if line.Epoch > 0 {
 			floor = later(floor, latestBefore(began, line.Epoch))
@@ -74,7 +74,7 @@
 	if a.Epoch > 0 && b.Epoch > 0 && a.Epoch != b.Epoch {
 		return a.Epoch < b.Epoch
 	}
-	return a.At.Before(b.At)
+	return a.Timestamp.Before(b.Timestamp)
 }
 
 // latestBefore returns when the last leader before an epoch began.
--- a/internal/logread/story.go
+++ b/internal/logread/story.go
@@ -29,14 +29,14 @@
 
 // Outcomes.
 const (
-	Completed Outcome = "completed"
-	Failed    Outcome = "failed"
-	Cancelled Outcome = "cancelled"
-	Refused   Outcome = "refused"   // its newest answer says that it never runs
-	Unknown   Outcome = "unknown"   // its newest answer says that it may run
-	Open      Outcome = "open"      // there are lines about it, none of which tells
-	NotKnown  Outcome = "not known" // clients were told that there is no such job
-	NotSeen   Outcome = "not seen"  // no line names it
+	Completed    Outcome = "completed"
+	Failed       Outcome = "failed"
+	Cancelled    Outcome = "cancelled"
+	Refused      Outcome = "refused"   // its newest answer says that it never runs
+	Unknown      Outcome = "unknown"   // its newest answer says that it may run
+	Undetermined Outcome = "open"      // there are lines about it, none of which tells
+	NotFound     Outcome = "not known" // clients were told that there is no such job
+	NotMentioned Outcome = "not seen"  // no line names it
 )
 
 // Cause is why a job was late or got nothing.
@@ -44,38 +44,38 @@
 
 // Causes.
 const (
-	CauseStore     Cause = "the store took nothing"
-	CauseLeader    Cause = "nobody planned for the cell"
-	CauseAdmission Cause = "too much waited"
-	CauseLink      Cause = "the leader's link was full"
-	CauseCut       Cause = "the machine was cut off"
-	CauseLost      Cause = "executors were lost with its runs"
-	CauseCrashes   Cause = "a task of it crashed its executors"
-	CauseAttempts  Cause = "a task failed as often as its queue allows"
-	CauseAdvice    Cause = "it waited for advice"
-	CauseRoom      Cause = "it waited for room"
-	CauseWork      Cause = "its own work"
-	CauseTakeover  Cause = "another leader took it over"
-	CauseClient    Cause = "its client cancelled it"
-	CauseLeft      Cause = "its client left"
-	CauseUntold    Cause = "the lines don't tell"
+	CauseStore           Cause = "the store took nothing"
+	CauseNoLeader        Cause = "nobody planned for the cell"
+	CauseAdmission       Cause = "too much waited"
+	CauseLinkFull        Cause = "the leader's link was full"
+	CauseCutOff          Cause = "the machine was cut off"
+	CauseExecutorLost    Cause = "executors were lost with its runs"
+	CauseCrashes         Cause = "a task of it crashed its executors"
+	CauseMaxAttempts     Cause = "a task failed as often as its queue allows"
+	CauseAdviceWait      Cause = "it waited for advice"
+	CauseCapacityWait    Cause = "it waited for room"
+	CauseRunTime         Cause = "its own work"
+	CauseTakeover        Cause = "another leader took it over"
+	CauseClientCancelled Cause = "its client cancelled it"
+	CauseClientLeft      Cause = "its client left"
+	CauseUnknown         Cause = "the lines don't tell"
 )
 
-// Story is what the lines tell of one job.
-type Story struct {
-	Job     string
-	Events  []Event // that name it, or that concern the whole cell meanwhile; of a store that takes nothing the first of each machine
-	Outcome Outcome
-	Cause   Cause
-	Decided *Event // the line that says so; nil: none does
-	Queue   string
+// JobTrace is what the lines tell of one job.
+type JobTrace struct {
+	Job           string
+	Events        []Event // that name it, or that concern the whole cell meanwhile; of a store that takes nothing the first of each machine
+	Outcome       Outcome
+	Cause         Cause
+	DecisiveEvent *Event // the line that says so; nil: none does
+	Queue         string
 	// Of a job that has ended, from its arrival; -1: not reached, or not told.
-	Advised, Started, Ended time.Duration
+	TimeToAdvice, TimeToStart, TimeToEnd time.Duration
 }
 
-// Tell tells the story of a job from the lines in their order.
-func Tell(events []Event, job string) Story {
-	s := Story{Job: job, Outcome: NotSeen, Cause: CauseUntold, Advised: -1, Started: -1, Ended: -1}
+// TraceJob tells the story of a job from the lines in their order.
+func TraceJob(events []Event, job string) JobTrace {
+	s := JobTrace{Job: job, Outcome: NotMentioned, Cause: CauseUnknown, TimeToAdvice: -1, TimeToStart: -1, TimeToEnd: -1}
 	var own []Event
 	for _, e := range events {
 		if e.mentions(job) {
@@ -103,8 +103,8 @@
 }
 
 // judge finds the line that decided the job's outcome.
-func (s *Story) judge(own []Event) {
-	s.Outcome = Open
+func (s *JobTrace) judge(own []Event) {
+	s.Outcome = Undetermined
 	for i := range own {
 		e := &own[i]
 		if queue := e.Field("queue"); queue != "" {
@@ -113,13 +113,13 @@
 		switch {
 		case e.Message == msgEnded:
 			s.ended(e)
-		case s.Ended >= 0: // what clients are told later changes nothing
-		case e.Message == msgNoSuchJob && s.Outcome == Open:
-			s.Outcome, s.Decided = NotKnown, e
+		case s.TimeToEnd >= 0: // what clients are told later changes nothing
+		case e.Message == msgNoSuchJob && s.Outcome == Undetermined:
+			s.Outcome, s.DecisiveEvent = NotFound, e
 		case strings.HasPrefix(e.Message, msgRefused), e.Message == msgCutOff:
-			s.Outcome, s.Decided = Refused, e
+			s.Outcome, s.DecisiveEvent = Refused, e
 		case e.Message == msgNotConfirmed:
-			s.Outcome, s.Decided = Refused, e
+			s.Outcome, s.DecisiveEvent = Refused, e
 			if e.Field("answered") == "504" {
 				s.Outcome = Unknown
 			}
@@ -127,7 +127,7 @@
 	}
 }
 
-func (s *Story) ended(e *Event) {
+func (s *JobTrace) ended(e *Event) {
 	switch e.Field("state") {
 	case "completed":
 		s.Outcome = Completed
@@ -138,8 +138,8 @@
 	default:
 		return
 	}
-	s.Decided = e
-	s.Advised, s.Started, s.Ended = milliseconds(e, "advised_ms"), milliseconds(e, "started_ms"), milliseconds(e, "ended_ms")
+	s.DecisiveEvent = e
+	s.TimeToAdvice, s.TimeToStart, s.TimeToEnd = milliseconds(e, "advised_ms"), milliseconds(e, "started_ms"), milliseconds(e, "ended_ms")
 }
 
 // milliseconds returns the value of a field; -1 if it has none.
@@ -152,10 +152,10 @@
 }
 
 // span returns from when to when the job was in the cell.
-func (s *Story) span(own []Event) (from, to time.Time) {
+func (s *JobTrace) span(own []Event) (from, to time.Time) {
 	from, to = own[0].Time, own[len(own)-1].Time
-	if s.Ended >= 0 {
-		if arrived := s.Decided.Time.Add(-s.Ended); arrived.Before(from) {
+	if s.TimeToEnd >= 0 {
+		if arrived := s.DecisiveEvent.Time.Add(-s.TimeToEnd); arrived.Before(from) {
 			from = arrived
 		}
 	}
@@ -173,19 +173,19 @@
 }
 
 // explain finds the cause of the outcome.
-func (s *Story) explain() {
+func (s *JobTrace) explain() {
 	switch s.Outcome {
 	case Refused, Unknown:
-		s.Cause = refusalCause(s.Decided)
+		s.Cause = refusalCause(s.DecisiveEvent)
 	case Cancelled:
-		s.Cause = CauseClient
+		s.Cause = CauseClientCancelled
 	case Failed:
-		s.Cause = CauseAttempts
+		s.Cause = CauseMaxAttempts
 		if e := s.find(msgGivenUp); e != nil {
-			s.Cause, s.Decided = CauseCrashes, e
+			s.Cause, s.DecisiveEvent = CauseCrashes, e
 		}
 	case Completed:
-		s.Cause, s.Decided = s.slowest()
+		s.Cause, s.DecisiveEvent = s.slowest()
 	}
 }
 
@@ -194,50 +194,50 @@
 	reason := e.Field("error") + e.Message
 	switch {
 	case e.Message == msgCutOff:
-		return CauseCut
+		return CauseCutOff
 	case strings.Contains(reason, "context canceled"):
-		return CauseLeft
+		return CauseClientLeft
 	case strings.Contains(reason, "link is full"):
-		return CauseLink
+		return CauseLinkFull
 	case strings.HasPrefix(e.Message, msgRefused), strings.Contains(reason, "too much waits"), strings.Contains(reason, "too late to be of use"):
 		return CauseAdmission
 	case strings.Contains(reason, "store"), strings.Contains(reason, "append"), strings.Contains(reason, "deadline exceeded"):
 		return CauseStore
 	default:
-		return CauseUntold
+		return CauseUnknown
 	}
 }
 
 // slowest returns what took most of a completed job's time, and the line that shows it.
-func (s *Story) slowest() (Cause, *Event) {
+func (s *JobTrace) slowest() (Cause, *Event) {
 	for _, lost := range []string{msgLost, msgLapsed} {
 		if e := s.find(lost); e != nil {
-			return CauseLost, e
+			return CauseExecutorLost, e
 		}
 	}
-	if s.Advised < 0 || s.Started < 0 { // this leader saw neither
+	if s.TimeToAdvice < 0 || s.TimeToStart < 0 { // this leader saw neither
 		if e := s.lastPlans(); e != nil {
 			return CauseTakeover, e
 		}
-		return CauseUntold, s.Decided
+		return CauseUnknown, s.DecisiveEvent
 	}
-	waits, room, work := s.Advised, s.Started-s.Advised, s.Ended-s.Started
+	waits, room, work := s.TimeToAdvice, s.TimeToStart-s.TimeToAdvice, s.TimeToEnd-s.TimeToStart
 	if e := s.gap(); e != nil && waits+room > work/2 {
-		return CauseLeader, e
+		return CauseNoLeader, e
 	}
 	switch max(waits, room, work) {
 	case work:
-		return CauseWork, s.Decided
+		return CauseRunTime, s.DecisiveEvent
 	case waits:
-		return CauseAdvice, s.Decided
+		return CauseAdviceWait, s.DecisiveEvent
 	default:
-		return CauseRoom, s.Decided
+		return CauseCapacityWait, s.DecisiveEvent
 	}
 }
 
 // gap returns the line with which planning began anew while the job waited, if any.
-func (s *Story) gap() *Event {
-	started := s.Decided.Time.Add(s.Started - s.Ended)
+func (s *JobTrace) gap() *Event {
+	started := s.DecisiveEvent.Time.Add(s.TimeToStart - s.TimeToEnd)
 	i := slices.IndexFunc(s.Events, func(e Event) bool { return e.Message == msgPlans && !e.Time.After(started) })
 	if i < 0 {
 		return nil
@@ -246,7 +246,7 @@
 }
 
 // lastPlans returns the newest line with which a leader began to plan, if any.
-func (s *Story) lastPlans() *Event {
+func (s *JobTrace) lastPlans() *Event {
 	for i := len(s.Events) - 1; i >= 0; i-- {
 		if s.Events[i].Message == msgPlans {
 			return &s.Events[i]
@@ -256,7 +256,7 @@
 }
 
 // find returns the first of the story's lines about the job with a message.
-func (s *Story) find(message string) *Event {
+func (s *JobTrace) find(message string) *Event {
 	for i := range s.Events {
 		if e := &s.Events[i]; e.Message == message && e.mentions(s.Job) {
 			return e
--- a/internal/logread/tally.go
+++ b/internal/logread/tally.go
@@ -33,7 +33,7 @@
 		slices.SortStableFunc(all, func(a, b Event) int {
 			return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.Number, b.Number))
 		})
-		s := Tell(all, job)
+		s := TraceJob(all, job)
 		counts[Count{Queue: s.Queue, Outcome: s.Outcome, Cause: s.Cause}]++
 	}
 	out := make([]Count, 0, len(counts))
--- a/internal/node/crash_test.go
+++ b/internal/node/crash_test.go
@@ -12,7 +12,7 @@
 // executors may crash under it, and two more starts may follow.
 const mostStarts = 5
 
-func TestJobThatCrashesItsExecutorsEndsAsFailedWhoeverLeads(t *testing.T) {
+func TestJobThatCrashesExecutorsFailsAcrossLeaders(t *testing.T) {
 	o := newOutside(t, 4)
 	first, second := o.start(t, "a"), o.start(t, "b")
 	first.awaitReady(t)
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestJobWaitsWhileNoExecutorHasRoomForIt(t *testing.T) {
+func TestJobWaitsForExecutorCapacity(t *testing.T) {
 	o := newOutside(t, 2)
 	for _, e := range o.executors {
 		e.Resize(500)
--- a/internal/node/ended_test.go
+++ b/internal/node/ended_test.go
@@ -21,7 +21,7 @@
 // that were restarted stayed unready that long, and after a loss of power the
 // cell did. The evidence: what a machine with a fast link took in until it was
 // ready, and how long the others took in what their link carries.
-func TestEndedJobsLeaveLittleToRead(t *testing.T) {
+func TestEndedJobsLeaveSmallRecords(t *testing.T) {
 	o := newOutside(t, 2)
 	a := o.start(t, "a")
 	a.awaitReady(t)
--- a/internal/node/fitness_test.go
+++ b/internal/node/fitness_test.go
@@ -31,9 +31,9 @@
 // The leader learns that a machine stops: it answers deliveries up to its end,
 // which keeps its last offer valid, and a leader with fewer processors would
 // hand over to it.
-func TestProcessThatStopsIsNoLongerFit(t *testing.T) {
+func TestStoppingProcessReportsZeroFitness(t *testing.T) {
 	o := &offers{}
-	server := peer.NewServer(peer.Limits{}, logging.Silent())
+	server := peer.NewServer(peer.Limits{}, logging.Nop())
 	if err := server.Register(assist.ServiceName, o); err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 	}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(server.Close)
-	n := New(&platform.Settings{Node: "a", PeerAddress: address(t), StoreAddress: address(t), Processors: 0.8}, logging.Silent())
+	n := New(&platform.Settings{Node: "a", PeerAddress: address(t), StoreAddress: address(t), Processors: 0.8}, logging.Nop())
 	n.elector.ObserveLeader(leader.Leader{Node: "b", Incarnation: 1, Address: listener.Addr().String(), Epoch: silentEpoch})
 	n.draining.Store(true)
 	n.attachOnce(context.Background())
--- a/internal/node/foreign_test.go
+++ b/internal/node/foreign_test.go
@@ -33,7 +33,7 @@
 // Records in the registry that other writers made name no executor, and keep
 // none of the others from being used. One of a service that comes with a later
 // configuration is used from then on.
-func TestRecordsOfOtherWritersInTheRegistry(t *testing.T) {
+func TestForeignRegistryRecordsAreIgnored(t *testing.T) {
 	v := &visited{ids: make(map[string]int)}
 	server := httptest.NewServer(v)
 	t.Cleanup(server.Close)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -169,19 +169,19 @@
 // api returns the handler of clients' requests.
 func (n *Node) api() http.Handler {
 	return &jobapi.API{
-		Forms: jobapi.Forms{
+		Codec: jobapi.Codec{
 			Remaining:     platform.RemainingTime,
 			DecodeJob:     platform.DecodeSubmission,
 			EncodeState:   platform.EncodeState,
 			EncodePending: platform.EncodePending,
 			EncodeError:   platform.EncodeError,
 		},
-		Table:   n.watch.Configuration,
-		Replica: n.replica,
-		Sync:    n.sync,
-		Store:   n.intake,
-		CutOff:  n.cutOff,
-		Leaving: n.draining.Load,
-		Events:  n.log,
+		CurrentConfig: n.watch.Configuration,
+		Replica:       n.replica,
+		Sync:          n.sync,
+		Store:         n.intake,
+		CutOff:        n.cutOff,
+		Leaving:       n.draining.Load,
+		Logger:        n.log,
 	}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -90,7 +90,7 @@
 		Grace: 2 * time.Second, JobStateRetention: time.Minute, DrainDelay: 2 * time.Second,
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	n := New(s, logging.Silent())
+	n := New(s, logging.Nop())
 	p := &process{node: n, settings: s, stop: stop, done: make(chan error, 1)}
 	go func() { p.done <- n.Run(ctx) }()
 	t.Cleanup(stop)
@@ -218,7 +218,7 @@
 	}
 }
 
-func TestOutageOfTheStore(t *testing.T) {
+func TestStoreOutage(t *testing.T) {
 	o := newOutside(t, 1)
 	a := o.start(t, "a")
 	a.awaitReady(t)
@@ -238,7 +238,7 @@
 	}
 }
 
-func TestAnswersOfTheStoreAreLost(t *testing.T) {
+func TestLostStoreAnswers(t *testing.T) {
 	o := newOutside(t, 2)
 	a := o.start(t, "a")
 	a.awaitReady(t)
@@ -256,7 +256,7 @@
 	}
 }
 
-func TestBadInputIsAnsweredClearly(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	o := newOutside(t, 1)
 	a := o.start(t, "a")
 	a.awaitReady(t)
@@ -289,7 +289,7 @@
 	}
 }
 
-func TestConfigurationNeverGoesBack(t *testing.T) {
+func TestConfigurationNeverReverts(t *testing.T) {
 	o := newOutside(t, 1)
 	a := o.start(t, "a")
 	a.awaitReady(t)
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -22,7 +22,7 @@
 // of another machine; those that were refused took it for silent.
 func TestLeaderServesAllMachinesOfALargeCell(t *testing.T) {
 	const machines = 600
-	server := peer.NewServer(peerLimits(), logging.Silent())
+	server := peer.NewServer(peerLimits(), logging.Nop())
 	if err := server.Register("Echo", echo{}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -38,13 +38,13 @@
 // this machine, which took the silent one's append to be under way still, waited for it
 // for 1.5 s, and told the client that nothing was known: 504 for a job that was stored
 // nowhere.
-func TestRecordsGoToTheNextLeader(t *testing.T) {
+func TestRecordsAreResentToTheNextLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		caller := &peers{stores: "next"}
 		n := &Node{
 			settings: &platform.Settings{PeerAddress: "self"},
-			elector:  leader.New(leader.Config{Logger: logging.Silent(), OnLost: func() {}}),
-			reader:   &replica.Reader{Replica: replica.New(time.Minute, logging.Silent()), Timing: replica.DefaultTiming()},
+			elector:  leader.New(leader.Config{Logger: logging.Nop(), OnLost: func() {}}),
+			reader:   &replica.Reader{Replica: replica.New(time.Minute, logging.Nop()), Timing: replica.DefaultTiming()},
 			caller:   caller,
 		}
 		lead := func(epoch api.Epoch, address string) {
--- a/internal/node/restart_test.go
+++ b/internal/node/restart_test.go
@@ -8,7 +8,7 @@
 	"github.com/skylarklock/skylarklock/platform/standin"
 )
 
-func TestTasksEndOnceWhereExecutorsStartAgainUnderTheirIDs(t *testing.T) {
+func TestTasksEndOnceWhenExecutorsReuseIDs(t *testing.T) {
 	o := newOutside(t, 3)
 	ends := standin.NewCompletionTracker()
 	for _, e := range o.executors {
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -8,7 +8,7 @@
 // The phases of a shutdown follow one another within the grace. With that of
 // the users' platform a client that waits 3 s is not cut short: not even one
 // whose request came with the last connection that was accepted.
-func TestShutdownFitsTheGrace(t *testing.T) {
+func TestShutdownPhasesFitTheGracePeriod(t *testing.T) {
 	const usualWait = 3 * time.Second
 	for _, grace := range []time.Duration{200 * time.Millisecond, 2 * time.Second, 6 * time.Second, time.Minute} {
 		s := &shutdown{grace: grace}
--- a/internal/node/standing_test.go
+++ b/internal/node/standing_test.go
@@ -25,9 +25,9 @@
 // A process that read the jobs once and has missed what was written for half a
 // minute has as much to read before it can plan as one that has just started,
 // and its renewals keep others from claiming as well.
-func TestProcessThatIsFarBehindDoesNotClaim(t *testing.T) {
+func TestLaggingProcessDoesNotClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := &Node{replica: replica.New(time.Minute, logging.Silent())}
+		n := &Node{replica: replica.New(time.Minute, logging.Nop())}
 		r := &replica.Reader{Replica: n.replica, Log: emptyLog{}, Timing: replica.DefaultTiming()}
 		if err := r.Restore(t.Context()); err != nil {
 			t.Fatal(err)
@@ -57,7 +57,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := &Node{
 			settings: &platform.Settings{Processors: 0.8},
-			replica:  replica.New(time.Minute, logging.Silent()),
+			replica:  replica.New(time.Minute, logging.Nop()),
 			watch:    &queue.Watcher{},
 			helpers:  assist.NewPeers("a", nil, nil),
 		}
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -25,7 +25,7 @@
 // evidence: 18 of 81 processes were cut off, all of them 4.50 to 4.54
 // s after the signal and no other; what else they answered at that time were
 // looks at jobs that waited for a delivery or for the leader.
-func TestWhatWasReadIsAnsweredBeforeTheEnd(t *testing.T) {
+func TestReadRequestsAreAnsweredBeforeExit(t *testing.T) {
 	t.Run("a look that waits for the leader", testLookThatWaits)
 }
 
@@ -54,7 +54,7 @@
 // lead has a process believe in the silent leader.
 func (l *silentLeader) lead(t *testing.T, p *process) {
 	t.Helper()
-	server := peer.NewServer(peer.Limits{}, logging.Silent())
+	server := peer.NewServer(peer.Limits{}, logging.Nop())
 	if err := server.Register(assist.ServiceName, l); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/succession_test.go
+++ b/internal/node/succession_test.go
@@ -34,7 +34,7 @@
 }
 
 // Machines begin one after the other, and each in another order the next time.
-func TestSuccessionIsSpread(t *testing.T) {
+func TestSuccessionHasJitter(t *testing.T) {
 	began := make(map[time.Duration]bool)
 	s := succession{processors: 0.8}
 	for range 50 {
--- a/internal/node/unread_test.go
+++ b/internal/node/unread_test.go
@@ -12,9 +12,9 @@
 
 // A look at a job at a process that still reads the jobs is refused while its
 // client has time to look elsewhere.
-func TestLookAtAnUnreadProcessIsRefusedSoon(t *testing.T) {
+func TestUnsyncedProcessRefusesStatusRequestsEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := &Node{replica: replica.New(time.Minute, logging.Silent())}
+		n := &Node{replica: replica.New(time.Minute, logging.Nop())}
 		n.reader = &replica.Reader{Replica: n.replica, Log: emptyLog{}, Timing: replica.DefaultTiming()}
 		client, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
--- a/internal/plan/bench_test.go
+++ b/internal/plan/bench_test.go
@@ -32,7 +32,7 @@
 func newBusyCell(executors int) (*Cell, time.Time) {
 	random := rand.New(rand.NewPCG(1, 2))
 	now := testStart
-	c := NewCell(DefaultConfig(), func(work.ID) *work.Job { return nil }, logging.Silent(), now.Add(-time.Minute))
+	c := NewCell(DefaultConfig(), func(work.ID) *work.Job { return nil }, logging.Nop(), now.Add(-time.Minute))
 	c.Configure(benchQueueConfig())
 	registry := make(map[string]*fleet.Executor)
 	for i := range executors {
--- a/internal/plan/harness_test.go
+++ b/internal/plan/harness_test.go
@@ -68,7 +68,7 @@
 	env.epoch++
 	cfg := DefaultConfig()
 	cfg.Epoch = env.epoch
-	env.cell = NewCell(cfg, lookup, logging.Silent(), env.now)
+	env.cell = NewCell(cfg, lookup, logging.Nop(), env.now)
 	env.cell.Configure(testQueueConfig())
 	for id, j := range env.submittedJobs {
 		if p := env.savedProgress[id]; p == nil || !p.State.Final() {
--- a/internal/replica/content_test.go
+++ b/internal/replica/content_test.go
@@ -18,7 +18,7 @@
 	id, other := work.ID{1}, work.ID{2}
 	running := []work.Summary{{ID: id, Queue: "q", State: work.Running}}
 	Convey("Given a replica that has read everything", t, func() {
-		r := New(time.Minute, logging.Silent())
+		r := New(time.Minute, logging.Nop())
 		r.completeRestore(0)
 		r.apply([]platform.Record{jobRecord(0, &work.Job{ID: id, Queue: "q"})}, 1, now)
 
@@ -125,7 +125,7 @@
 func TestSummaryUpdates(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	id := work.ID{1}
-	r := New(time.Minute, logging.Silent())
+	r := New(time.Minute, logging.Nop())
 	var updates []SummaryUpdate
 	r.SetPublisher(func(a AppliedBatch) { updates = append(updates, a.Updates...) })
 	outcome, err := work.EncodeOutcome(&work.Outcome{State: work.Completed, Queue: "q"})
--- a/internal/replica/moving_end_test.go
+++ b/internal/replica/moving_end_test.go
@@ -28,7 +28,7 @@
 // written while it waits, because a machine with a slow link may never reach the latter.
 func TestSyncEndsWherePartitionEndedAtCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &Reader{Replica: New(time.Minute, logging.Silent()), Log: movingLog{}, Timing: DefaultTiming()}
+		f := &Reader{Replica: New(time.Minute, logging.Nop()), Log: movingLog{}, Timing: DefaultTiming()}
 		f.Replica.completeRestore(0)
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
--- a/internal/replica/outcome_during_restore_test.go
+++ b/internal/replica/outcome_during_restore_test.go
@@ -17,7 +17,7 @@
 func TestJobReplacedByOutcomeDuringRestoreStaysKnown(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	id := work.ID{1}
-	leader, machine := New(time.Minute, logging.Silent()), New(time.Minute, logging.Silent())
+	leader, machine := New(time.Minute, logging.Nop()), New(time.Minute, logging.Nop())
 	leader.completeRestore(0)
 	machine.completeRestore(0)
 	leader.SetPublisher(func(a AppliedBatch) {
--- a/internal/replica/read_timeout_test.go
+++ b/internal/replica/read_timeout_test.go
@@ -38,7 +38,7 @@
 func TestReadTimeoutStaysWhileReadsAreSlow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &batchLog{batches: 20, takes: 1300 * time.Millisecond}
-		f := &Reader{Replica: New(time.Minute, logging.Silent()), Log: l, Timing: DefaultTiming(), Leads: func() bool { return false }}
+		f := &Reader{Replica: New(time.Minute, logging.Nop()), Log: l, Timing: DefaultTiming(), Leads: func() bool { return false }}
 		f.Replica.completeRestore(0)
 		for f.Replica.Position() < l.batches {
 			_ = f.read(t.Context(), 0)
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -27,7 +27,7 @@
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	id := work.ID{1}
 	Convey("Given a replica with a listener", t, func() {
-		r := New(time.Minute, logging.Silent())
+		r := New(time.Minute, logging.Nop())
 		var seen []Change
 		r.SetListener(func(changes []Change) { seen = append(seen, changes...) })
 		first := &work.Job{ID: id, Queue: "q", Specification: "first"}
@@ -101,7 +101,7 @@
 // growing lag.
 func TestLag(t *testing.T) {
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
-	r := New(time.Minute, logging.Silent())
+	r := New(time.Minute, logging.Nop())
 	r.completeRestore(0)
 	r.MarkCurrent(start)
 	reader := &Reader{Replica: r, Timing: DefaultTiming()}
--- a/internal/replica/restore_test.go
+++ b/internal/replica/restore_test.go
@@ -90,7 +90,7 @@
 
 func newReader(s *keyedStore) *Reader {
 	return &Reader{
-		Replica: New(time.Minute, logging.Silent()),
+		Replica: New(time.Minute, logging.Nop()),
 		Log:     s,
 		Timing:  DefaultTiming(),
 		Leads:   func() bool { return false },
--- a/internal/replica/sync_test.go
+++ b/internal/replica/sync_test.go
@@ -67,7 +67,7 @@
 		)
 		log := &slowLog{pages: pages, takes: takes}
 		f := &Reader{
-			Replica: New(time.Minute, logging.Silent()),
+			Replica: New(time.Minute, logging.Nop()),
 			Log:     log,
 			Timing:  DefaultTiming(),
 			Leads:   func() bool { return false },
--- a/internal/router/contact.go
+++ b/internal/router/contact.go
@@ -27,7 +27,7 @@
 }
 
 // Contacts returns when each endpoint last answered and was last tried in
-// vain, as directory.View.Observe takes it.
+// vain, as directory.View.ApplyContacts takes it.
 func (r *Router) Contacts() []directory.Contact {
 	var contacts []directory.Contact
 	for _, s := range r.allShards() {
