--- a/internal/node/attach.go
+++ b/internal/node/attach.go
@@ -9,34 +9,34 @@
 	"github.com/skylarklock/skylarklock/internal/assist"
 )
 
-// Timing of the ties between a machine and the leader.
+// Timing of the attachment of a machine to the leader.
 const (
-	// attachEvery is the time between two offers of help to the leader.
-	attachEvery = time.Second
-	// tieLook is how often a machine looks whether the leader still delivers.
-	tieLook = 50 * time.Millisecond
-	// attachTimeout bounds an offer, which takes a few milliseconds, and attachLeast
-	// that to a leader that was quick so far.
-	attachTimeout = 300 * time.Millisecond
-	attachLeast   = 150 * time.Millisecond
+	// attachInterval is the time between two attachment calls to the leader.
+	attachInterval = time.Second
+	// leaderCheckInterval is how often a machine checks that the leader still delivers.
+	leaderCheckInterval = 50 * time.Millisecond
+	// maxAttachTimeout and minAttachTimeout bound the timeout of an attachment call,
+	// which takes a few milliseconds. A leader that has delivered promptly so far
+	// gets a shorter timeout.
+	maxAttachTimeout = 300 * time.Millisecond
+	minAttachTimeout = 150 * time.Millisecond
 )
 
-// attach offers this machine's help to the leader now and then, and at once
-// when nothing comes from it any more. A leader that doesn't answer then is
-// suspected.
+// attach attaches this machine to the leader at intervals, and immediately when
+// deliveries are overdue. A leader that doesn't answer the call is suspected.
 func (n *Node) attach(ctx context.Context) error {
-	ticker := time.NewTicker(tieLook)
+	ticker := time.NewTicker(leaderCheckInterval)
 	defer ticker.Stop()
-	var offered time.Time
-	alone := succession{processors: n.settings.Processors}
+	var lastAttach time.Time
+	takeover := succession{processors: n.settings.Processors}
 	for {
 		now := time.Now()
-		if silence, released := n.elector.SinceContact(now); alone.due(n.reader.ReceivesDeliveries(now), silence, released) {
-			n.replica.KeepContent() // nobody has claimed the cell who could have at once
+		if sinceContact, released := n.elector.SinceContact(now); takeover.due(n.reader.ReceivesDeliveries(now), sinceContact, released) {
+			n.replica.KeepContent() // no standby, which could claim immediately, has claimed the cell
 		}
-		if now.Sub(offered) >= attachEvery || (n.epoch.Load() == 0 && n.reader.DeliveryOverdue(now)) {
+		if now.Sub(lastAttach) >= attachInterval || (n.epoch.Load() == 0 && n.reader.DeliveryOverdue(now)) {
 			n.attachOnce(ctx)
-			offered = now
+			lastAttach = now
 		}
 		select {
 		case <-ctx.Done():
@@ -46,20 +46,22 @@
 	}
 }
 
+// attachOnce attaches to the current leader and passes the result to the elector.
 func (n *Node) attachOnce(ctx context.Context) {
 	current := n.elector.Current()
 	if current.Epoch == 0 || current.Address == n.settings.PeerAddress {
 		return
 	}
-	// A machine that stops tells so by its fitness: it answers deliveries up
-	// to its end, which would keep its last offer to lead valid.
-	ctx, cancel := context.WithTimeout(ctx, min(max(attachLeast, n.reader.DeliveryTimeout()/2), attachTimeout))
+	// The call is also made while stopping, to report a fitness of 0: this machine
+	// answers deliveries until it exits, which would keep its last reported fitness
+	// valid.
+	ctx, cancel := context.WithTimeout(ctx, min(max(minAttachTimeout, n.reader.DeliveryTimeout()/2), maxAttachTimeout))
 	defer cancel()
-	offer := assist.Attachment{
+	attachment := assist.Attachment{
 		Node: n.settings.Node, Address: n.settings.PeerAddress, DataCentre: n.settings.DataCentre,
 		Fitness: n.fitness(), HasContent: n.replica.HasContent(),
 	}
-	epoch, err := assist.Attach(ctx, n.caller, current.Address, offer)
+	epoch, err := assist.Attach(ctx, n.caller, current.Address, attachment)
 	switch {
 	case err != nil:
 		n.log.WithError(err).WithField("leader", current.Node).Debug("leader gives no answer")
--- a/internal/node/ended_test.go
+++ b/internal/node/ended_test.go
@@ -8,22 +8,22 @@
 	"testing"
 	"time"
 
-	product "github.com/skylarklock/skylarklock/internal/platform"
+	platformapi "github.com/skylarklock/skylarklock/internal/platform"
 	"github.com/skylarklock/skylarklock/platform"
 )
 
-// endedBytes is what an ended job may leave in the store for a process that
-// starts: its key, its state and its queue, with some room.
-const endedBytes = 60
+// maxEndedJobBytes bounds what an ended job may leave in the store for a starting
+// process to read: its key, state and queue, with some margin.
+const maxEndedJobBytes = 60
 
-// What a process reads when it starts grew with every job that was ever
-// accepted: after 110 s of traffic 8.9 MB, 13 s on a link of 10 Mbit/s. Machines
-// that were restarted stayed unready that long, and after a loss of power the
-// cell did. The evidence: what a machine with a fast link took in until it was
-// ready, and how long the others took in what their link carries.
+// Guards against start-up reads that grow with every job ever accepted. After 110 s of
+// traffic they were 8.9 MB, which take 13 s on a link of 10 Mbit/s. Restarted machines
+// were not ready for that long, and after a power loss neither was the whole cell. It
+// was seen in the bytes that a machine with a fast link received until it was ready,
+// and in how long the other machines received at the full rate of their links.
 func TestEndedJobsLeaveSmallRecords(t *testing.T) {
-	o := newOutside(t, 2)
-	a := o.start(t, "a")
+	env := newTestEnv(t, 2)
+	a := env.start(t, "a")
 	a.awaitReady(t)
 	const jobs = 20
 	id := func(i int) string { return fmt.Sprintf("00000000000001%02x", i) }
@@ -34,33 +34,33 @@
 	for i := range jobs {
 		a.awaitState(t, id(i), "completed")
 	}
-	client := platform.NewStoreClient(o.store.Address(), nil)
+	client := platform.NewStoreClient(env.store.Address(), nil)
 	defer client.Close()
 	var size int
-	eventually(t, "ended jobs leave little", func() bool {
+	eventually(t, "ended jobs leave only small records", func() bool {
 		size = 0
-		_, err := product.ReadNewest(context.Background(), client, product.Partition{Topic: topicJobs, Keyed: true}, product.PageTimeout{Initial: time.Second}, func(records []product.Record) {
+		_, err := platformapi.ReadNewest(context.Background(), client, platformapi.Partition{Topic: topicJobs, Keyed: true}, platformapi.PageTimeout{Initial: time.Second}, func(records []platformapi.Record) {
 			for _, r := range records {
 				size += r.Size()
 			}
 		}, nil)
-		return err == nil && size <= jobs*endedBytes
+		return err == nil && size <= jobs*maxEndedJobBytes
 	})
-	b := o.start(t, "b") // reads only what is left
+	b := env.start(t, "b") // reads only the small records
 	b.awaitReady(t)
 	for i := range jobs {
 		b.awaitState(t, id(i), "completed")
-		if status, _ := b.ask(t, http.MethodDelete, "/q/"+id(i), ""); status != http.StatusOK {
-			t.Errorf("the cancel of an ended job is answered %d", status)
+		if status, _ := b.request(t, http.MethodDelete, "/q/"+id(i), ""); status != http.StatusOK {
+			t.Errorf("cancellation of an ended job: answered %d, want 200", status)
 		}
 	}
-	before := len(o.starts())
-	b.submit(t, id(0), specification, 2) // a late repeat of the first submission
+	before := len(env.starts())
+	b.submit(t, id(0), specification, 2) // late repetition of the first submission
 	b.awaitState(t, id(0), "completed")
-	if after := o.starts(); len(after) != before || after[id(0)+".0.0.0"] != 1 {
+	if after := env.starts(); len(after) != before || after[id(0)+".0.0.0"] != 1 {
 		t.Errorf("an ended job ran again: %v", after)
 	}
-	if status, _ := b.ask(t, http.MethodGet, "/q/00000000000001ff", ""); status != http.StatusGone {
-		t.Errorf("a job that nobody submitted is answered %d", status)
+	if status, _ := b.request(t, http.MethodGet, "/q/00000000000001ff", ""); status != http.StatusGone {
+		t.Errorf("state of a job that was never submitted: answered %d, want 410", status)
 	}
 }
--- a/internal/node/fitness_test.go
+++ b/internal/node/fitness_test.go
@@ -13,28 +13,28 @@
 	"github.com/skylarklock/skylarklock/platform"
 )
 
-// offers notes with what fitness a process offers its help.
-type offers struct {
+// attachRecorder records the fitness that a process reports when it attaches.
+type attachRecorder struct {
 	mu      sync.Mutex
 	fitness []float64
 }
 
-// Attach answers like assist.Handler.Attach.
-func (o *offers) Attach(a *assist.Attachment, reply *assist.AttachAnswer) error {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.fitness = append(o.fitness, a.Fitness)
-	reply.Epoch = silentEpoch
+// Attach implements the method of assist.Handler.
+func (r *attachRecorder) Attach(a *assist.Attachment, reply *assist.AttachAnswer) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.fitness = append(r.fitness, a.Fitness)
+	reply.Epoch = stalledLeaderEpoch
 	return nil
 }
 
-// The leader learns that a machine stops: it answers deliveries up to its end,
-// which keeps its last offer valid, and a leader with fewer processors would
-// hand over to it.
+// A stopping machine reports a fitness of 0 to the leader. It answers deliveries until
+// it exits, which keeps its last reported fitness valid, and a leader with fewer
+// processors would hand leadership over to it.
 func TestStoppingProcessReportsZeroFitness(t *testing.T) {
-	o := &offers{}
+	r := &attachRecorder{}
 	server := peer.NewServer(peer.Limits{}, logging.Nop())
-	if err := server.Register(assist.ServiceName, o); err != nil {
+	if err := server.Register(assist.ServiceName, r); err != nil {
 		t.Fatal(err)
 	}
 	listener, err := net.Listen("tcp", address(t))
@@ -44,12 +44,12 @@
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(server.Close)
 	n := New(&platform.Settings{Node: "a", PeerAddress: address(t), StoreAddress: address(t), Processors: 0.8}, logging.Nop())
-	n.elector.ObserveLeader(leader.Leader{Node: "b", Incarnation: 1, Address: listener.Addr().String(), Epoch: silentEpoch})
+	n.elector.ObserveLeader(leader.Leader{Node: "b", Incarnation: 1, Address: listener.Addr().String(), Epoch: stalledLeaderEpoch})
 	n.draining.Store(true)
 	n.attachOnce(context.Background())
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if len(o.fitness) != 1 || o.fitness[0] != 0 {
-		t.Errorf("told the leader of fitness %v, want 0", o.fitness)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.fitness) != 1 || r.fitness[0] != 0 {
+		t.Errorf("reported fitness %v to the leader, want one report of 0", r.fitness)
 	}
 }
--- a/internal/node/followers_test.go
+++ b/internal/node/followers_test.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// Of seven processes one leads and three keep all content with it; the others know
-// states only. They answer for every job, and when the four are gone, one of them
-// reads what is needed and leads: everything is known, and what ran ends.
+// Of seven processes one leads, and three standbys keep all content as well; the others
+// hold job states only. These followers answer for every job. When the leader and its
+// standbys have stopped, one of the followers reads the content and leads: all jobs are
+// still known, and running jobs complete.
 func TestFollowersAnswerAndTakeOver(t *testing.T) {
-	o := newOutside(t, 2)
+	env := newTestEnv(t, 2)
 	var all []*process
 	for i := range 7 {
-		all = append(all, o.start(t, fmt.Sprintf("m%d", i)))
+		all = append(all, env.start(t, fmt.Sprintf("m%d", i)))
 	}
 	for _, p := range all {
 		p.awaitReady(t)
@@ -28,19 +29,19 @@
 		return out
 	}
 	eventually(t, "three processes keep no content", func() bool { return len(followers()) == 3 })
-	left := followers()
+	remaining := followers()
 
 	const ended, running, later = "00000000000000a1", "00000000000000a2", "00000000000000a3"
-	left[0].submit(t, ended, "20ms", 3)
-	left[1].submit(t, running, "8s", 4)
+	remaining[0].submit(t, ended, "20ms", 3)
+	remaining[1].submit(t, running, "8s", 4)
 	for _, p := range all {
 		p.awaitState(t, ended, "completed")
 		p.awaitState(t, running, "running")
 	}
-	for _, p := range left {
+	for _, p := range remaining {
 		e, _ := p.node.replica.Get([8]byte{7: 0xa2})
 		if e.Job != nil || e.Progress != nil {
-			t.Error("a process that keeps no content keeps that of a job")
+			t.Error("a process that keeps no content holds the content of a job")
 		}
 	}
 
@@ -50,26 +51,26 @@
 			p.stop()
 		}
 	}
-	eventually(t, "one of the others leads", func() bool {
-		for _, p := range left {
+	eventually(t, "one of the followers leads", func() bool {
+		for _, p := range remaining {
 			if p.node.epoch.Load() != 0 {
 				return true
 			}
 		}
 		return false
 	})
-	t.Logf("one of the others led after %v", time.Since(stopped))
-	left[0].submit(t, later, "20ms", 2)
-	for _, p := range left {
+	t.Logf("one of the followers led after %v", time.Since(stopped))
+	remaining[0].submit(t, later, "20ms", 2)
+	for _, p := range remaining {
 		p.awaitState(t, ended, "completed")
 		p.awaitState(t, later, "completed")
 		p.awaitState(t, running, "completed")
 	}
-	for task, n := range o.starts() {
-		// Runs that are at work are started again if their leases are over before
-		// a machine leads, which a busy test machine may bring about.
+	for task, n := range env.starts() {
+		// Running tasks are started again if their leases expire before a machine
+		// leads, which may happen on a busy test machine.
 		if n != 1 && !strings.HasPrefix(task, running) {
-			t.Errorf("task %s was started %d times", task, n)
+			t.Errorf("task %s was started %d times, want once", task, n)
 		}
 	}
 }
--- a/internal/node/leading.go
+++ b/internal/node/leading.go
@@ -11,41 +11,42 @@
 	"github.com/skylarklock/skylarklock/platform"
 )
 
-// gained begins to lead.
-func (n *Node) gained(epoch api.Epoch) {
-	n.lost()
+// startLeading ends any earlier leadership and hands the won epoch to lead.
+func (n *Node) startLeading(epoch api.Epoch) {
+	n.stopLeading()
 	n.epoch.Store(uint64(epoch))
 	select {
-	case <-n.leading: // a claim that was not taken up
+	case <-n.wonEpochs: // drops an earlier epoch that lead has not received
 	default:
 	}
-	n.leading <- epoch
+	n.wonEpochs <- epoch
 }
 
-// lost ends leading.
-func (n *Node) lost() {
+// stopLeading ends the leadership of this process.
+func (n *Node) stopLeading() {
 	n.epoch.Store(0)
-	if cancel := n.stopLead.Swap(nil); cancel != nil {
+	if cancel := n.cancelLead.Swap(nil); cancel != nil {
 		(*cancel)()
 	}
 }
 
-// lead runs the cell whenever this process is elected.
+// lead schedules the cell whenever this process is elected, until ctx ends.
 func (n *Node) lead(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case epoch := <-n.leading:
-			n.leadAs(ctx, epoch)
+		case epoch := <-n.wonEpochs:
+			n.leadEpoch(ctx, epoch)
 		}
 	}
 }
 
-func (n *Node) leadAs(ctx context.Context, epoch api.Epoch) {
+// leadEpoch runs the dispatcher in the given epoch until leadership ends.
+func (n *Node) leadEpoch(ctx context.Context, epoch api.Epoch) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	n.stopLead.Store(&cancel)
+	n.cancelLead.Store(&cancel)
 	if n.epoch.Load() != uint64(epoch) {
 		return
 	}
@@ -63,18 +64,18 @@
 		Executors:          executors,
 		Replica:            n.replica,
 		Reader:             n.reader,
-		Peers:              n.helpers,
+		Peers:              n.peers,
 		Caller:             n.caller,
-		BulkCaller:         n.bulk,
+		BulkCaller:         n.contentCaller,
 		LocalDataCentre:    n.settings.DataCentre,
 		LinkBytesPerSecond: n.settings.LinkBytesPerSecond,
 		LinkFull:           n.linkFull.Load,
-		Configuration:      n.table,
+		Configuration:      n.currentConfig,
 		CanRenewLeases:     n.elector.MayRenewLeases,
 		OnFenced:           n.elector.Wake,
 		CutOff:             n.cutOff,
 		LastRenewal:        n.elector.LastRenewal,
-		OnHigherEpoch:      n.heardOf,
+		OnHigherEpoch:      n.handleHigherEpoch,
 		LastAppendDuration: n.elector.LastAppendDuration(),
 		Logger:             n.log.WithField("epoch", epoch),
 	})
@@ -87,58 +88,61 @@
 	}
 }
 
-// farBehind is for how long a machine may have missed what was written before it
-// counts as one that has read nothing. A machine that follows the store or the leader
-// is behind for 1 s at most.
-const farBehind = 10 * time.Second
+// maxClaimLag is the replica lag above which a machine may not claim leadership, as if
+// it had read nothing. A machine that follows the store or the leader lags by 1 s at
+// most.
+const maxClaimLag = 10 * time.Second
 
-// standing compares this machine with those that are known, as a leader.
-func (n *Node) standing() leader.Suitability {
-	if !n.replica.Synced() || !n.replica.HasContent() || n.replica.Lag(time.Now()) > farBehind {
+// suitability rates this machine as a leader in comparison with the known machines.
+func (n *Node) suitability() leader.Suitability {
+	if !n.replica.Synced() || !n.replica.HasContent() || n.replica.Lag(time.Now()) > maxClaimLag {
 		return leader.Unsynced
 	}
-	if n.watch.Configuration() == nil { // nothing is known of the queues: how often to try, where, how late
+	if n.configWatcher.Configuration() == nil { // the queues' attempts, services and latency targets are unknown
 		return leader.Unsynced
 	}
-	return leader.AssessSuitability(n.settings.Processors, n.helpers.MaxFitness(time.Now()))
+	return leader.AssessSuitability(n.settings.Processors, n.peers.MaxFitness(time.Now()))
 }
 
-// fitness returns the processors with which this machine could lead now.
+// fitness returns the number of processors with which this machine could lead now,
+// or 0 if it can't lead.
 func (n *Node) fitness() float64 {
-	if n.draining.Load() || n.store.Down() || !n.replica.Synced() || n.watch.Configuration() == nil {
+	if n.draining.Load() || n.store.Down() || !n.replica.Synced() || n.configWatcher.Configuration() == nil {
 		return 0
 	}
 	if n.settings.Processors == 0 {
-		return processorsNotTold
+		return defaultProcessors
 	}
 	return n.settings.Processors
 }
 
-// processorsNotTold stands in for processors that the settings don't tell: 0 would
-// say that the machine couldn't lead, and no machine would be a standby.
-const processorsNotTold = 1
+// defaultProcessors is the fitness of a machine whose settings don't state its
+// processors. With 0 the machine would count as unable to lead, and no machine would
+// be a standby.
+const defaultProcessors = 1
 
-// inviteTimeout bounds an invitation: others find out by reading within about as long.
+// inviteTimeout bounds an invitation. Other machines learn of the step-down from the
+// store in about the same time.
 const inviteTimeout = 300 * time.Millisecond
 
-// invite asks the fittest standby to follow this process, which has stepped down.
-func (n *Node) invite(i leader.Invitation) {
-	to := n.helpers.Successor(time.Now())
-	if to.Address == "" {
+// inviteSuccessor asks the fittest standby to succeed this process, which has stepped down.
+func (n *Node) inviteSuccessor(i leader.Invitation) {
+	successor := n.peers.Successor(time.Now())
+	if successor.Address == "" {
 		return
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), inviteTimeout)
 		defer cancel()
-		if err := assist.Invite(ctx, n.caller, to.Address, i); err != nil {
-			n.log.WithError(err).WithField("machine", to.Node).Info("successor not invited; it reads that this process has stepped down")
+		if err := assist.Invite(ctx, n.caller, successor.Address, i); err != nil {
+			n.log.WithError(err).WithField("machine", successor.Node).Info("successor not invited; it reads that this process has stepped down")
 		}
 	}()
 }
 
-// heardOf ends leading when another machine has heard of a higher epoch.
-func (n *Node) heardOf(epoch api.Epoch) {
+// handleHigherEpoch ends leadership because another machine knows of a higher epoch.
+func (n *Node) handleHigherEpoch(epoch api.Epoch) {
 	n.log.WithField("higher_epoch", epoch).Warn("another machine has heard of a later leader")
 	n.elector.Wake()
-	n.lost()
+	n.stopLeading()
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
-// Package node puts together the process of one machine on the users'
-// platform: it answers clients, follows the store, takes part in the election
-// of the cell's leader, leads when elected, and helps the leader otherwise.
+// Package node assembles the process of one machine on the users' platform. The
+// process serves clients, follows the store, takes part in the election of the
+// cell's leader, schedules the cell when elected, and assists the leader otherwise.
 package node
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/skylarklock/skylarklock/internal/leader"
 	"github.com/skylarklock/skylarklock/internal/peer"
 	"github.com/skylarklock/skylarklock/internal/plan"
-	product "github.com/skylarklock/skylarklock/internal/platform"
+	platformapi "github.com/skylarklock/skylarklock/internal/platform"
 	"github.com/skylarklock/skylarklock/internal/queue"
 	"github.com/skylarklock/skylarklock/internal/replica"
 	"github.com/skylarklock/skylarklock/internal/storehealth"
@@ -32,59 +32,59 @@
 // cellNumber is the cell that this process belongs to.
 const cellNumber = 0
 
-// Topics of the store that the system keeps for itself. The number of a
+// Topics of the store that the system reserves for itself. The number of a
 // partition is that of its cell.
 const (
-	topicJobs   = "jobs"   // keyed: submissions, cancels, progress
+	topicJobs   = "jobs"   // keyed: submissions, cancellations, progress
 	topicLeader = "leader" // claims and renewals of leadership
 )
 
-// Node is one process.
+// Node is the process of one machine.
 type Node struct {
-	settings  *platform.Settings
-	self      leader.Leader // without an epoch
-	log       *logrus.Entry
-	traffic   *traffic.Account
-	store     *storehealth.Log
-	watch     *queue.Watcher
-	replica   *replica.Replica
-	reader    *replica.Reader
-	intake    *intake.Intake
-	elector   *leader.Elector
-	helpers   *assist.Peers
-	caller    assist.Caller
-	bulk      assist.Caller // content of records, on connections of its own
-	adviser   product.Adviser
-	executors *platform.ExecutorClient // for orders of the leader that go by this machine
-	leading   chan api.Epoch
-	epoch     atomic.Uint64 // that this process leads; 0: none
-	stopLead  atomic.Pointer[context.CancelFunc]
-	runner    atomic.Pointer[dispatch.Runner] // while this process leads
-	draining  atomic.Bool
-	linkFull  atomic.Bool // little more can be sent without delay
-	leaderCut atomic.Bool // the leader's newest delivery said that it is cut off
-	shutdown  shutdown
+	settings       *platform.Settings
+	self           leader.Leader // without an epoch
+	log            *logrus.Entry
+	traffic        *traffic.Account
+	store          *storehealth.Log
+	configWatcher  *queue.Watcher
+	replica        *replica.Replica
+	reader         *replica.Reader
+	intake         *intake.Intake
+	elector        *leader.Elector
+	peers          *assist.Peers
+	caller         assist.Caller
+	contentCaller  assist.Caller // for the content of records, on separate connections
+	adviser        platformapi.Adviser
+	relayExecutors *platform.ExecutorClient // for the leader's orders that this machine relays
+	wonEpochs      chan api.Epoch           // won in the election, to be led by lead
+	epoch          atomic.Uint64            // epoch in which this process leads; 0: it doesn't lead
+	cancelLead     atomic.Pointer[context.CancelFunc]
+	runner         atomic.Pointer[dispatch.Runner] // nil unless this process leads
+	draining       atomic.Bool
+	linkFull       atomic.Bool // the load of the link exceeds maxLinkLoad
+	leaderCutOff   atomic.Bool // the leader's newest delivery reported that it is cut off
+	shutdown       shutdown
 }
 
-// New returns a process that has opened nothing yet.
+// New returns a node that has not opened any listener or connection yet.
 func New(s *platform.Settings, log *logrus.Entry) *Node {
 	account := &traffic.Account{}
 	n := &Node{
-		settings:  s,
-		log:       log,
-		traffic:   account,
-		store:     storehealth.Watch(platform.NewStoreClient(s.StoreAddress, account)),
-		caller:    newCaller(account),
-		bulk:      newCaller(account),
-		executors: platform.NewExecutorClient(account),
-		leading:   make(chan api.Epoch, 1),
-		shutdown:  shutdown{grace: s.Grace},
+		settings:       s,
+		log:            log,
+		traffic:        account,
+		store:          storehealth.Watch(platform.NewStoreClient(s.StoreAddress, account)),
+		caller:         newCaller(account),
+		contentCaller:  newCaller(account),
+		relayExecutors: platform.NewExecutorClient(account),
+		wonEpochs:      make(chan api.Epoch, 1),
+		shutdown:       shutdown{gracePeriod: s.Grace},
 	}
 	if s.AdviceAddress != "" {
 		n.adviser = platform.NewAdviceClient(s.AdviceAddress, account)
 	}
-	jobs := product.Partition{Topic: topicJobs, Number: cellNumber, Keyed: true}
-	n.watch = &queue.Watcher{
+	jobs := platformapi.Partition{Topic: topicJobs, Number: cellNumber, Keyed: true}
+	n.configWatcher = &queue.Watcher{
 		Log:       n.store,
 		Partition: platform.OperatorPartition,
 		Key:       platform.ConfigurationKey,
@@ -100,24 +100,25 @@
 		Leads:     func() bool { return n.epoch.Load() != 0 },
 	}
 	n.intake = intake.New(intake.DefaultConfig(), n.store, jobs, n.relay, n.store.Down, n.replica.HasRequest, log)
-	n.helpers = assist.NewPeers(s.Node, n.adviser, n.caller)
+	n.peers = assist.NewPeers(s.Node, n.adviser, n.caller)
 	n.self = leader.Leader{Node: s.Node, Incarnation: api.Incarnation(rand.Uint64() | 1), Address: s.PeerAddress}
 	n.elector = leader.New(leader.Config{
-		// On connections of its own: a renewal never waits for a read of jobs.
+		// Separate connections, so that a renewal never waits for a read of jobs.
 		Log:         n.store.WithClient(platform.NewStoreClient(s.StoreAddress, account)),
-		Partition:   product.Partition{Topic: topicLeader, Number: cellNumber},
+		Partition:   platformapi.Partition{Topic: topicLeader, Number: cellNumber},
 		Self:        n.self,
 		Timing:      leader.DefaultTiming(),
 		Logger:      log,
-		Suitability: n.standing,
-		OnElected:   n.gained,
-		OnLost:      n.lost,
-		OnReleased:  n.invite,
+		Suitability: n.suitability,
+		OnElected:   n.startLeading,
+		OnLost:      n.stopLeading,
+		OnReleased:  n.inviteSuccessor,
 	})
 	return n
 }
 
-// newCaller returns a client of other machines whose bytes count in account.
+// newCaller returns a client for calls to other machines. Its bytes are counted in
+// account.
 func newCaller(account *traffic.Account) *peer.Client {
 	c := peer.NewClient(peerLimits(), nil)
 	c.CountTraffic(account)
@@ -125,8 +126,8 @@
 }
 
 // Run serves until ctx ends and then shuts down gracefully. The group's actors
-// are interrupted in the order in which they were added, the servers first: a
-// request that was read is answered by what the loops do.
+// are interrupted in the order in which they were added. The servers come first,
+// because they need the loops to answer requests that have been read.
 func (n *Node) Run(ctx context.Context) error {
 	n.log.WithFields(logrus.Fields{"front": n.settings.FrontAddress, "store": n.settings.StoreAddress}).Info("process started")
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
@@ -134,25 +135,27 @@
 	var g run.Group
 	n.addServers(&g)
 	loops := []func(context.Context) error{
-		n.watch.Run, n.reader.Run, n.intake.Run, n.elector.Run, n.lead, n.attach, n.reportTraffic, n.watchLoad,
+		n.configWatcher.Run, n.reader.Run, n.intake.Run, n.elector.Run, n.lead, n.attach, n.reportTraffic, n.monitorLinkLoad,
 	}
 	for _, loop := range loops {
 		g.Add(func() error { return loop(work) }, func(error) { stop() })
 	}
 	g.Add(func() error { return n.awaitShutdown(ctx, work) }, func(error) { stop() })
 	err := g.Run()
-	n.log.WithField("after_ms", time.Since(n.shutdown.begin()).Milliseconds()).Info("process stopped")
+	n.log.WithField("after_ms", time.Since(n.shutdown.start()).Milliseconds()).Info("process stopped")
 	return err
 }
 
-// table returns the configuration in force, or an empty one before the first.
-func (n *Node) table() *queue.Configuration {
-	if t := n.watch.Configuration(); t != nil {
-		return t
+// currentConfig returns the configuration in force, or an empty one if none has been
+// read yet.
+func (n *Node) currentConfig() *queue.Configuration {
+	if c := n.configWatcher.Configuration(); c != nil {
+		return c
 	}
 	return &queue.Configuration{}
 }
 
+// planConfig returns the planner's defaults, adjusted to the settings of this machine.
 func (n *Node) planConfig() plan.Config {
 	cfg := plan.DefaultConfig()
 	cfg.Lease = min(cfg.Lease, n.settings.MaxLease)
@@ -166,8 +169,8 @@
 	return cfg
 }
 
-// api returns the handler of clients' requests.
-func (n *Node) api() http.Handler {
+// handler returns the HTTP handler of clients' requests.
+func (n *Node) handler() http.Handler {
 	return &jobapi.API{
 		Codec: jobapi.Codec{
 			Remaining:     platform.RemainingTime,
@@ -176,7 +179,7 @@
 			EncodePending: platform.EncodePending,
 			EncodeError:   platform.EncodeError,
 		},
-		CurrentConfig: n.watch.Configuration,
+		CurrentConfig: n.configWatcher.Configuration,
 		Replica:       n.replica,
 		Sync:          n.sync,
 		Store:         n.intake,
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -16,35 +16,37 @@
 	"github.com/skylarklock/skylarklock/platform/standin"
 )
 
-// patience bounds how long a test waits for something that has to come; it
-// says nothing about speed.
-const patience = 30 * time.Second
+// waitTimeout bounds how long a test waits for an event that must happen. It isn't a
+// requirement on speed.
+const waitTimeout = 30 * time.Second
 
-// outside is the users' platform as stand-ins.
-type outside struct {
+// testEnv holds stand-ins of the users' platform: store, advice service, executors.
+type testEnv struct {
 	store     *standin.Store
 	advice    *standin.Advice
 	executors []*standin.Executor
 }
 
-func newOutside(t *testing.T, executors int) *outside {
+// newTestEnv starts the stand-ins with the given number of executors of service svc and
+// publishes a configuration with the queue /q/.
+func newTestEnv(t *testing.T, executors int) *testEnv {
 	t.Helper()
-	o := &outside{store: standin.NewStore(), advice: standin.NewAdvice()}
-	t.Cleanup(o.store.Server.CloseClientConnections)
+	env := &testEnv{store: standin.NewStore(), advice: standin.NewAdvice()}
+	t.Cleanup(env.store.Server.CloseClientConnections)
 	for i := range executors {
 		e := standin.NewExecutor(fmt.Sprintf("i-%d", i))
 		t.Cleanup(e.Server.CloseClientConnections)
-		e.Register(o.store, "svc")
-		o.executors = append(o.executors, e)
+		e.Register(env.store, "svc")
+		env.executors = append(env.executors, e)
 	}
-	o.store.Configure(1, "/q/")
-	return o
+	env.store.Configure(1, "/q/")
+	return env
 }
 
-// starts returns how often each task was started, over all executors.
-func (o *outside) starts() map[string]int {
+// starts returns how often each task was started, summed over all executors.
+func (env *testEnv) starts() map[string]int {
 	n := make(map[string]int)
-	for _, e := range o.executors {
+	for _, e := range env.executors {
 		for _, task := range e.Started() {
 			n[task]++
 		}
@@ -52,12 +54,13 @@
 	return n
 }
 
-// firstPort is below the range from which the kernel takes ports for
-// connections, so that none of these takes a listener's place.
+// firstPort is below the kernel's range of ephemeral ports, so that no outgoing
+// connection occupies the port of a listener.
 const firstPort = 20100
 
 var nextPort = firstPort
 
+// address returns a loopback address with a free port.
 func address(t *testing.T) string {
 	t.Helper()
 	for range 1000 {
@@ -72,7 +75,7 @@
 	return ""
 }
 
-// process is a node that runs.
+// process is a running node.
 type process struct {
 	node     *Node
 	settings *platform.Settings
@@ -80,12 +83,13 @@
 	done     chan error
 }
 
-func (o *outside) start(t *testing.T, name string) *process {
+// start runs a node of the given name until the test ends.
+func (env *testEnv) start(t *testing.T, name string) *process {
 	t.Helper()
 	s := &platform.Settings{
 		Node: api.NodeID(name), DataCentre: "z1",
 		FrontAddress: address(t), ReadinessAddress: address(t), PeerAddress: address(t),
-		StoreAddress: o.store.Address(), AdviceAddress: o.advice.Address(),
+		StoreAddress: env.store.Address(), AdviceAddress: env.advice.Address(),
 		MemoryBytes: 1 << 28, MaxLease: 10 * time.Second,
 		Grace: 2 * time.Second, JobStateRetention: time.Minute, DrainDelay: 2 * time.Second,
 	}
@@ -97,8 +101,8 @@
 	return p
 }
 
-// ask makes a client's request and returns status and body.
-func (p *process) ask(t *testing.T, method, path, body string) (int, string) {
+// request sends a client's request and returns the status and body of the answer.
+func (p *process) request(t *testing.T, method, path, body string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+p.settings.FrontAddress+path, strings.NewReader(body))
 	if err != nil {
@@ -117,17 +121,18 @@
 	return resp.StatusCode, string(data)
 }
 
-// eventually waits until check holds.
+// eventually waits until check returns true and fails the test after waitTimeout.
 func eventually(t *testing.T, what string, check func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if check() {
 			return
 		}
 	}
-	t.Fatalf("not within %v: %s", patience, what)
+	t.Fatalf("not within %v: %s", waitTimeout, what)
 }
 
+// awaitReady waits until the process passes its readiness check.
 func (p *process) awaitReady(t *testing.T) {
 	t.Helper()
 	eventually(t, "process is ready", func() bool {
@@ -140,77 +145,82 @@
 	})
 }
 
+// submit submits a job with one step until it is accepted.
 func (p *process) submit(t *testing.T, id, spec string, tasks int) {
 	t.Helper()
 	body := standin.Submission(spec, tasks)
 	eventually(t, "job is accepted", func() bool {
-		status, _ := p.ask(t, http.MethodPost, "/q/"+id, body)
+		status, _ := p.request(t, http.MethodPost, "/q/"+id, body)
 		return status == http.StatusOK
 	})
 }
 
+// awaitState waits until the process answers that the job is in the given state.
 func (p *process) awaitState(t *testing.T, id, state string) {
 	t.Helper()
 	eventually(t, "job "+id+" is "+state, func() bool {
-		status, body := p.ask(t, http.MethodGet, "/q/"+id, "")
+		status, body := p.request(t, http.MethodGet, "/q/"+id, "")
 		return status == http.StatusOK && body == `{"state":"`+state+`"}`
 	})
 }
 
+// A job that is submitted at two processes runs once, and both know its outcome.
 func TestJobRunsOnceAndIsKnownEverywhere(t *testing.T) {
-	o := newOutside(t, 2)
-	a, b := o.start(t, "a"), o.start(t, "b")
+	env := newTestEnv(t, 2)
+	a, b := env.start(t, "a"), env.start(t, "b")
 	a.awaitReady(t)
 	b.awaitReady(t)
 	const id = "00000000000000a1"
 	a.submit(t, id, "20ms", 5)
-	b.submit(t, id, "20ms", 5) // the same job once more
+	b.submit(t, id, "20ms", 5) // repeated submission of the same job
 	a.awaitState(t, id, "completed")
 	b.awaitState(t, id, "completed")
-	starts := o.starts()
+	starts := env.starts()
 	if len(starts) != 5 {
 		t.Fatalf("tasks started: %v", starts)
 	}
 	for task, n := range starts {
 		if n != 1 {
-			t.Errorf("task %s was started %d times", task, n)
+			t.Errorf("task %s was started %d times, want once", task, n)
 		}
 	}
 }
 
 func TestFailedAndCancelledJobs(t *testing.T) {
-	o := newOutside(t, 1)
-	a := o.start(t, "a")
+	env := newTestEnv(t, 1)
+	a := env.start(t, "a")
 	a.awaitReady(t)
 	a.submit(t, "00000000000000b1", "not a duration, so it fails", 1)
 	a.awaitState(t, "00000000000000b1", "failed")
-	if n := o.starts()["00000000000000b1.0.0.0"]; n != 2 {
-		t.Errorf("a task with two attempts was started %d times", n)
+	if n := env.starts()["00000000000000b1.0.0.0"]; n != 2 {
+		t.Errorf("a task with two attempts was started %d times, want 2", n)
 	}
 	a.submit(t, "00000000000000b2", "10m", 2)
 	a.awaitState(t, "00000000000000b2", "running")
-	if status, _ := a.ask(t, http.MethodDelete, "/q/00000000000000b2", ""); status != http.StatusOK {
-		t.Fatalf("cancel was answered %d", status)
+	if status, _ := a.request(t, http.MethodDelete, "/q/00000000000000b2", ""); status != http.StatusOK {
+		t.Fatalf("cancellation: answered %d, want 200", status)
 	}
 	a.awaitState(t, "00000000000000b2", "cancelled")
 }
 
+// A second process takes over from a leader that stops, without restarting its running
+// tasks.
 func TestLeaderIsReplacedAndNothingRunsTwice(t *testing.T) {
-	o := newOutside(t, 2)
-	first := o.start(t, "a")
+	env := newTestEnv(t, 2)
+	first := env.start(t, "a")
 	first.awaitReady(t)
 	const id = "00000000000000c1"
 	first.submit(t, id, "2s", 4)
-	eventually(t, "all tasks are started", func() bool { return len(o.starts()) == 4 })
-	second := o.start(t, "b")
+	eventually(t, "all tasks are started", func() bool { return len(env.starts()) == 4 })
+	second := env.start(t, "b")
 	second.awaitReady(t)
 	first.stop()
 	second.submit(t, "00000000000000c2", "20ms", 2)
 	second.awaitState(t, "00000000000000c2", "completed")
 	second.awaitState(t, id, "completed")
-	for task, n := range o.starts() {
+	for task, n := range env.starts() {
 		if n != 1 {
-			t.Errorf("task %s was started %d times", task, n)
+			t.Errorf("task %s was started %d times, want once", task, n)
 		}
 	}
 	if err := <-first.done; err != nil {
@@ -218,93 +228,98 @@
 	}
 }
 
+// During an outage of the store, jobs are refused and known states are answered. A
+// refused job never runs.
 func TestStoreOutage(t *testing.T) {
-	o := newOutside(t, 1)
-	a := o.start(t, "a")
+	env := newTestEnv(t, 1)
+	a := env.start(t, "a")
 	a.awaitReady(t)
 	a.submit(t, "00000000000000d1", "20ms", 1)
 	a.awaitState(t, "00000000000000d1", "completed")
-	o.store.SetFault(standin.FaultDown)
-	status, body := a.ask(t, http.MethodPost, "/q/00000000000000d2", `{"specification":"1ms","steps":[{"count":1}]}`)
+	env.store.SetFault(standin.FaultDown)
+	status, body := a.request(t, http.MethodPost, "/q/00000000000000d2", `{"specification":"1ms","steps":[{"count":1}]}`)
 	if status != http.StatusServiceUnavailable {
-		t.Fatalf("a job was answered %d %s without a store", status, body)
+		t.Fatalf("submission while the store is down: answered %d %s, want 503", status, body)
 	}
-	a.awaitState(t, "00000000000000d1", "completed") // what is known is told
-	o.store.SetFault(standin.FaultNone)
+	a.awaitState(t, "00000000000000d1", "completed") // known states are still answered
+	env.store.SetFault(standin.FaultNone)
 	a.submit(t, "00000000000000d3", "20ms", 1)
 	a.awaitState(t, "00000000000000d3", "completed")
-	if n := o.starts()["00000000000000d2.0.0.0"]; n != 0 {
-		t.Errorf("a job that was refused was started %d times", n)
+	if n := env.starts()["00000000000000d2.0.0.0"]; n != 0 {
+		t.Errorf("a task of a refused job was started %d times", n)
 	}
 }
 
+// Tasks run once although the store loses the answers to appends that took effect.
 func TestLostStoreAnswers(t *testing.T) {
-	o := newOutside(t, 2)
-	a := o.start(t, "a")
+	env := newTestEnv(t, 2)
+	a := env.start(t, "a")
 	a.awaitReady(t)
-	o.store.SetFault(standin.FaultLoseAnswers)
+	env.store.SetFault(standin.FaultLoseAnswers)
 	for i := range 5 {
 		a.submit(t, fmt.Sprintf("00000000000000e%d", i), "5ms", 2)
 	}
 	for i := range 5 {
 		a.awaitState(t, fmt.Sprintf("00000000000000e%d", i), "completed")
 	}
-	for task, n := range o.starts() {
+	for task, n := range env.starts() {
 		if n != 1 {
-			t.Errorf("task %s was started %d times", task, n)
+			t.Errorf("task %s was started %d times, want once", task, n)
 		}
 	}
 }
 
+// Invalid requests are answered with a status and reason that name the fault.
 func TestInvalidRequestsAreRejected(t *testing.T) {
-	o := newOutside(t, 1)
-	a := o.start(t, "a")
+	env := newTestEnv(t, 1)
+	a := env.start(t, "a")
 	a.awaitReady(t)
 	const id = "/q/00000000000000f1"
 	for _, c := range []struct {
 		name, method, path, body string
 		status                   int
-		says                     string
+		bodyContains             string
 	}{
-		{"no JSON", http.MethodPost, id, "{", http.StatusBadRequest, "JSON"},
+		{"invalid JSON", http.MethodPost, id, "{", http.StatusBadRequest, "JSON"},
 		{"no steps", http.MethodPost, id, `{"specification":"x"}`, http.StatusBadRequest, "steps"},
 		{"specification too long", http.MethodPost, id, `{"specification":"` + strings.Repeat("x", 4001) + `","steps":[{"count":1}]}`, http.StatusBadRequest, "specification"},
-		{"step waits for itself", http.MethodPost, id, `{"steps":[{"count":1,"after":[0]}]}`, http.StatusBadRequest, "after"},
-		{"step waits for a later one", http.MethodPost, id, `{"steps":[{"count":1,"after":[1]},{"count":1}]}`, http.StatusBadRequest, "after"},
+		{"step depends on itself", http.MethodPost, id, `{"steps":[{"count":1,"after":[0]}]}`, http.StatusBadRequest, "after"},
+		{"step depends on a later one", http.MethodPost, id, `{"steps":[{"count":1,"after":[1]},{"count":1}]}`, http.StatusBadRequest, "after"},
 		{"no tasks", http.MethodPost, id, `{"steps":[{"count":0}]}`, http.StatusBadRequest, "count"},
-		{"what isn't built", http.MethodPost, id, `{"steps":[{"count":1,"fills":true}]}`, http.StatusServiceUnavailable, "not supported"},
+		{"unsupported feature", http.MethodPost, id, `{"steps":[{"count":1,"fills":true}]}`, http.StatusServiceUnavailable, "not supported"},
 		{"body too large", http.MethodPost, id, `{"specification":"` + strings.Repeat("x", 100001) + `"}`, http.StatusRequestEntityTooLarge, "100000"},
-		{"bad id", http.MethodPost, "/q/xyz", `{"steps":[{"count":1}]}`, http.StatusBadRequest, "16 hexadecimal"},
+		{"invalid job ID", http.MethodPost, "/q/xyz", `{"steps":[{"count":1}]}`, http.StatusBadRequest, "16 hexadecimal"},
 		{"no such queue", http.MethodGet, "/other/", "", http.StatusNotFound, "no such queue"},
 		{"no such job", http.MethodGet, id, "", http.StatusGone, "no such job"},
-		{"other method", http.MethodPut, id, "", http.StatusMethodNotAllowed, "GET"},
+		{"unsupported method", http.MethodPut, id, "", http.StatusMethodNotAllowed, "GET"},
 	} {
-		status, body := a.ask(t, c.method, c.path, c.body)
-		if status != c.status || !strings.Contains(body, c.says) {
-			t.Errorf("%s: answered %d %s, want %d and %q", c.name, status, body, c.status, c.says)
+		status, body := a.request(t, c.method, c.path, c.body)
+		if status != c.status || !strings.Contains(body, c.bodyContains) {
+			t.Errorf("%s: answered %d %s, want %d and %q", c.name, status, body, c.status, c.bodyContains)
 		}
 	}
-	if n := len(o.starts()); n != 0 {
-		t.Errorf("%d tasks were started", n)
+	if n := len(env.starts()); n != 0 {
+		t.Errorf("%d tasks were started, want none", n)
 	}
 }
 
+// A configuration with an earlier version than the one in force is ignored.
 func TestConfigurationNeverReverts(t *testing.T) {
-	o := newOutside(t, 1)
-	a := o.start(t, "a")
+	env := newTestEnv(t, 1)
+	a := env.start(t, "a")
 	a.awaitReady(t)
-	o.store.Configure(5, "/new/")
-	eventually(t, "the new queue is there", func() bool {
-		status, _ := a.ask(t, http.MethodGet, "/new/", "")
+	env.store.Configure(5, "/new/")
+	eventually(t, "the new queue is in force", func() bool {
+		status, _ := a.request(t, http.MethodGet, "/new/", "")
 		return status == http.StatusOK
 	})
-	o.store.Configure(4, "/q/")
-	o.store.Configure(6, "/newest/")
+	env.store.Configure(4, "/q/")
+	env.store.Configure(6, "/newest/")
 	eventually(t, "a later version is in force", func() bool {
-		status, _ := a.ask(t, http.MethodGet, "/newest/", "")
+		status, _ := a.request(t, http.MethodGet, "/newest/", "")
 		return status == http.StatusOK
 	})
-	if status, _ := a.ask(t, http.MethodGet, "/q/", ""); status != http.StatusNotFound {
-		t.Errorf("a queue of an earlier version is answered %d", status)
+	if status, _ := a.request(t, http.MethodGet, "/q/", ""); status != http.StatusNotFound {
+		t.Errorf("a queue of an earlier version: answered %d, want 404", status)
 	}
 }
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -9,17 +9,18 @@
 	"github.com/skylarklock/skylarklock/internal/peer"
 )
 
-// echo answers calls.
+// echo is an RPC service for tests.
 type echo struct{}
 
-// Echo answers with what it was given.
+// Echo answers with its argument.
 func (echo) Echo(args *int, reply *int) error {
 	*reply = *args
 	return nil
 }
 
-// With 297 machines nearly nothing was served. A leader refused the 257th connection
-// of another machine; those that were refused took it for silent.
+// Guards against a connection limit that is too low for a large cell. With 297 machines
+// almost no request was served: the leader refused other machines' connections from the
+// 257th on, and the refused machines took it for unresponsive.
 func TestLeaderServesAllMachinesOfALargeCell(t *testing.T) {
 	const machines = 600
 	server := peer.NewServer(peerLimits(), logging.Nop())
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -8,11 +8,11 @@
 	"github.com/skylarklock/skylarklock/api"
 	"github.com/skylarklock/skylarklock/internal/assist"
 	"github.com/skylarklock/skylarklock/internal/intake"
-	product "github.com/skylarklock/skylarklock/internal/platform"
+	platformapi "github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// storer returns who stores records as the leader; nil unless this process
-// leads.
+// storer returns the component that stores records as the leader, or nil if this
+// process doesn't lead.
 func (n *Node) storer() assist.Storer {
 	if r := n.runner.Load(); r != nil {
 		return r
@@ -20,31 +20,31 @@
 	return nil
 }
 
-// mostLeaders is to how many leaders, one after the other, records are handed.
-const mostLeaders = 3
+// maxLeaderAttempts is the number of successive leaders to which records are sent.
+const maxLeaderAttempts = 3
 
-// relay hands records to the leader. If another one takes the cell before it has
-// answered, they are handed to that one: a record that is stored twice counts once, and a
-// leader that was replaced stores nothing more.
-func (n *Node) relay(ctx context.Context, records []product.Record) []error {
-	results, epoch := n.handOver(ctx, records)
-	for range mostLeaders - 1 {
-		if ctx.Err() != nil || !n.replaced(epoch) || !unanswered(results) {
+// relay sends records to the leader. If the leader is replaced before it has answered,
+// the records are sent to the next one. That is safe because a record that is stored
+// twice counts once, and a leader that was replaced stores nothing more.
+func (n *Node) relay(ctx context.Context, records []platformapi.Record) []error {
+	results, epoch := n.sendToLeader(ctx, records)
+	for range maxLeaderAttempts - 1 {
+		if ctx.Err() != nil || !n.hasNewerLeader(epoch) || !hasUnknownOutcome(results) {
 			break
 		}
-		results, epoch = n.handOver(ctx, records)
+		results, epoch = n.sendToLeader(ctx, records)
 	}
-	lives := n.storer() != nil || n.reader.ReceivesDeliveries(time.Now())
+	leaderActive := n.storer() != nil || n.reader.ReceivesDeliveries(time.Now())
 	errs := make([]error, len(results))
 	for i, r := range results {
-		errs[i] = relayError(r, lives)
+		errs[i] = relayError(r, leaderActive)
 	}
 	return errs
 }
 
-// handOver hands records to the leader that is known now, and returns what became of them
-// and the leader's epoch; 0: there is none.
-func (n *Node) handOver(ctx context.Context, records []product.Record) ([]assist.StoreResult, api.Epoch) {
+// sendToLeader sends records to the current leader. It returns their outcomes and the
+// leader's epoch, which is 0 if no leader is known.
+func (n *Node) sendToLeader(ctx context.Context, records []platformapi.Record) ([]assist.StoreResult, api.Epoch) {
 	if s := n.storer(); s != nil {
 		return s.Store(ctx, records), api.Epoch(n.epoch.Load())
 	}
@@ -52,29 +52,29 @@
 	if current.Epoch == 0 || current.Address == n.settings.PeerAddress {
 		return assist.UniformResults(assist.NotLeader, len(records)), 0
 	}
-	ctx, cancel := n.whileLeads(ctx, current.Epoch)
+	ctx, cancel := n.withActiveLeader(ctx, current.Epoch)
 	defer cancel()
 	return assist.Store(ctx, n.caller, current.Address, records), current.Epoch
 }
 
-// replaced reports whether a leader is known that came after that of an epoch.
-func (n *Node) replaced(epoch api.Epoch) bool {
+// hasNewerLeader reports whether the leader of an epoch is known to have been replaced.
+func (n *Node) hasNewerLeader(epoch api.Epoch) bool {
 	return epoch != 0 && n.elector.Current().Epoch > epoch
 }
 
-// unanswered reports whether it isn't known what became of the records.
-func unanswered(results []assist.StoreResult) bool {
+// hasUnknownOutcome reports whether the outcome of any record is unknown.
+func hasUnknownOutcome(results []assist.StoreResult) bool {
 	return slices.ContainsFunc(results, func(r assist.StoreResult) bool { return r.Outcome == assist.StoreUnknown })
 }
 
-// relayError returns what a result means to the intake, where the leader still
-// lives or not.
-func relayError(r assist.StoreResult, lives bool) error {
+// relayError translates a result for the intake. leaderActive states whether the leader
+// still leads or delivers.
+func relayError(r assist.StoreResult, leaderActive bool) error {
 	switch r.Outcome {
 	case assist.Stored:
 		return nil
 	case assist.NotStored:
-		if lives {
+		if leaderActive {
 			return intake.ErrStoreRefused
 		}
 		return intake.ErrNotStored
@@ -83,50 +83,51 @@
 	case assist.TooBusy:
 		return &intake.BusyError{RetryAfter: r.RetryAfter}
 	default:
-		if lives {
+		if leaderActive {
 			return intake.ErrInProgress
 		}
 		return intake.ErrUnknown
 	}
 }
 
-// whileLeads returns a context that ends with ctx or when the leader of the
-// epoch was replaced or delivers nothing any more: a call to it is worth
-// waiting for until then.
-func (n *Node) whileLeads(ctx context.Context, epoch api.Epoch) (context.Context, context.CancelFunc) {
+// withActiveLeader returns a context for a call to the leader of the epoch. It ends
+// with ctx, or when that leader has been replaced or no longer delivers, since its
+// answer is not worth waiting for then.
+func (n *Node) withActiveLeader(ctx context.Context, epoch api.Epoch) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
-	patient := time.Now().Add(relayPatience)
-	var look func()
-	look = func() {
+	graceEnd := time.Now().Add(relayGracePeriod)
+	var check func()
+	check = func() {
 		now := time.Now()
 		switch {
 		case ctx.Err() != nil:
-		case n.elector.Current().Epoch == epoch && (now.Before(patient) || n.reader.ReceivesDeliveries(now)):
-			time.AfterFunc(tieLook, look)
+		case n.elector.Current().Epoch == epoch && (now.Before(graceEnd) || n.reader.ReceivesDeliveries(now)):
+			time.AfterFunc(leaderCheckInterval, check)
 		default:
 			cancel()
 		}
 	}
-	time.AfterFunc(tieLook, look)
+	time.AfterFunc(leaderCheckInterval, check)
 	return ctx, cancel
 }
 
-// relayPatience is how long the leader may take with records before it is
-// looked whether it still delivers.
-const relayPatience = 500 * time.Millisecond
+// relayGracePeriod is how long the leader may take to store records before
+// withActiveLeader requires that it still delivers.
+const relayGracePeriod = 500 * time.Millisecond
 
-// syncLook is how often it is looked whether a delivery has come.
-const syncLook = 10 * time.Millisecond
+// syncPollInterval is how often sync checks whether a delivery has arrived.
+const syncPollInterval = 10 * time.Millisecond
 
-// unreadPatience is for how long a request waits at a process that still reads the
-// jobs, before its client is told to come back: retries reach other machines.
-const unreadPatience = time.Second
+// unsyncedTimeout is how long a request waits at a process that is still reading the
+// jobs before its client is told to retry. A retry may reach another machine.
+const unsyncedTimeout = time.Second
 
-// sync returns when the replica holds everything that the store held when it
-// was called. Without a store the leader is asked, which delivers it.
+// sync returns when the replica holds everything that the store held when sync was
+// called. If the store is unavailable, the leader is asked for the end of the
+// partition, and sync waits until the leader's deliveries have reached it.
 func (n *Node) sync(ctx context.Context) error {
 	if !n.replica.Synced() {
-		reading, cancel := context.WithTimeout(ctx, unreadPatience)
+		reading, cancel := context.WithTimeout(ctx, unsyncedTimeout)
 		defer cancel()
 		return n.reader.Sync(reading)
 	}
@@ -137,7 +138,7 @@
 	}
 	current := n.elector.Current()
 	if current.Epoch == 0 || current.Address == n.settings.PeerAddress {
-		return product.ErrUnavailable
+		return platformapi.ErrUnavailable
 	}
 	end, err := assist.Sync(ctx, n.caller, current.Address)
 	if err != nil {
@@ -147,7 +148,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(syncLook):
+		case <-time.After(syncPollInterval):
 		}
 	}
 	return nil
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -11,19 +11,20 @@
 	"github.com/skylarklock/skylarklock/internal/assist"
 	"github.com/skylarklock/skylarklock/internal/leader"
 	"github.com/skylarklock/skylarklock/internal/logging"
-	product "github.com/skylarklock/skylarklock/internal/platform"
+	platformapi "github.com/skylarklock/skylarklock/internal/platform"
 	"github.com/skylarklock/skylarklock/internal/replica"
 	"github.com/skylarklock/skylarklock/platform"
 )
 
-// peers answer calls at some addresses and none at others.
-type peers struct {
-	stores string // the address of the one that stores
-	stored atomic.Int32
+// fakePeers is a caller that reaches one address; calls to others time out.
+type fakePeers struct {
+	storeAddress string // address of the only machine that answers; it stores records
+	stored       atomic.Int32
 }
 
-func (p *peers) Call(ctx context.Context, address, _ string, args, reply any) error {
-	if address != p.stores {
+// Call implements assist.Caller.
+func (p *fakePeers) Call(ctx context.Context, address, _ string, args, reply any) error {
+	if address != p.storeAddress {
 		<-ctx.Done() // cut off
 		return ctx.Err()
 	}
@@ -34,13 +35,13 @@
 	return nil
 }
 
-// The leader was cut off with a job in hand. Another one led 0.3 s later and delivered to
-// this machine, which took the silent one's append to be under way still, waited for it
-// for 1.5 s, and told the client that nothing was known: 504 for a job that was stored
-// nowhere.
+// Guards against waiting for a leader that has been replaced. A leader was cut off while
+// it had a job to store. Another one led 0.3 s later and delivered to this machine, which
+// still took the append of the former leader to be in progress, waited 1.5 s for it and
+// answered the client 504 (outcome unknown) for a job that was stored nowhere.
 func TestRecordsAreResentToTheNextLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		caller := &peers{stores: "next"}
+		caller := &fakePeers{storeAddress: "next"}
 		n := &Node{
 			settings: &platform.Settings{PeerAddress: "self"},
 			elector:  leader.New(leader.Config{Logger: logging.Nop(), OnLost: func() {}}),
@@ -57,12 +58,12 @@
 			lead(9, "next")
 		}()
 		began := time.Now()
-		errs := n.relay(t.Context(), []product.Record{{Key: "k"}})
+		errs := n.relay(t.Context(), []platformapi.Record{{Key: "k"}})
 		if errs[0] != nil || caller.stored.Load() != 1 {
-			t.Errorf("%v, stored %d times", errs[0], caller.stored.Load())
+			t.Errorf("error %v, stored %d times, want no error and once", errs[0], caller.stored.Load())
 		}
 		if took := time.Since(began); took > 500*time.Millisecond {
-			t.Errorf("answered after %v", took)
+			t.Errorf("answered after %v, want 500ms at most", took)
 		}
 	})
 }
--- a/internal/node/restart_test.go
+++ b/internal/node/restart_test.go
@@ -8,15 +8,17 @@
 	"github.com/skylarklock/skylarklock/platform/standin"
 )
 
+// No task is started again after its end was acknowledged, although executors restart
+// under the same IDs and a process that may lead stops.
 func TestTasksEndOnceWhenExecutorsReuseIDs(t *testing.T) {
-	o := newOutside(t, 3)
+	env := newTestEnv(t, 3)
 	ends := standin.NewCompletionTracker()
-	for _, e := range o.executors {
+	for _, e := range env.executors {
 		e.Completions = ends
 		e.ReuseID()
-		e.Register(o.store, "svc")
+		e.Register(env.store, "svc")
 	}
-	first, second := o.start(t, "a"), o.start(t, "b")
+	first, second := env.start(t, "a"), env.start(t, "b")
 	first.awaitReady(t)
 	second.awaitReady(t)
 	var ids []string
@@ -25,7 +27,7 @@
 		ids = append(ids, id)
 		second.submit(t, id, "150ms", 4)
 		if n%4 == 3 {
-			o.executors[n/4%len(o.executors)].Restart()
+			env.executors[n/4%len(env.executors)].Restart()
 		}
 		if n == 16 {
 			first.stop() // it may have led
@@ -36,6 +38,6 @@
 		second.awaitState(t, id, "completed")
 	}
 	if again := ends.RestartedTasks(); len(again) > 0 {
-		t.Errorf("started again after they were acknowledged as done: %v", again)
+		t.Errorf("tasks started again after their end was acknowledged: %v", again)
 	}
 }
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -19,46 +19,46 @@
 	"github.com/skylarklock/skylarklock/platform"
 )
 
-// Limits of the clients' server, where no configuration names others.
+// Limits of the clients' server, which apply where the configuration sets none.
 const (
 	readHeaderTimeout = 3 * time.Second
-	readTimeout       = 5 * time.Second // of a whole request
+	readTimeout       = 5 * time.Second // for a whole request
 	idleTimeout       = 60 * time.Second
 	maxHeaderBytes    = 16 << 10
 )
 
-// storeSilence is how long the store may give this machine no answer before
-// it asks the platform for no more connections: it could take no jobs.
-const storeSilence = 2 * time.Second
+// maxSinceContact is how long this machine may go without new data from the store or
+// the leader before it reports that it is not ready. It could accept no jobs then.
+const maxSinceContact = 2 * time.Second
 
 // adviceTimeout bounds a call to the advice service, which answers the calls
-// of a machine in turn.
+// of a machine one after the other.
 const adviceTimeout = 4 * time.Second
 
-// addServers adds the listeners for clients, readiness and peers. Clients'
-// server ends first: its requests need the others.
+// addServers adds the servers for clients, peers and readiness. The clients' server
+// is added first, so that it shuts down first: its requests need the others.
 func (n *Node) addServers(g *run.Group) {
 	front := drain.New(&http.Server{
 		Addr:              n.settings.FrontAddress,
-		Handler:           n.api(),
+		Handler:           n.handler(),
 		ReadHeaderTimeout: readHeaderTimeout,
 		ReadTimeout:       readTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          stdlog.New(n.log.WriterLevel(logrus.DebugLevel), "", 0),
 	})
-	g.Add(func() error { return n.listen(n.settings.FrontAddress, traffic.Clients, front.Serve) }, func(error) { n.endFront(front) })
-	n.addPeers(g)
+	g.Add(func() error { return n.listen(n.settings.FrontAddress, traffic.Clients, front.Serve) }, func(error) { n.shutDownFront(front) })
+	n.addPeerServer(g)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+platform.ReadinessPath, n.serveReadiness)
 	mux.HandleFunc("GET "+countersPath, n.serveCounters)
 	ready := &http.Server{Addr: n.settings.ReadinessAddress, Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
 	g.Add(func() error {
-		return served(n.listen(n.settings.ReadinessAddress, traffic.Readiness, ready.Serve))
-	}, func(error) { n.endReady(ready) })
+		return ignoreServerClosed(n.listen(n.settings.ReadinessAddress, traffic.Readiness, ready.Serve))
+	}, func(error) { n.closeReady(ready) })
 }
 
-// listen serves on an address, all of whose bytes count as one kind.
+// listen serves on an address and counts all of its bytes as the given kind.
 func (n *Node) listen(address string, kind traffic.Kind, serve func(net.Listener) error) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -67,15 +67,16 @@
 	return serve(n.traffic.Listener(l, kind))
 }
 
-// served hides the error that a server's end brings.
-func served(err error) error {
+// ignoreServerClosed drops the error that a server returns after it was closed.
+func ignoreServerClosed(err error) error {
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
 	return err
 }
 
-func (n *Node) addPeers(g *run.Group) {
+// addPeerServer adds the server for calls of other machines.
+func (n *Node) addPeerServer(g *run.Group) {
 	server := peer.NewServer(peerLimits(), n.log)
 	server.CountTraffic(n.traffic)
 	handler := &assist.Handler{
@@ -83,10 +84,10 @@
 		Storer:          n.storer,
 		Receiver:        n.reader,
 		Elector:         n.elector,
-		SetLeaderCutOff: n.leaderCut.Store,
-		Peers:           n.helpers,
+		SetLeaderCutOff: n.leaderCutOff.Store,
+		Peers:           n.peers,
 		Adviser:         n.adviser,
-		Executors:       n.executors,
+		Executors:       n.relayExecutors,
 		CallTimeout:     adviceTimeout,
 	}
 	if err := server.Register(assist.ServiceName, handler); err != nil {
@@ -98,55 +99,59 @@
 			return errors.Wrap(err, "peer listener")
 		}
 		return server.Serve(listener)
-	}, func(error) { n.endPeers(server) })
+	}, func(error) { n.shutDownPeers(server) })
 }
 
 // Limits of calls between processes.
 const (
-	peerMessageBytes = 1 << 20
-	// peerConns is how many connections other machines may have to one, at most
-	// two each: three times the 300 machines that were played, and about half of the
-	// descriptors of the weakest machines.
-	peerConns       = 2048
+	maxPeerMessageBytes = 1 << 20
+	// maxPeerConns bounds the connections from other machines, each of which opens two
+	// at most. It allows for three times the 300 machines that were simulated and takes
+	// about half of the file descriptors of the weakest machines.
+	maxPeerConns    = 2048
 	peerCallTimeout = 5 * time.Second
 )
 
+// peerLimits returns the limits of peer servers and clients.
 func peerLimits() peer.Limits {
 	return peer.Limits{
-		MaxRequest: peerMessageBytes,
-		MaxAnswer:  peerMessageBytes,
-		MaxConns:   peerConns,
+		MaxRequest: maxPeerMessageBytes,
+		MaxAnswer:  maxPeerMessageBytes,
+		MaxConns:   maxPeerConns,
 		Call:       peerCallTimeout,
 	}
 }
 
-// serveReadiness tells the platform whether to send new connections.
+// serveReadiness answers the platform's readiness checks, which decide whether this
+// machine gets new connections.
 func (n *Node) serveReadiness(w http.ResponseWriter, _ *http.Request) {
-	if !n.ready() {
+	if !n.isReady() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-func (n *Node) ready() bool {
+// isReady reports whether this machine can accept jobs.
+func (n *Node) isReady() bool {
 	return !n.draining.Load() &&
-		n.watch.Configuration() != nil &&
+		n.configWatcher.Configuration() != nil &&
 		n.replica.Synced() &&
-		n.replica.SinceContact(time.Now()) < storeSilence &&
+		n.replica.SinceContact(time.Now()) < maxSinceContact &&
 		!n.cutOff()
 }
 
-// cutOff reports whether this machine reaches nobody who could have a job stored.
+// cutOff reports whether this machine can reach neither the store nor a leader that
+// can store a job.
 func (n *Node) cutOff() bool {
 	now := time.Now()
-	beyond, spread := n.helpers.SinceContactOutside(n.settings.DataCentre, now)
+	sinceContactOutside, anyOutside := n.peers.SinceContactOutside(n.settings.DataCentre, now)
 	return reach.Connectivity{
 		SinceStore:      n.store.SinceSuccess(now),
 		Leads:           n.epoch.Load() != 0,
-		HasRemotePeers:  spread,
-		SinceRemotePeer: beyond,
+		HasRemotePeers:  anyOutside,
+		SinceRemotePeer: sinceContactOutside,
 		LeaderDelivers:  n.reader.ReceivesDeliveries(now),
-		LeaderCutOff:    n.leaderCut.Load(),
+		LeaderCutOff:    n.leaderCutOff.Load(),
 	}.CutOff()
 }
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -12,90 +12,92 @@
 	"github.com/skylarklock/skylarklock/internal/peer"
 )
 
-// Timing of a shutdown, all of it within the grace after which the process is
-// killed.
+// Timing of a shutdown. All phases lie within the grace period, after which the
+// process is killed.
 const (
-	// serveOn is how long connections are accepted after the process was asked
-	// to stop: the platform needs two missed looks, a second apart, before it
-	// sends new ones elsewhere.
-	serveOn = 2500 * time.Millisecond
-	// lastAnswers is kept of the grace for answering, with what is known by
-	// then, the requests that still wait. Up to it they have their clients'
-	// time: with a grace of 6 s, also the 3 s that clients wait after the last
-	// connection was accepted.
-	lastAnswers = 500 * time.Millisecond
-	// lastSteps is kept of lastAnswers for the end of the loops.
-	lastSteps = 150 * time.Millisecond
-	// The same as shares of the grace, where it is short.
-	serveOnShare     = 0.5
-	lastAnswersShare = 0.25
-	lastStepsShare   = 0.05
+	// acceptPeriod is how long connections are accepted after the process was asked
+	// to stop. The platform sends new connections elsewhere only after two failed
+	// readiness checks, which are a second apart.
+	acceptPeriod = 2500 * time.Millisecond
+	// answerPeriod is the part at the end of the grace period in which requests that
+	// still wait are answered with what is known. Until then they may wait as long as
+	// their clients do: a grace period of 6 s leaves the usual 3 s even to a request
+	// on the last connection that was accepted.
+	answerPeriod = 500 * time.Millisecond
+	// stopPeriod is the part at the end of answerPeriod in which the loops stop.
+	stopPeriod = 150 * time.Millisecond
+	// Upper bounds of these periods as shares of the grace period, which apply when it
+	// is short.
+	acceptShare = 0.5
+	answerShare = 0.25
+	stopShare   = 0.05
 )
 
-// shutdown holds the times of a graceful shutdown.
+// shutdown holds the deadlines of a graceful shutdown.
 type shutdown struct {
-	grace time.Duration
+	gracePeriod time.Duration
 
-	once  sync.Once
-	began time.Time
+	once      sync.Once
+	startedAt time.Time
 }
 
-// begin notes when the shutdown began: at the first call.
-func (s *shutdown) begin() time.Time {
-	s.once.Do(func() { s.began = time.Now() })
-	return s.began
+// start returns when the shutdown started, which is the time of the first call.
+func (s *shutdown) start() time.Time {
+	s.once.Do(func() { s.startedAt = time.Now() })
+	return s.startedAt
 }
 
-// share returns a time, or a share of the grace if that is less.
-func (s *shutdown) share(d time.Duration, share float64) time.Duration {
-	return min(d, time.Duration(share*float64(s.grace)))
+// limit returns d, or the given share of the grace period if that is shorter.
+func (s *shutdown) limit(d time.Duration, maxShare float64) time.Duration {
+	return min(d, time.Duration(maxShare*float64(s.gracePeriod)))
 }
 
-// acceptUntil returns up to when connections are accepted.
-func (s *shutdown) acceptUntil() time.Time {
-	return s.begin().Add(s.share(serveOn, serveOnShare))
+// acceptDeadline returns the time until which connections are accepted.
+func (s *shutdown) acceptDeadline() time.Time {
+	return s.start().Add(s.limit(acceptPeriod, acceptShare))
 }
 
-// waitUntil returns up to when requests may wait for what they wait for.
-func (s *shutdown) waitUntil() time.Time {
-	return s.begin().Add(s.grace - s.share(lastAnswers, lastAnswersShare))
+// waitDeadline returns the time until which requests may wait for a result.
+func (s *shutdown) waitDeadline() time.Time {
+	return s.start().Add(s.gracePeriod - s.limit(answerPeriod, answerShare))
 }
 
-// answerUntil returns up to when answers may be written.
-func (s *shutdown) answerUntil() time.Time {
-	return s.begin().Add(s.grace - s.share(lastSteps, lastStepsShare))
+// answerDeadline returns the time until which answers may be written.
+func (s *shutdown) answerDeadline() time.Time {
+	return s.start().Add(s.gracePeriod - s.limit(stopPeriod, stopShare))
 }
 
-// awaitShutdown waits until the process is asked to stop, hands leadership
-// over and serves on for a while. Its return ends the process, as does the end
-// of work.
+// awaitShutdown waits until the process is asked to stop, releases leadership and
+// keeps serving until acceptDeadline. The process ends when awaitShutdown returns,
+// which it also does when work ends.
 func (n *Node) awaitShutdown(ctx, work context.Context) error {
 	select {
 	case <-ctx.Done():
 	case <-work.Done():
 		return nil
 	}
-	until := n.shutdown.acceptUntil()
+	deadline := n.shutdown.acceptDeadline()
 	n.draining.Store(true)
 	n.log.Info("asked to stop")
-	accepting, cancel := context.WithDeadline(work, until)
+	accepting, cancel := context.WithDeadline(work, deadline)
 	defer cancel()
 	n.elector.Release(accepting)
 	<-accepting.Done()
 	return nil
 }
 
-// endFront ends the clients' server: it answers all requests that it has read,
-// at the latest with what is known when the grace is nearly over.
-func (n *Node) endFront(s *drain.Server) {
+// shutDownFront drains the clients' server: all requests that it has read are
+// answered. Those that still wait shortly before the grace period ends are answered
+// with what is known then.
+func (n *Node) shutDownFront(s *drain.Server) {
 	n.draining.Store(true)
-	waiting, cancel := context.WithDeadline(context.Background(), n.shutdown.waitUntil())
+	waiting, cancel := context.WithDeadline(context.Background(), n.shutdown.waitDeadline())
 	defer cancel()
 	if s.Drain(waiting) == nil {
 		return
 	}
 	n.log.WithField("requests", s.InFlight()).Warn("requests still wait as the grace ends; they are answered with what is known")
-	answering, cancel := context.WithDeadline(context.Background(), n.shutdown.answerUntil())
+	answering, cancel := context.WithDeadline(context.Background(), n.shutdown.answerDeadline())
 	defer cancel()
 	err := s.CancelRequests(answering)
 	if cut := s.Close(); cut > 0 {
@@ -103,19 +105,18 @@
 	}
 }
 
-// endPeers ends the peers' server: calls in flight are answered, while there is
-// time for it, and further ones are refused, which tells the callers that
-// nothing was done.
-func (n *Node) endPeers(s *peer.Server) {
-	ctx, cancel := context.WithDeadline(context.Background(), n.shutdown.waitUntil())
+// shutDownPeers shuts the peers' server down. Calls in flight are answered if time
+// permits. Further calls are refused, which tells the callers that nothing was done.
+func (n *Node) shutDownPeers(s *peer.Server) {
+	ctx, cancel := context.WithDeadline(context.Background(), n.shutdown.waitDeadline())
 	defer cancel()
 	if err := s.Shutdown(ctx); err != nil {
 		n.log.WithError(err).Info("peers' calls were cut off by the end of the process")
 	}
 }
 
-// endReady ends the server of the platform's looks, which wait for nothing.
-func (n *Node) endReady(s *http.Server) {
+// closeReady closes the server for readiness checks, which never wait.
+func (n *Node) closeReady(s *http.Server) {
 	if err := s.Close(); err != nil {
 		n.log.WithError(err).WithFields(logrus.Fields{"address": s.Addr}).Debug("readiness server not closed")
 	}
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -16,43 +16,42 @@
 	"github.com/skylarklock/skylarklock/platform/standin"
 )
 
-// Users of a machine that was restarted saw their connection closed without an
-// answer. Order of events: the process was asked to stop, served on for 2.5 s,
-// ended its loops and gave its server a fixed 2 s, and then ended, 1.5 s before
-// it would have been killed. Clients wait 3 s for an answer: those whose
-// requests waited for the leader or the store, and were sent shortly before
-// the listener was closed, were cut off at 4.5 s, always that. The
-// evidence: 18 of 81 processes were cut off, all of them 4.50 to 4.54
-// s after the signal and no other; what else they answered at that time were
-// looks at jobs that waited for a delivery or for the leader.
+// Guards against connections that a stopping process closes without an answer. The
+// process was asked to stop, kept serving for 2.5 s, ended its loops, gave its server a
+// fixed 2 s and exited 1.5 s before it would have been killed. Clients wait 3 s for an
+// answer, so requests that were sent shortly before the listener was closed and waited
+// for the leader or the store were cut off at 4.5 s. Requests of 18 of 81 processes were
+// cut off, all 4.50 to 4.54 s after the signal; the other answers of that time went to
+// status requests that had waited for a delivery or for the leader.
 func TestReadRequestsAreAnsweredBeforeExit(t *testing.T) {
-	t.Run("a look that waits for the leader", testLookThatWaits)
+	t.Run("a status request that waits for the leader", testStatusRequestThatWaits)
 }
 
-// silentLeader says that the partition goes on for ever and delivers nothing.
-type silentLeader struct {
-	address string
-	asked   atomic.Int32
+// stalledLeader reports an end of the partition that is never reached, and delivers
+// nothing.
+type stalledLeader struct {
+	address   string
+	syncCalls atomic.Int32
 }
 
-// Sync answers like assist.Handler.Sync.
-func (l *silentLeader) Sync(_ *assist.SyncRequest, reply *assist.SyncAnswer) error {
-	l.asked.Add(1)
+// Sync implements the method of assist.Handler.
+func (l *stalledLeader) Sync(_ *assist.SyncRequest, reply *assist.SyncAnswer) error {
+	l.syncCalls.Add(1)
 	reply.End = math.MaxInt64
 	return nil
 }
 
-// Attach answers like assist.Handler.Attach.
-func (l *silentLeader) Attach(_ *assist.Attachment, reply *assist.AttachAnswer) error {
-	reply.Epoch = silentEpoch
+// Attach implements the method of assist.Handler.
+func (l *stalledLeader) Attach(_ *assist.Attachment, reply *assist.AttachAnswer) error {
+	reply.Epoch = stalledLeaderEpoch
 	return nil
 }
 
-// silentEpoch is above all that a test's processes claim.
-const silentEpoch = 1 << 20
+// stalledLeaderEpoch is higher than any epoch that the processes of a test claim.
+const stalledLeaderEpoch = 1 << 20
 
-// lead has a process believe in the silent leader.
-func (l *silentLeader) lead(t *testing.T, p *process) {
+// announceTo serves as the leader and makes the process take it for the leader.
+func (l *stalledLeader) announceTo(t *testing.T, p *process) {
 	t.Helper()
 	server := peer.NewServer(peer.Limits{}, logging.Nop())
 	if err := server.Register(assist.ServiceName, l); err != nil {
@@ -66,34 +65,34 @@
 	t.Cleanup(server.Close)
 	caller := peer.NewClient(peer.Limits{}, nil)
 	t.Cleanup(caller.Close)
-	delivery := &assist.Delivery{Leader: leader.Leader{Node: "silent", Incarnation: 1, Address: l.address, Epoch: silentEpoch}}
+	delivery := &assist.Delivery{Leader: leader.Leader{Node: "silent", Incarnation: 1, Address: l.address, Epoch: stalledLeaderEpoch}}
 	var known assist.DeliveryAnswer
 	if err := caller.Call(t.Context(), p.settings.PeerAddress, assist.ServiceName+".Deliver", delivery, &known); err != nil {
 		t.Fatal(err)
 	}
-	if known.Epoch != silentEpoch {
-		t.Fatalf("the process knows epoch %d", known.Epoch)
+	if known.Epoch != stalledLeaderEpoch {
+		t.Fatalf("the process knows epoch %d, want that of the stalled leader", known.Epoch)
 	}
 }
 
-// The store is down and the leader's delivery never comes, so a look at a job
-// that isn't known here waits for as long as its client would.
-func testLookThatWaits(t *testing.T) {
-	o := newOutside(t, 0)
-	p := o.start(t, "a")
+// The store is down and the leader's delivery never arrives, so a status request for an
+// unknown job waits as long as its client does. It is answered when the process stops.
+func testStatusRequestThatWaits(t *testing.T) {
+	env := newTestEnv(t, 0)
+	p := env.start(t, "a")
 	p.awaitReady(t)
-	o.store.SetFault(standin.FaultDown)
-	silent := &silentLeader{address: address(t)}
-	silent.lead(t, p)
+	env.store.SetFault(standin.FaultDown)
+	stalled := &stalledLeader{address: address(t)}
+	stalled.announceTo(t, p)
 	answered := make(chan int, 1)
 	go func() {
-		status, err := p.look(time.Hour)
+		status, err := p.getUnknownJob(time.Hour)
 		if err != nil {
-			t.Errorf("not answered: %v", err)
+			t.Errorf("the request was not answered: %v", err)
 		}
 		answered <- status
 	}()
-	eventually(t, "a request waits for the leader's delivery", func() bool { return silent.asked.Load() > 0 })
+	eventually(t, "a request waits for the leader's delivery", func() bool { return stalled.syncCalls.Load() > 0 })
 	p.stop()
 	if err := <-p.done; err != nil {
 		t.Errorf("graceful stop: %v", err)
@@ -103,22 +102,22 @@
 		if status != http.StatusServiceUnavailable {
 			t.Errorf("answered %d, want %d", status, http.StatusServiceUnavailable)
 		}
-	case <-time.After(patience):
-		t.Error("not answered though the process has ended")
+	case <-time.After(waitTimeout):
+		t.Error("the process has stopped without answering the request")
 	}
 }
 
-// look asks for a job that nobody submitted, for a client that waits as long as
-// is said.
-func (p *process) look(wait time.Duration) (int, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), wait)
+// getUnknownJob requests the state of a job that was never submitted, for a client with
+// the given timeout.
+func (p *process) getUnknownJob(timeout time.Duration) (int, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.settings.FrontAddress+"/q/00000000000000ab", nil)
 	if err != nil {
 		return 0, err
 	}
 	req.Host = standin.Host
-	standin.SetRemainingTime(req.Header, wait)
+	standin.SetRemainingTime(req.Header, timeout)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return 0, err
--- a/internal/node/succession.go
+++ b/internal/node/succession.go
@@ -7,45 +7,47 @@
 	"github.com/skylarklock/skylarklock/internal/leader"
 )
 
-// Times after which a machine that keeps no content of records reads it all, so
+// Times after which a machine that keeps no content of records reads all of it, so
 // that it can lead.
 const (
-	// vacantAfter is the silence of the leader after which its standbys are taken
-	// to be gone too: they claim after 0.8 s, or 1.5 s if they are weak.
-	vacantAfter = 1800 * time.Millisecond
-	// releasedAfter is the same after a leader that has stepped down: its standbys
-	// claim at once.
-	releasedAfter = 600 * time.Millisecond
-	// vacantSpread is the time over which machines begin to read, so that the first
-	// to claim spares the others.
-	vacantSpread = time.Second
-	// weakAfter is how much later machines begin that would be too weak to
-	// lead a large cell.
-	weakAfter = time.Second
+	// keepContentDelay is the time without contact to the leader after which its
+	// standbys are presumed lost too. They claim after 0.8 s, or after 1.5 s if they
+	// are underpowered.
+	keepContentDelay = 1800 * time.Millisecond
+	// keepContentDelayReleased is the same after a leader has stepped down, since its
+	// standbys claim immediately then.
+	keepContentDelayReleased = 600 * time.Millisecond
+	// keepContentJitter is the period over which the machines' starts are spread, so
+	// that the others need not read once the first one has claimed.
+	keepContentJitter = time.Second
+	// underpoweredDelay is how much later machines start that have too few processors
+	// to lead a large cell.
+	underpoweredDelay = time.Second
 )
 
 // succession decides when a machine that keeps no content of records should
 // become able to lead.
 type succession struct {
-	processors float64 // of this machine; 0: not told
-	spread     time.Duration
+	processors float64 // of this machine; 0: unknown
+	jitter     time.Duration
 }
 
-// due reports whether that is now, given whether a leader delivers to this machine,
-// for how long nothing was heard of one, and whether the last one has stepped down.
-func (s *succession) due(fed bool, silence time.Duration, released bool) bool {
-	if fed || s.spread == 0 {
-		s.spread = 1 + rand.N(vacantSpread)
+// due reports whether this machine should read all content now. receivesDeliveries
+// states whether a leader delivers to this machine, sinceContact how long ago a leader
+// was last heard of, and released whether the last leader has stepped down.
+func (s *succession) due(receivesDeliveries bool, sinceContact time.Duration, released bool) bool {
+	if receivesDeliveries || s.jitter == 0 {
+		s.jitter = 1 + rand.N(keepContentJitter)
 	}
-	if fed {
+	if receivesDeliveries {
 		return false
 	}
-	after := vacantAfter + s.spread
+	delay := keepContentDelay + s.jitter
 	if released {
-		after = releasedAfter + s.spread
+		delay = keepContentDelayReleased + s.jitter
 	}
 	if s.processors > 0 && leader.AssessSuitability(s.processors, 0) != leader.Suitable {
-		after += weakAfter
+		delay += underpoweredDelay
 	}
-	return silence > after
+	return sinceContact > delay
 }
--- a/internal/node/unread_test.go
+++ b/internal/node/unsynced_test.go
@@ -10,20 +10,20 @@
 	"github.com/skylarklock/skylarklock/internal/replica"
 )
 
-// A look at a job at a process that still reads the jobs is refused while its
-// client has time to look elsewhere.
+// A process that is still reading the jobs refuses a status request early enough for the
+// client to ask another machine.
 func TestUnsyncedProcessRefusesStatusRequestsEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := &Node{replica: replica.New(time.Minute, logging.Nop())}
 		n.reader = &replica.Reader{Replica: n.replica, Log: emptyLog{}, Timing: replica.DefaultTiming()}
 		client, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
-		asked := time.Now()
+		began := time.Now()
 		if err := n.sync(client); err == nil {
-			t.Error("it counts as read")
+			t.Error("sync succeeded before the jobs were read")
 		}
-		if took := time.Since(asked); took != unreadPatience {
-			t.Errorf("refused after %v", took)
+		if took := time.Since(began); took != unsyncedTimeout {
+			t.Errorf("refused after %v, want after unsyncedTimeout", took)
 		}
 	})
 }
