--- a/internal/jobapi/api.go
+++ b/internal/jobapi/api.go
@@ -1,5 +1,6 @@
-// Package jobapi answers clients: it takes jobs and cancels and tells where
-// jobs stand. Any machine answers for any job.
+// Package jobapi serves the HTTP API for clients: submission and cancellation of jobs,
+// their states, and the number of pending jobs of a queue. Any machine answers for any
+// job.
 package jobapi
 
 import (
@@ -15,18 +16,19 @@
 	"github.com/skylarklock/skylarklock/internal/work"
 )
 
-// Codec are the bodies and headers that clients send and get.
+// Codec decodes and encodes the bodies and headers of clients' requests and answers.
 type Codec struct {
-	Remaining     func(http.Header) (time.Duration, bool) // how long the client waits for the answer
+	Remaining     func(http.Header) (time.Duration, bool) // time for which the client waits for the answer
 	DecodeJob     func([]byte) (*work.Job, error)
 	EncodeState   func(work.State) []byte
 	EncodePending func(int) ([]byte, error)
 	EncodeError   func(reason string, retryAfter time.Duration) ([]byte, error)
 }
 
-// Store makes records durable; *intake.Intake is one.
+// Store makes records durable. *intake.Intake implements it. maxWait bounds the wait
+// for a store that is unavailable.
 type Store interface {
-	Store(ctx context.Context, record platform.Record, patience time.Duration) error
+	Store(ctx context.Context, record platform.Record, maxWait time.Duration) error
 }
 
 // API answers clients' requests.
@@ -34,123 +36,126 @@
 	Codec         Codec
 	CurrentConfig func() *queue.Configuration // nil before the first configuration
 	Replica       *replica.Replica
-	Sync          func(ctx context.Context) error // reads what the store holds by now
+	Sync          func(ctx context.Context) error // reads everything that the store holds at the time of the call
 	Store         Store
-	CutOff        func() bool // this machine reaches nobody who could store anything; nil: never
-	Leaving       func() bool // the process ends soon: clients should go elsewhere
+	CutOff        func() bool // this machine reaches neither the store nor a leader; nil: never
+	Leaving       func() bool // the process is about to stop, so clients should connect elsewhere
 	Logger        *logrus.Entry
 }
 
 // Timing of answers.
 const (
-	// defaultWait is how long a client waits that doesn't say.
-	defaultWait = 3 * time.Second
-	// answerMargin is kept of the client's time, for the answer's way back.
-	answerMargin = 50 * time.Millisecond
-	// busyRetryAfter is named where the store took no job: its outages last
-	// seconds, and the balancer leads a retry to another machine.
-	busyRetryAfter = time.Second
-	// retryShare is the share of a job's latency objective after which its client is
-	// asked to come back while the store takes nothing, and retryMost the longest
-	// such time. Clients try about four times more; so their tries lie in two thirds of
-	// the objective.
-	retryShare = 1.0 / 6
-	retryMost  = 3 * time.Second
-	// storePatience is the share of a client's time for which a store that
-	// takes nothing is waited for, and objectivePatience the share of the
-	// job's latency objective. Outages last seconds; a client that is
-	// refused at once runs out of its few tries before the store is back,
-	// and one that waits too long learns too late that it should try
-	// elsewhere.
-	storePatience     = 0.4
-	objectivePatience = 0.25
+	// defaultClientTimeout is how long a client is assumed to wait if its request doesn't
+	// state a time.
+	defaultClientTimeout = 3 * time.Second
+	// responseMargin is the part of the client's time that is reserved for sending the
+	// answer.
+	responseMargin = 50 * time.Millisecond
+	// defaultRetryAfter is the Retry-After of requests that the store didn't take.
+	// Outages of the store last seconds, and the load balancer sends a retry to another
+	// machine.
+	defaultRetryAfter = time.Second
+	// retryObjectiveShare is the share of a job's latency objective after which its client
+	// is asked to retry while the store is unavailable, and maxRetryAfter bounds that
+	// time. Clients retry about four times, so their retries lie within two thirds of the
+	// objective.
+	retryObjectiveShare = 1.0 / 6
+	maxRetryAfter       = 3 * time.Second
+	// storeWaitClientShare and storeWaitObjectiveShare bound the wait for an unavailable
+	// store, as shares of the client's time and of the job's latency objective. Outages
+	// last seconds. A client that is refused immediately uses up its few retries before
+	// the store is back, and one that waits too long learns too late that it should try
+	// another machine.
+	storeWaitClientShare    = 0.4
+	storeWaitObjectiveShare = 0.25
 )
 
-// reply is an answer before it is written.
-type reply struct {
+// response is an answer that has not been written yet.
+type response struct {
 	status     int
 	body       []byte
-	retryAfter time.Duration // 0: none is named
+	retryAfter time.Duration // 0: no Retry-After header
 }
 
-// request is what the stages learn of a client's request.
+// request is a client's request with what the stages have determined about it.
 type request struct {
 	*http.Request
-	table *queue.Configuration
-	queue *queue.Queue
-	rest  string // of the path behind the queue's prefix
+	config  *queue.Configuration
+	queue   *queue.Queue
+	subpath string // the path after the queue's prefix
 }
 
-// stage is one step of the chain; it returns nil to pass the request on.
-type stage func(*request) *reply
+// stage handles one step of a request. It returns nil to pass the request to the next
+// stage.
+type stage func(*request) *response
 
 // ServeHTTP implements http.Handler.
 func (a *API) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
-	ctx, cancel := context.WithTimeout(hr.Context(), a.patience(hr.Header))
+	ctx, cancel := context.WithTimeout(hr.Context(), a.responseTimeout(hr.Header))
 	defer cancel()
 	r := &request{Request: hr.WithContext(ctx)}
-	for _, next := range []stage{a.configured, a.locate, a.act} {
-		if answer := next(r); answer != nil {
-			a.write(w, answer)
+	for _, next := range []stage{a.requireConfig, a.findQueue, a.handle} {
+		if resp := next(r); resp != nil {
+			a.writeResponse(w, resp)
 			return
 		}
 	}
 }
 
-// patience returns how long the answer may take.
-func (a *API) patience(h http.Header) time.Duration {
+// responseTimeout returns the time within which the request must be answered.
+func (a *API) responseTimeout(h http.Header) time.Duration {
 	wait, ok := a.Codec.Remaining(h)
 	if !ok {
-		wait = defaultWait
+		wait = defaultClientTimeout
 	}
-	return max(wait-answerMargin, answerMargin)
+	return max(wait-responseMargin, responseMargin)
 }
 
-// configured refuses while there is no configuration.
-func (a *API) configured(r *request) *reply {
-	r.table = a.CurrentConfig()
-	if r.table == nil {
-		return a.refuse(http.StatusServiceUnavailable, "no configuration yet", busyRetryAfter)
+// requireConfig refuses the request while there is no configuration.
+func (a *API) requireConfig(r *request) *response {
+	r.config = a.CurrentConfig()
+	if r.config == nil {
+		return a.refuse(http.StatusServiceUnavailable, "no configuration yet", defaultRetryAfter)
 	}
 	return nil
 }
 
-// locate finds the queue.
-func (a *API) locate(r *request) *reply {
-	r.queue = r.table.Match(r.Host, r.URL.Path)
+// findQueue finds the queue that the request's host and path select.
+func (a *API) findQueue(r *request) *response {
+	r.queue = r.config.Match(r.Host, r.URL.Path)
 	if r.queue == nil {
 		return a.refuse(http.StatusNotFound, "no such queue", 0)
 	}
-	r.rest = r.URL.Path[len(r.queue.PathPrefix):]
+	r.subpath = r.URL.Path[len(r.queue.PathPrefix):]
 	return nil
 }
 
-// act answers by method.
-func (a *API) act(r *request) *reply {
-	if r.Method == http.MethodGet && r.rest == "" {
-		return a.pending(r)
+// handle answers a request according to its method and path.
+func (a *API) handle(r *request) *response {
+	if r.Method == http.MethodGet && r.subpath == "" {
+		return a.pendingCount(r)
 	}
-	id, err := work.ParseID(r.rest)
+	id, err := work.ParseID(r.subpath)
 	if err != nil {
 		return a.refuse(http.StatusBadRequest, "the job's id is not 16 hexadecimal digits", 0)
 	}
 	switch r.Method {
 	case http.MethodPost:
-		return a.submit(r, id)
+		return a.submitJob(r, id)
 	case http.MethodGet:
-		return a.state(r, id)
+		return a.jobState(r, id)
 	case http.MethodDelete:
-		return a.cancel(r, id)
+		return a.cancelJob(r, id)
 	default:
 		return a.refuse(http.StatusMethodNotAllowed, "GET, POST and DELETE are answered", 0)
 	}
 }
 
-// refuse returns a refusal with its reason.
-func (a *API) refuse(status int, reason string, retryAfter time.Duration) *reply {
+// refuse returns a refusal with its reason. A retryAfter of 0 names no time to retry.
+func (a *API) refuse(status int, reason string, retryAfter time.Duration) *response {
 	body, err := a.Codec.EncodeError(reason, retryAfter)
 	if err != nil {
 		a.Logger.WithError(err).Error("reason of a refusal not encoded")
 	}
-	return &reply{status: status, body: body, retryAfter: retryAfter}
+	return &response{status: status, body: body, retryAfter: retryAfter}
 }
--- a/internal/jobapi/jobs.go
+++ b/internal/jobapi/jobs.go
@@ -17,9 +17,10 @@
 	"github.com/skylarklock/skylarklock/internal/work"
 )
 
-// submit takes a job. An ID that is known is the same job once more.
-func (a *API) submit(r *request, id work.ID) *reply {
-	body, refusal := a.read(r)
+// submitJob stores a new job. A known ID is a repeated submission of the same job and
+// is accepted without storing it again.
+func (a *API) submitJob(r *request, id work.ID) *response {
+	body, refusal := a.readBody(r)
 	if refusal != nil {
 		return refusal
 	}
@@ -39,33 +40,34 @@
 	if err := faults.Err(); err != nil {
 		return a.refuse(http.StatusBadRequest, err.Error(), 0)
 	}
-	if what := unsupported(job); what != "" {
-		return a.refuse(http.StatusServiceUnavailable, what+" is not supported", 0)
+	if feature := unsupportedFeature(job); feature != "" {
+		return a.refuse(http.StatusServiceUnavailable, feature+" is not supported", 0)
 	}
 	value, err := work.EncodeJob(job)
 	if err != nil {
 		return a.refuse(http.StatusInternalServerError, err.Error(), 0)
 	}
-	return a.store(r, platform.Record{Key: work.Key(work.KindJob, id), Value: value}, patience(r, job), retryAfter(r, job))
+	return a.storeRecord(r, platform.Record{Key: work.Key(work.KindJob, id), Value: value}, storeWait(r, job), retryAfter(r, job))
 }
 
-// retryAfter returns when the client should come back with a job that the store
+// retryAfter returns the time after which the client should retry a job that the store
 // didn't take.
 func retryAfter(r *request, j *work.Job) time.Duration {
-	return min(max(busyRetryAfter, time.Duration(retryShare*float64(r.queue.LatencyObjective(j.CriticalPath())))), retryMost)
+	return min(max(defaultRetryAfter, time.Duration(retryObjectiveShare*float64(r.queue.LatencyObjective(j.CriticalPath())))), maxRetryAfter)
 }
 
-// patience returns how long the store is waited for with a job.
-func patience(r *request, j *work.Job) time.Duration {
-	wait := time.Duration(objectivePatience * float64(r.queue.LatencyObjective(j.CriticalPath())))
+// storeWait returns how long a job waits for an unavailable store.
+func storeWait(r *request, j *work.Job) time.Duration {
+	wait := time.Duration(storeWaitObjectiveShare * float64(r.queue.LatencyObjective(j.CriticalPath())))
 	if deadline, ok := r.Context().Deadline(); ok {
-		wait = min(wait, time.Duration(storePatience*float64(time.Until(deadline))))
+		wait = min(wait, time.Duration(storeWaitClientShare*float64(time.Until(deadline))))
 	}
 	return wait
 }
 
-// unsupported names something that the job needs and that isn't built.
-func unsupported(j *work.Job) string {
+// unsupportedFeature names the first feature of the job that is not implemented; empty:
+// all are.
+func unsupportedFeature(j *work.Job) string {
 	for i := range j.Steps {
 		s := &j.Steps[i]
 		switch {
@@ -78,9 +80,9 @@
 	return ""
 }
 
-// read reads a request's body within the limits in force.
-func (a *API) read(r *request) ([]byte, *reply) {
-	limit := r.table.Limits.MaxBodyBytes
+// readBody reads the body of a request, up to the limit in force.
+func (a *API) readBody(r *request) ([]byte, *response) {
+	limit := r.config.Limits.MaxBodyBytes
 	if r.ContentLength > limit {
 		return nil, a.refuse(http.StatusRequestEntityTooLarge, "body is larger than "+strconv.FormatInt(limit, 10)+" bytes", 0)
 	}
@@ -94,28 +96,30 @@
 	return body, nil
 }
 
-// store makes a record durable and says so. Where the store takes nothing, the
-// client should come back after some time.
-func (a *API) store(r *request, record platform.Record, patience, retryAfter time.Duration) *reply {
+// storeRecord makes a record durable and returns the answer. maxWait bounds the wait for
+// an unavailable store. If the store took nothing, the client is asked to retry after
+// retryAfter.
+func (a *API) storeRecord(r *request, record platform.Record, maxWait, retryAfter time.Duration) *response {
 	if a.CutOff != nil && a.CutOff() {
-		// Nothing was sent, and the client's next try may reach a machine elsewhere.
-		a.Logger.WithFields(logrus.Fields{"job": r.rest, "queue": r.queue.Name, "method": r.Method}).Info("request refused: this machine is cut off")
-		return a.refuse(http.StatusServiceUnavailable, "this machine reaches neither the store nor the leader", busyRetryAfter)
+		// Nothing was sent, and a retry of the client may reach a machine in another
+		// data centre.
+		a.Logger.WithFields(logrus.Fields{"job": r.subpath, "queue": r.queue.Name, "method": r.Method}).Info("request refused: this machine is cut off")
+		return a.refuse(http.StatusServiceUnavailable, "this machine reaches neither the store nor the leader", defaultRetryAfter)
 	}
-	err := a.Store.Store(r.Context(), record, patience)
+	err := a.Store.Store(r.Context(), record, maxWait)
 	if err == nil {
 		return accepted()
 	}
-	answer := a.notConfirmed(err, retryAfter)
+	resp := a.storeErrorResponse(err, retryAfter)
 	a.Logger.WithError(err).WithFields(logrus.Fields{
-		"job": r.rest, "queue": r.queue.Name, "method": r.Method, "answered": answer.status,
+		"job": r.subpath, "queue": r.queue.Name, "method": r.Method, "answered": resp.status,
 	}).Info("request not confirmed")
-	return answer
+	return resp
 }
 
-// notConfirmed returns the answer to a request whose record was not stored, or
-// of which that isn't known.
-func (a *API) notConfirmed(err error, retryAfter time.Duration) *reply {
+// storeErrorResponse returns the answer to a request whose record was not stored, or
+// may not have been stored.
+func (a *API) storeErrorResponse(err error, retryAfter time.Duration) *response {
 	var busy *intake.BusyError
 	switch {
 	case errors.As(err, &busy):
@@ -127,16 +131,17 @@
 	}
 }
 
-func accepted() *reply { return &reply{status: http.StatusOK, body: []byte("{}")} }
+// accepted returns the answer to a submission or cancellation that is durable.
+func accepted() *response { return &response{status: http.StatusOK, body: []byte("{}")} }
 
-// find returns what is known of a job. Of one that isn't known here the store
-// is asked first, since it may just have been accepted elsewhere.
-func (a *API) find(r *request, id work.ID) (replica.Entry, *reply) {
+// findJob returns the replica's entry of a job, or a refusal. A job that is unknown here
+// may just have been accepted elsewhere, so the replica is first synchronised.
+func (a *API) findJob(r *request, id work.ID) (replica.Entry, *response) {
 	e, known := a.Replica.Get(id)
 	if !known || !e.Submitted() {
 		if err := a.Sync(r.Context()); err != nil {
 			a.Logger.WithError(err).WithField("job", id).Info("job not known here and the store gives no answer")
-			return e, a.refuse(http.StatusServiceUnavailable, "the store gives no answer", busyRetryAfter)
+			return e, a.refuse(http.StatusServiceUnavailable, "the store gives no answer", defaultRetryAfter)
 		}
 		e, known = a.Replica.Get(id)
 	}
@@ -149,64 +154,65 @@
 	return e, nil
 }
 
-// state tells where a job stands.
-func (a *API) state(r *request, id work.ID) *reply {
-	e, refusal := a.find(r, id)
+// jobState answers with the state of a job.
+func (a *API) jobState(r *request, id work.ID) *response {
+	e, refusal := a.findJob(r, id)
 	if refusal != nil {
 		return refusal
 	}
-	return &reply{status: http.StatusOK, body: a.Codec.EncodeState(e.State())}
+	return &response{status: http.StatusOK, body: a.Codec.EncodeState(e.State())}
 }
 
-// cancelPatience is how long the store is waited for with a cancel.
-const cancelPatience = time.Second
+// cancelStoreWait is how long a cancellation waits for an unavailable store.
+const cancelStoreWait = time.Second
 
-// cancel cancels a job that has not ended.
-func (a *API) cancel(r *request, id work.ID) *reply {
-	e, refusal := a.find(r, id)
+// cancelJob stores the cancellation of a job that has not ended.
+func (a *API) cancelJob(r *request, id work.ID) *response {
+	e, refusal := a.findJob(r, id)
 	if refusal != nil {
 		return refusal
 	}
 	if e.State().Final() {
-		return &reply{status: http.StatusOK, body: a.Codec.EncodeState(e.State())}
+		return &response{status: http.StatusOK, body: a.Codec.EncodeState(e.State())}
 	}
-	return a.store(r, platform.Record{Key: work.Key(work.KindCancellation, id), Value: work.CancellationValue}, cancelPatience, busyRetryAfter)
+	return a.storeRecord(r, platform.Record{Key: work.Key(work.KindCancellation, id), Value: work.CancellationValue}, cancelStoreWait, defaultRetryAfter)
 }
 
-// pendingAge is how old the number of pending jobs may be; clients allow 2 s.
-const pendingAge = 1500 * time.Millisecond
+// maxPendingAge is the replica lag up to which the number of pending jobs is answered
+// without synchronising first. Clients accept a number that is up to 2 s old.
+const maxPendingAge = 1500 * time.Millisecond
 
-// pending tells how many jobs of the queue have not begun. A machine that may
-// have missed something for a while asks first, and tells nothing rather than a
-// number that may be wrong.
-func (a *API) pending(r *request) *reply {
-	if a.Replica.Lag(time.Now()) > pendingAge {
+// pendingCount answers with the number of jobs of the queue that have not started. A
+// replica that lags is synchronised first; if that fails the request is refused, since
+// the number may be wrong.
+func (a *API) pendingCount(r *request) *response {
+	if a.Replica.Lag(time.Now()) > maxPendingAge {
 		if err := a.Sync(r.Context()); err != nil {
 			a.Logger.WithError(err).WithField("queue", r.queue.Name).Info("number of pending jobs not known here")
-			return a.refuse(http.StatusServiceUnavailable, "the store gives no answer", busyRetryAfter)
+			return a.refuse(http.StatusServiceUnavailable, "the store gives no answer", defaultRetryAfter)
 		}
 	}
 	body, err := a.Codec.EncodePending(a.Replica.PendingJobs(r.queue.Name))
 	if err != nil {
 		return a.refuse(http.StatusInternalServerError, err.Error(), 0)
 	}
-	return &reply{status: http.StatusOK, body: body}
+	return &response{status: http.StatusOK, body: body}
 }
 
-// write sends the answer.
-func (a *API) write(w http.ResponseWriter, answer *reply) {
+// writeResponse writes the answer.
+func (a *API) writeResponse(w http.ResponseWriter, resp *response) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
-	h.Set("Content-Length", strconv.Itoa(len(answer.body)))
-	if answer.retryAfter > 0 {
-		seconds := (answer.retryAfter + time.Second - 1) / time.Second
+	h.Set("Content-Length", strconv.Itoa(len(resp.body)))
+	if resp.retryAfter > 0 {
+		seconds := (resp.retryAfter + time.Second - 1) / time.Second
 		h.Set("Retry-After", strconv.Itoa(int(seconds)))
 	}
 	if a.Leaving() {
-		h.Set("Connection", "close") // or the client's next request comes here too
+		h.Set("Connection", "close") // otherwise the client's next request comes here too
 	}
-	w.WriteHeader(answer.status)
-	if _, err := w.Write(answer.body); err != nil {
+	w.WriteHeader(resp.status)
+	if _, err := w.Write(resp.body); err != nil {
 		a.Logger.WithError(err).Debug("answer not delivered")
 	}
 }
--- a/internal/jobapi/leaving_test.go
+++ b/internal/jobapi/leaving_test.go
@@ -10,8 +10,8 @@
 	"github.com/skylarklock/skylarklock/platform"
 )
 
-// A process that ends soon has its clients connect elsewhere, whatever it
-// answers.
+// A process that is about to stop closes its clients' connections after any answer, so
+// that they connect elsewhere.
 func TestLeavingClosesConnections(t *testing.T) {
 	for _, leaving := range []bool{false, true} {
 		api := &API{
@@ -22,7 +22,7 @@
 		}
 		w := httptest.NewRecorder()
 		api.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "http://h/q/", nil))
-		if closes := w.Header().Get("Connection") == "close"; closes != leaving {
+		if closed := w.Header().Get("Connection") == "close"; closed != leaving {
 			t.Errorf("leaving %t: Connection is %q", leaving, w.Header().Get("Connection"))
 		}
 	}
--- a/internal/jobapi/pending_test.go
+++ b/internal/jobapi/pending_test.go
@@ -16,24 +16,25 @@
 	"github.com/skylarklock/skylarklock/platform"
 )
 
-// A machine that has heard nothing for a while doesn't tell an old number.
+// A machine whose replica lags synchronises it before it answers the number of pending
+// jobs, and refuses the request if that fails.
 func TestStalePendingCountIsNotReported(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		silent time.Duration
+		lag    time.Duration
 		sync   error
 		status int
 		syncs  int
 	}{
-		{"heard of late", time.Second, nil, http.StatusOK, 0},
-		{"heard nothing, the store answers", 3 * time.Second, nil, http.StatusOK, 1},
-		{"heard nothing, the store is out of reach", 3 * time.Second, errors.New("no answer"), http.StatusServiceUnavailable, 1},
+		{"replica is current", time.Second, nil, http.StatusOK, 0},
+		{"replica lags, the store answers", 3 * time.Second, nil, http.StatusOK, 1},
+		{"replica lags, the store is unreachable", 3 * time.Second, errors.New("no answer"), http.StatusServiceUnavailable, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := replica.New(time.Minute, logging.Nop())
 				r.MarkCurrent(time.Now())
-				time.Sleep(c.silent)
+				time.Sleep(c.lag)
 				syncs := 0
 				api := &API{
 					Codec: Codec{
@@ -57,7 +58,7 @@
 				w := httptest.NewRecorder()
 				api.ServeHTTP(w, request)
 				if w.Code != c.status || syncs != c.syncs {
-					t.Errorf("answered %d after %d reads of the store, want %d after %d", w.Code, syncs, c.status, c.syncs)
+					t.Errorf("answered %d after %d synchronisations, want %d after %d", w.Code, syncs, c.status, c.syncs)
 				}
 			})
 		})
--- a/internal/jobapi/retry_test.go
+++ b/internal/jobapi/retry_test.go
@@ -16,20 +16,21 @@
 	"github.com/skylarklock/skylarklock/internal/work"
 )
 
-// refusingStore stores nothing.
+// refusingStore is a store that takes no records.
 type refusingStore struct{}
 
+// Store implements Store.
 func (refusingStore) Store(context.Context, platform.Record, time.Duration) error {
 	return intake.ErrNotStored
 }
 
-// Clients try a few times. Told to come back each second, they had no try left when
-// an outage of 5 s ended, also for jobs that could wait for 10 s and longer. So
-// they come back after a part of the job's objective, in whole seconds.
+// Retry-After is a share of the job's latency objective, in whole seconds. Guards
+// against a fixed Retry-After of 1 s: clients retry only a few times, so they had no
+// retry left when an outage of 5 s ended, even for jobs that could wait 10 s or longer.
 func TestRetryAfterFollowsTheLatencyObjective(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		work       time.Duration // estimated
+		estimate   time.Duration
 		retryAfter string
 	}{
 		{"a check of 1 s, due in 1.75 s", time.Second, "1"},
@@ -42,7 +43,7 @@
 				Remaining:   func(http.Header) (time.Duration, bool) { return 3 * time.Second, true },
 				EncodeError: func(string, time.Duration) ([]byte, error) { return []byte("{}"), nil },
 				DecodeJob: func([]byte) (*work.Job, error) {
-					return &work.Job{Steps: []work.Step{{TaskCount: 1, Estimate: c.work}}}, nil
+					return &work.Job{Steps: []work.Step{{TaskCount: 1, Estimate: c.estimate}}}, nil
 				},
 			},
 			CurrentConfig: func() *queue.Configuration {
@@ -61,16 +62,16 @@
 		w := httptest.NewRecorder()
 		api.ServeHTTP(w, request)
 		if got := w.Header().Get("Retry-After"); w.Code != http.StatusServiceUnavailable || got != c.retryAfter {
-			t.Errorf("%s: answered %d, to come back after %s s, want %s", c.name, w.Code, got, c.retryAfter)
+			t.Errorf("%s: answered %d with Retry-After %q, want %q", c.name, w.Code, got, c.retryAfter)
 		}
 	}
 }
 
-// A machine that reaches nobody refuses at once, without a try that could be carried
-// out later: the client's next try may reach a machine elsewhere.
+// A machine that is cut off refuses a job immediately, without an attempt to store it
+// that could take effect later. A retry of the client may reach another machine.
 func TestCutOffMachineRefusesImmediately(t *testing.T) {
 	store := &countingStore{}
-	cut := true
+	cutOff := true
 	api := &API{
 		Codec: Codec{
 			Remaining:   func(http.Header) (time.Duration, bool) { return 3 * time.Second, true },
@@ -86,31 +87,32 @@
 			}
 		},
 		Replica: replica.New(time.Minute, logging.Nop()),
-		CutOff:  func() bool { return cut },
+		CutOff:  func() bool { return cutOff },
 		Leaving: func() bool { return false },
 		Store:   store,
 		Logger:  logging.Nop(),
 	}
-	hand := func() *httptest.ResponseRecorder {
+	submit := func() *httptest.ResponseRecorder {
 		request := httptest.NewRequest(http.MethodPost, "/q/00000000000000ab", strings.NewReader("{}"))
 		request.Host = "h"
 		w := httptest.NewRecorder()
 		api.ServeHTTP(w, request)
 		return w
 	}
-	if w := hand(); w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") != "1" || store.tries != 0 {
-		t.Errorf("answered %d, to come back after %q s, after %d tries to store", w.Code, w.Header().Get("Retry-After"), store.tries)
+	if w := submit(); w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") != "1" || store.calls != 0 {
+		t.Errorf("cut off: answered %d with Retry-After %q after %d calls of Store, want 503, 1 and none", w.Code, w.Header().Get("Retry-After"), store.calls)
 	}
-	cut = false
-	if w := hand(); w.Code != http.StatusOK || store.tries != 1 {
-		t.Errorf("back again: answered %d after %d tries to store", w.Code, store.tries)
+	cutOff = false
+	if w := submit(); w.Code != http.StatusOK || store.calls != 1 {
+		t.Errorf("reconnected: answered %d after %d calls of Store, want 200 after one", w.Code, store.calls)
 	}
 }
 
-// countingStore stores everything.
-type countingStore struct{ tries int }
+// countingStore is a store that takes all records and counts them.
+type countingStore struct{ calls int }
 
+// Store implements Store.
 func (s *countingStore) Store(context.Context, platform.Record, time.Duration) error {
-	s.tries++
+	s.calls++
 	return nil
 }
