--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,5 +1,5 @@
-// Package cluster runs several entry nodes and the stand-ins of their outside
-// in one process, for the demo and for experiments.
+// Package cluster runs several entry nodes in one process, together with stand-ins for
+// the systems that they call. The demo and experiments use it.
 package cluster
 
 import (
@@ -17,14 +17,14 @@
 	"github.com/skylarklock/skylarklock/internal/standin/site"
 )
 
-// serveWithin bounds the wait until a cluster serves; servePoll is the time
-// between two looks.
+// serveTimeout bounds the wait until a cluster serves. servePollInterval is the time
+// between two checks.
 const (
-	serveWithin = 60 * time.Second
-	servePoll   = 50 * time.Millisecond
+	serveTimeout      = 60 * time.Second
+	servePollInterval = 50 * time.Millisecond
 )
 
-// Entry is one entry node and how to stop it.
+// Entry is an entry node of the cluster.
 type Entry struct {
 	Settings *settings.Settings
 	Node     *entry.Node
@@ -36,11 +36,11 @@
 type Cluster struct {
 	Site    *site.Site
 	Entries []*Entry
-	running sync.WaitGroup
+	nodes   sync.WaitGroup
 }
 
-// Start makes every node, so that all listen before any connects, and runs
-// them. They log to logs. The cluster owns s from now on, also after an error.
+// Start creates all nodes, so that all of them listen before any connects, and then
+// runs them. They log to logs. The cluster owns s from then on, even if Start fails.
 func Start(s *site.Site, all []*settings.Settings, logs io.Writer) (*Cluster, error) {
 	c := &Cluster{Site: s}
 	for _, e := range all {
@@ -55,6 +55,7 @@
 	return c, nil
 }
 
+// add creates an entry node, which listens but doesn't run yet.
 func (c *Cluster) add(s *settings.Settings, logs io.Writer) error {
 	log, err := logging.New(logs, s.LogLevel)
 	if err != nil {
@@ -68,31 +69,32 @@
 	return nil
 }
 
+// run runs an entry node in the background until it is stopped.
 func (c *Cluster) run(e *Entry) {
 	ctx, stop := context.WithCancel(context.Background())
 	e.Stop = stop
-	c.running.Go(func() {
+	c.nodes.Go(func() {
 		defer close(e.Done)
-		_ = e.Node.Run(ctx) // what went wrong is in the node's log
+		_ = e.Node.Run(ctx) // the node logs the error itself
 	})
 }
 
 // AwaitServing waits until every node is ready and every shard of every data
 // centre is held and confirmed.
 func (c *Cluster) AwaitServing(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, serveWithin)
+	ctx, cancel := context.WithTimeout(ctx, serveTimeout)
 	defer cancel()
 	for !c.Serving() {
 		select {
 		case <-ctx.Done():
 			return errors.Wrapf(ctx.Err(), "%d shards are held", c.HeldShards())
-		case <-time.After(servePoll):
+		case <-time.After(servePollInterval):
 		}
 	}
 	return nil
 }
 
-// Serving reports whether every node is ready and every shard held.
+// Serving reports whether every node is ready and every shard is held.
 func (c *Cluster) Serving() bool {
 	dataCentres := make(map[string]bool)
 	for _, e := range c.Entries {
@@ -104,7 +106,8 @@
 	return c.HeldShards() == len(dataCentres)*len(ownership.Shards())
 }
 
-// HeldShards counts the shards of all data centres whose hold is confirmed.
+// HeldShards returns the number of shards, over all data centres, whose hold is
+// confirmed.
 func (c *Cluster) HeldShards() int {
 	held := 0
 	for _, e := range c.Entries {
@@ -117,7 +120,7 @@
 	return held
 }
 
-// Callers returns the callers' addresses of all entry nodes.
+// Callers returns the addresses at which the entry nodes listen for callers.
 func (c *Cluster) Callers() []string {
 	var addresses []string
 	for _, e := range c.Entries {
@@ -131,6 +134,6 @@
 	for _, e := range c.Entries {
 		e.Stop()
 	}
-	c.running.Wait()
+	c.nodes.Wait()
 	c.Site.Close()
 }
