--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging sets up logrus so that each event is one line of key=value
-// pairs. Values that hold spaces, quotes or line breaks are quoted.
+// Package logging configures logrus to write each event as one line of key=value pairs.
+// Values that contain spaces, quotes or line breaks are quoted.
 package logging
 
 import (
@@ -12,13 +12,13 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// Keys of the fields that every event of a node carries.
+// Keys of the fields that all events of a node have.
 const (
 	KeyNode       = "node"
 	KeyDataCentre = "data_centre"
 )
 
-// Levels are the accepted names of levels, least talkative first.
+// Levels are the accepted names of log levels, in order of increasing verbosity.
 var Levels = []string{"error", "warning", "info", "debug"}
 
 // New returns a logger that writes to w at level, one of Levels.
@@ -39,13 +39,14 @@
 	return log, nil
 }
 
-// ForNode returns an entry of log whose events carry the node's identity.
+// ForNode returns an entry of log whose events have the node's ID and data centre as
+// fields.
 func ForNode(log *logrus.Logger, node api.NodeID, dc api.DataCentre) *logrus.Entry {
 	return log.WithFields(logrus.Fields{KeyNode: string(node), KeyDataCentre: string(dc)})
 }
 
-// Nop returns an entry whose events go nowhere, for parts that were given no
-// log and for tests.
+// Nop returns an entry that discards all events, for components without a logger and
+// for tests.
 func Nop() *logrus.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// An event is written as one line with its fields, also if a value has line breaks and
+// quotes.
 func TestEachEventIsOneLine(t *testing.T) {
 	var out bytes.Buffer
 	log, err := New(&out, "info")
@@ -17,13 +19,13 @@
 	line := out.String()
 	for _, part := range []string{`level=info`, `msg="record accepted"`, `node=n1`, `data_centre=bne1`, `detail="a=\"b\"\nlevel=error"`} {
 		if !strings.Contains(line, part) {
-			t.Errorf("no %s in %s", part, line)
+			t.Errorf("%s is missing in %s", part, line)
 		}
 	}
 	if strings.Count(line, "\n") != 1 {
-		t.Errorf("more than one line: %q", line)
+		t.Errorf("one event was written as more than one line: %q", line)
 	}
 	if _, err := New(&out, "loud"); err == nil {
-		t.Error("level loud accepted")
+		t.Error("the unknown level loud was accepted")
 	}
 }
