--- a/internal/logread/line.go
+++ b/internal/logread/line.go
@@ -1,5 +1,6 @@
-// Package logread reads the lines that the processes of a cell write (package logging), puts
-// those of all machines in order, and tells what became of a job and which line decided it.
+// Package logread reads the log lines that the processes of a cell write (package logging),
+// orders the lines of all machines, and determines a job's outcome, its cause and the line
+// that shows it.
 package logread
 
 import (
@@ -18,26 +19,26 @@
 	"github.com/skylarklock/skylarklock/internal/logging"
 )
 
-// Line is one line of a process.
+// Line is one log line of a process.
 type Line struct {
-	Number    int       // in the input, from 1
+	Number    int       // line number in the input, from 1
 	Timestamp time.Time // by the machine's clock
 	Node      string
 	Message   string
-	Epoch     uint64 // of the leader that wrote it; 0: no leader did
+	Epoch     uint64 // epoch of the leader that wrote the line; 0: not written by a leader
 	fields    map[string]string
 }
 
-// Field returns the value of a field; empty: it has none.
+// Field returns the value of a field, or the empty string if the line doesn't have it.
 func (l *Line) Field(name string) string { return l.fields[name] }
 
-// Int returns the value of a field that is a whole number.
+// Int returns the value of an integer field, and whether the line has such a field.
 func (l *Line) Int(name string) (int64, bool) {
 	n, err := strconv.ParseInt(l.fields[name], 10, 64)
 	return n, err == nil
 }
 
-// Keys of the fields that the logger itself writes, and of the leader's epoch.
+// Keys of the fields that the logger adds to each line, and of the leader's epoch.
 const (
 	keyTime    = "time"
 	keyMessage = "msg"
@@ -45,18 +46,19 @@
 	keyEpoch   = "epoch"
 )
 
-// longestLine bounds a line, in bytes; a longer one is skipped.
-const longestLine = 1 << 20
+// maxLineBytes is the maximum length of a line. Longer lines are skipped.
+const maxLineBytes = 1 << 20
 
-// Lines are the lines that were read.
+// Lines holds the log lines that were read.
 type Lines struct {
 	All     []*Line // in the order of the input
-	Skipped int     // lines that hold no event
+	Skipped int     // number of lines that hold no event
 }
 
-// Read reads lines of all machines, each machine's in the order in which it wrote them.
-// What stands before a line's time, such as a collector's prefix, is passed over. Lines
-// that hold no event are counted and skipped; it fails only where r does.
+// Read reads the log lines of any number of machines. The lines of each machine must be in
+// the order in which it wrote them. Text before the time of a line, such as the prefix of a
+// log collector, is ignored. Lines that hold no event are counted and skipped. Read fails
+// only if r does.
 func Read(r io.Reader) (*Lines, error) {
 	out := &Lines{}
 	in := bufio.NewReaderSize(r, 64<<10)
@@ -79,13 +81,13 @@
 	}
 }
 
-// readLine returns the next line without its end; only the beginning of one that is too
-// long, which holds no event then.
+// readLine returns the next line without its line break. Of a line that is too long it
+// returns only the beginning, which holds no event.
 func readLine(in *bufio.Reader) ([]byte, error) {
 	var line []byte
 	for {
 		part, err := in.ReadSlice('\n')
-		if len(line)+len(part) <= longestLine {
+		if len(line)+len(part) <= maxLineBytes {
 			line = append(line, part...)
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
@@ -122,19 +124,19 @@
 	return l
 }
 
-// mentions reports whether a value of the line names the job or a task of it.
+// mentions reports whether any field of the line names the job or one of its tasks.
 func (l *Line) mentions(job string) bool {
 	for _, value := range l.fields {
-		if names(value, job) {
+		if containsJobID(value, job) {
 			return true
 		}
 	}
 	return false
 }
 
-// names reports whether a value holds a job's ID as a word of its own, also as the beginning
-// of a task's name.
-func names(value, job string) bool {
+// containsJobID reports whether one of the words of a value is the job's ID or the name of
+// one of its tasks, which begins with the ID.
+func containsJobID(value, job string) bool {
 	for _, word := range strings.Fields(value) {
 		if word == job || strings.HasPrefix(word, job+".") {
 			return true
@@ -143,8 +145,7 @@
 	return false
 }
 
-// Describe returns the message with the fields that belong to the event itself, in the order
-// of their names.
+// Describe returns the message and the event's own fields, sorted by name.
 func (l *Line) Describe() string {
 	var out strings.Builder
 	out.WriteString(l.Message)
--- a/internal/logread/logread_test.go
+++ b/internal/logread/logread_test.go
@@ -9,18 +9,19 @@
 	"time"
 )
 
-// Jobs of the tests' lines.
+// Jobs that the lines of the tests name.
 const (
 	jobA = "00000000000000a1"
 	jobB = "00000000000000b2"
 )
 
-// at formats a line of a machine at a second of the day.
+// at formats a log line that a machine wrote at a second after 15:00.
 func at(second float64, node, rest string) string {
 	t := time.Date(2026, 9, 6, 15, 0, 0, 0, time.UTC).Add(time.Duration(second * float64(time.Second)))
 	return fmt.Sprintf("time=%q level=info %s node=%s data_centre=z1\n", t.Format(time.RFC3339Nano), rest, node)
 }
 
+// mustRead reads lines and fails the test if that fails.
 func mustRead(t *testing.T, text string) *Lines {
 	t.Helper()
 	lines, err := Read(strings.NewReader(text))
@@ -30,21 +31,25 @@
 	return lines
 }
 
+// A line is read with and without a collector's prefix and without a final line break.
+// Lines that hold no event or are too long are skipped.
 func TestLinesAreReadWithAndWithoutAPrefix(t *testing.T) {
 	lines := mustRead(t, "  10.7137 front-1 "+at(1, "n1", `msg="job ended" job=`+jobA+` epoch=7 ended_ms=12 detail="a=\"b\" c"`)+
-		"no event\n\n"+at(2, "n1", `msg=`)+strings.Repeat("x", longestLine+1)+"\n"+strings.TrimSuffix(at(3, "n2", `msg=plain`), "\n"))
+		"no event\n\n"+at(2, "n1", `msg=`)+strings.Repeat("x", maxLineBytes+1)+"\n"+strings.TrimSuffix(at(3, "n2", `msg=plain`), "\n"))
 	if len(lines.All) != 2 || lines.Skipped != 3 {
 		t.Fatalf("%d lines and %d skipped, want 2 and 3", len(lines.All), lines.Skipped)
 	}
 	l := lines.All[0]
 	if n, ok := l.Int("ended_ms"); l.Message != "job ended" || l.Node != "n1" || l.Epoch != 7 || l.Number != 1 || n != 12 || !ok || l.Field("detail") != `a="b" c` {
-		t.Errorf("read as %+v", l)
+		t.Errorf("line 1 read as %+v", l)
 	}
 	if l := lines.All[1]; l.Number != 6 || l.Message != "plain" {
 		t.Errorf("last line without an end read as %+v", l)
 	}
 }
 
+// The lines of each machine keep their order, and lines of a leader come after the first
+// line of the leader before it, although clocks differ and jump.
 func TestLinesAreOrderedDespiteClockSkew(t *testing.T) {
 	// n2's clock is 20 s behind, and n1's jumps back.
 	lines := mustRead(t, at(10, "n1", `msg="this process leads the cell" epoch=1`)+
@@ -65,48 +70,49 @@
 }
 
 func TestTraceJob(t *testing.T) {
-	took := func(advised, started, ended int, state string) string {
+	jobEnded := func(advised, started, ended int, state string) string {
 		return fmt.Sprintf(`msg="job ended" job=%s queue=q epoch=5 advised_ms=%d started_ms=%d ended_ms=%d state=%s`, jobA, advised, started, ended, state)
 	}
 	for _, c := range []struct {
-		name    string
-		lines   string
-		outcome Outcome
-		cause   Cause
-		decided int // number of the line; 0: none
+		name         string
+		lines        string
+		outcome      Outcome
+		cause        Cause
+		decisiveLine int // line number; 0: none
 	}{
-		{"nothing", at(1, "n1", `msg="job ended" job=`+jobB), NotMentioned, CauseUnknown, 0},
-		{"in time", at(1, "n1", took(20, 40, 900, "completed")), Completed, CauseRunTime, 1},
-		{"waited for advice", at(9, "n1", took(7487, 7502, 9182, "completed")), Completed, CauseAdviceWait, 1},
-		{"waited for room", at(9, "n1", took(200, 7502, 9182, "completed")), Completed, CauseCapacityWait, 1},
-		{"a new leader", at(3, "n2", `msg="this process begins to plan for the cell" epoch=5`) + at(9, "n2", took(6000, 6100, 8900, "completed")), Completed, CauseNoLeader, 1},
-		{"taken over", at(3, "n2", `msg="this process begins to plan for the cell" epoch=5`) + at(9, "n2", took(-1, -1, 8900, "completed")), Completed, CauseTakeover, 1},
-		{"lost with an executor", at(3, "n1", `msg="executor is lost with its runs" epoch=5 lost="`+jobB+`.0.0.1/1:3 `+jobA+`.0.0.0/1:10"`) + at(9, "n1", took(20, 40, 8000, "completed")), Completed, CauseExecutorLost, 1},
-		{"attempts", at(9, "n1", took(20, 40, 900, "failed")), Failed, CauseMaxAttempts, 1},
-		{"crashes", at(8, "n1", `msg="job is given up: executors were lost under one of its tasks again and again" job=`+jobA+` task=`+jobA+`.0.0.0 epoch=5`) + at(9, "n1", took(20, 40, 9000, "failed")), Failed, CauseCrashes, 1},
-		{"cancelled", at(9, "n1", took(20, 40, 900, "cancelled")), Cancelled, CauseClientCancelled, 1},
-		{"refused thrice", at(1, "n1", `msg="request not confirmed" error="the store has been silent for a while" answered=503 job=`+jobA) + at(2, "n2", `msg="request not confirmed" error="the store has been silent for a while" answered=503 job=`+jobA), Refused, CauseStore, 2},
-		{"unknown, then done", at(1, "n1", `msg="request not confirmed" error="context deadline exceeded" answered=504 job=`+jobA) + at(9, "n1", took(20, 40, 900, "completed")), Completed, CauseRunTime, 2},
-		{"unknown", at(1, "n1", `msg="request not confirmed" error="context deadline exceeded" answered=504 job=`+jobA), Unknown, CauseStore, 1},
+		{"no line names the job", at(1, "n1", `msg="job ended" job=`+jobB), NotMentioned, CauseUnknown, 0},
+		{"completed without delay", at(1, "n1", jobEnded(20, 40, 900, "completed")), Completed, CauseRunTime, 1},
+		{"waited for advice", at(9, "n1", jobEnded(7487, 7502, 9182, "completed")), Completed, CauseAdviceWait, 1},
+		{"waited for capacity", at(9, "n1", jobEnded(200, 7502, 9182, "completed")), Completed, CauseCapacityWait, 1},
+		{"waited for a new leader", at(3, "n2", `msg="this process begins to plan for the cell" epoch=5`) + at(9, "n2", jobEnded(6000, 6100, 8900, "completed")), Completed, CauseNoLeader, 1},
+		{"taken over by another leader", at(3, "n2", `msg="this process begins to plan for the cell" epoch=5`) + at(9, "n2", jobEnded(-1, -1, 8900, "completed")), Completed, CauseTakeover, 1},
+		{"lost with an executor", at(3, "n1", `msg="executor is lost with its runs" epoch=5 lost="`+jobB+`.0.0.1/1:3 `+jobA+`.0.0.0/1:10"`) + at(9, "n1", jobEnded(20, 40, 8000, "completed")), Completed, CauseExecutorLost, 1},
+		{"failed in all attempts", at(9, "n1", jobEnded(20, 40, 900, "failed")), Failed, CauseMaxAttempts, 1},
+		{"crashed its executors", at(8, "n1", `msg="job is given up: executors were lost under one of its tasks again and again" job=`+jobA+` task=`+jobA+`.0.0.0 epoch=5`) + at(9, "n1", jobEnded(20, 40, 9000, "failed")), Failed, CauseCrashes, 1},
+		{"cancelled", at(9, "n1", jobEnded(20, 40, 900, "cancelled")), Cancelled, CauseClientCancelled, 1},
+		{"refused twice", at(1, "n1", `msg="request not confirmed" error="the store has been silent for a while" answered=503 job=`+jobA) + at(2, "n2", `msg="request not confirmed" error="the store has been silent for a while" answered=503 job=`+jobA), Refused, CauseStore, 2},
+		{"outcome unknown, then completed", at(1, "n1", `msg="request not confirmed" error="context deadline exceeded" answered=504 job=`+jobA) + at(9, "n1", jobEnded(20, 40, 900, "completed")), Completed, CauseRunTime, 2},
+		{"outcome unknown", at(1, "n1", `msg="request not confirmed" error="context deadline exceeded" answered=504 job=`+jobA), Unknown, CauseStore, 1},
 		{"its client left", at(1, "n1", `msg="request not confirmed" error="context canceled" answered=504 job=`+jobA), Unknown, CauseClientLeft, 1},
 		{"too much waits", at(1, "n1", `msg="job refused: too much waits" short_of=room job=`+jobA), Refused, CauseAdmission, 1},
-		{"full link", at(1, "n1", `msg="job refused: this machine's link is full" job=`+jobA), Refused, CauseLinkFull, 1},
-		{"cut off", at(1, "n1", `msg="request refused: this machine is cut off" job=`+jobA), Refused, CauseCutOff, 1},
+		{"leader's link is full", at(1, "n1", `msg="job refused: this machine's link is full" job=`+jobA), Refused, CauseLinkFull, 1},
+		{"machine is cut off", at(1, "n1", `msg="request refused: this machine is cut off" job=`+jobA), Refused, CauseCutOff, 1},
 		{"no such job", at(1, "n1", `msg="no such job" job=`+jobA), NotFound, CauseUnknown, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := TraceJob(mustRead(t, c.lines).Ordered(), jobA)
-			decided := 0
-			if s.DecisiveEvent != nil {
-				decided = s.DecisiveEvent.Number
+			trace := TraceJob(mustRead(t, c.lines).Ordered(), jobA)
+			decisiveLine := 0
+			if trace.DecisiveEvent != nil {
+				decisiveLine = trace.DecisiveEvent.Number
 			}
-			if s.Outcome != c.outcome || s.Cause != c.cause || decided != c.decided {
-				t.Errorf("%s: %s by line %d, want %s: %s by line %d", s.Outcome, s.Cause, decided, c.outcome, c.cause, c.decided)
+			if trace.Outcome != c.outcome || trace.Cause != c.cause || decisiveLine != c.decisiveLine {
+				t.Errorf("%s: %s by line %d, want %s: %s by line %d", trace.Outcome, trace.Cause, decisiveLine, c.outcome, c.cause, c.decisiveLine)
 			}
 		})
 	}
 }
 
+// A line that names several jobs counts for each of them, and each job is counted once.
 func TestTallyCountsEachJobOnce(t *testing.T) {
 	lines := mustRead(t, at(1, "n1", `msg="executor is lost with its runs" epoch=5 lost="`+jobA+`.0.0.0/1:10 `+jobB+`.0.0.0/1:7"`)+
 		at(2, "n1", `msg="job ended" queue=q epoch=5 advised_ms=1 started_ms=2 ended_ms=900 state=completed job=`+jobA)+
@@ -118,7 +124,7 @@
 	}
 }
 
-// Whatever stands in the lines, a machine's own never change their order.
+// The lines of a machine keep their order whatever the lines of all machines contain.
 func TestOrderPreservesEachMachinesLines(t *testing.T) {
 	const seeds = 200
 	for seed := range uint64(seeds) {
--- a/internal/logread/order.go
+++ b/internal/logread/order.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// Event is a line with its time in the order of all lines.
+// Event is a line with its position in the common order of all lines.
 type Event struct {
 	*Line
-	// Time is the line's time by a clock that all machines share, as far as the lines tell:
-	// a machine's own lines never go back, and what a leader wrote comes after what
-	// leaders before it wrote when they began.
+	// Time is the line's time on a clock common to all machines, as far as the lines allow
+	// to reconstruct it: it never decreases over the lines of a machine, and the lines of a
+	// leader come after the first lines of all leaders with lower epochs.
 	Time time.Time
 }
 
-// Ordered returns the lines in an order that contradicts no cause that they tell, with
-// clocks corrected for that. Clocks of machines may jump and differ.
+// Ordered returns the lines in an order that is consistent with the causality that they
+// show. The clocks of machines may jump and differ, so they are corrected accordingly.
 func (l *Lines) Ordered() []Event {
-	shift := make(map[string]time.Duration) // by machine
-	last := make(map[string]time.Time)      // corrected, of its newest line
-	began := make(map[uint64]time.Time)     // corrected, when a leader began, by epoch
+	clockOffset := make(map[string]time.Duration) // correction, by machine
+	lastTime := make(map[string]time.Time)        // corrected time of the newest line, by machine
+	startTimes := make(map[uint64]time.Time)      // corrected time of a leader's first line, by epoch
 	events := make([]Event, 0, len(l.All))
-	for _, line := range l.leadersFirst() {
-		at := line.Timestamp.Add(shift[line.Node])
-		floor := last[line.Node]
+	for _, line := range l.mergeByEpoch() {
+		at := line.Timestamp.Add(clockOffset[line.Node])
+		earliest := lastTime[line.Node]
 		if line.Epoch > 0 {
-			floor = later(floor, latestBefore(began, line.Epoch))
+			earliest = later(earliest, latestStartBefore(startTimes, line.Epoch))
 		}
-		if at.Before(floor) {
-			shift[line.Node] += floor.Sub(at)
-			at = floor
+		if at.Before(earliest) {
+			clockOffset[line.Node] += earliest.Sub(at)
+			at = earliest
 		}
-		last[line.Node] = at
-		if _, known := began[line.Epoch]; line.Epoch > 0 && !known {
-			began[line.Epoch] = at
+		lastTime[line.Node] = at
+		if _, known := startTimes[line.Epoch]; line.Epoch > 0 && !known {
+			startTimes[line.Epoch] = at
 		}
 		events = append(events, Event{Line: line, Time: at})
 	}
@@ -44,9 +44,10 @@
 	return events
 }
 
-// leadersFirst returns the lines so that each machine's keep their order and those of a
-// leader come after the beginnings of leaders with lower epochs, where both can be had.
-func (l *Lines) leadersFirst() []*Line {
+// mergeByEpoch merges the lines of all machines. The lines of each machine keep their
+// order. As far as that allows, the lines of a leader come after the first lines of leaders
+// with lower epochs.
+func (l *Lines) mergeByEpoch() []*Line {
 	queues := make(map[string][]*Line)
 	var nodes []string
 	for _, line := range l.All {
@@ -59,7 +60,7 @@
 	for len(out) < len(l.All) {
 		next := ""
 		for _, node := range nodes {
-			if len(queues[node]) > 0 && (next == "" || before(queues[node][0], queues[next][0])) {
+			if len(queues[node]) > 0 && (next == "" || precedes(queues[node][0], queues[next][0])) {
 				next = node
 			}
 		}
@@ -69,18 +70,18 @@
 	return out
 }
 
-// before reports whether a line is taken before another machine's.
-func before(a, b *Line) bool {
+// precedes reports whether line a is merged before line b of another machine.
+func precedes(a, b *Line) bool {
 	if a.Epoch > 0 && b.Epoch > 0 && a.Epoch != b.Epoch {
 		return a.Epoch < b.Epoch
 	}
 	return a.Timestamp.Before(b.Timestamp)
 }
 
-// latestBefore returns when the last leader before an epoch began.
-func latestBefore(began map[uint64]time.Time, epoch uint64) time.Time {
+// latestStartBefore returns the latest start time of the leaders with lower epochs.
+func latestStartBefore(startTimes map[uint64]time.Time, epoch uint64) time.Time {
 	var latest time.Time
-	for e, at := range began {
+	for e, at := range startTimes {
 		if e < epoch {
 			latest = later(latest, at)
 		}
@@ -88,6 +89,7 @@
 	return latest
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return b
--- a/internal/logread/tally.go
+++ b/internal/logread/tally.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Count is how many jobs of a queue had an outcome for a cause.
+// Count is the number of jobs of a queue with the same outcome and cause.
 type Count struct {
 	Queue   string
 	Outcome Outcome
@@ -14,27 +14,27 @@
 	Jobs    int
 }
 
-// Tally tells the stories of all jobs that the lines name by themselves, and counts them, the
-// most frequent first.
+// Tally traces each job that the lines name and counts the jobs by queue, outcome and
+// cause, in order of decreasing count.
 func Tally(events []Event) []Count {
-	of := make(map[string][]Event) // the lines that concern a job, by its ID
-	var cell []Event
+	byJob := make(map[string][]Event) // the lines that name a job, by its ID
+	var cellEvents []Event
 	for _, e := range events {
 		if e.concernsCell() {
-			cell = append(cell, e)
+			cellEvents = append(cellEvents, e)
 		}
-		for _, job := range e.jobs() {
-			of[job] = append(of[job], e)
+		for _, job := range e.jobIDs() {
+			byJob[job] = append(byJob[job], e)
 		}
 	}
 	counts := make(map[Count]int)
-	for job, own := range of {
-		all := slices.Concat(own, cell)
+	for job, own := range byJob {
+		all := slices.Concat(own, cellEvents)
 		slices.SortStableFunc(all, func(a, b Event) int {
 			return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.Number, b.Number))
 		})
-		s := TraceJob(all, job)
-		counts[Count{Queue: s.Queue, Outcome: s.Outcome, Cause: s.Cause}]++
+		t := TraceJob(all, job)
+		counts[Count{Queue: t.Queue, Outcome: t.Outcome, Cause: t.Cause}]++
 	}
 	out := make([]Count, 0, len(counts))
 	for c, n := range counts {
@@ -48,8 +48,8 @@
 	return out
 }
 
-// jobs returns the IDs of the jobs that a line names.
-func (l *Line) jobs() []string {
+// jobIDs returns the IDs of the jobs that a line names as job, task, step or lost run.
+func (l *Line) jobIDs() []string {
 	var ids []string
 	add := func(text string) {
 		id, _, _ := strings.Cut(text, ".")
