--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -1,7 +1,7 @@
-// Package counter counts refusals, retries and waits by reason, over expvar.
+// Package counter counts refusals, retries and waits by reason, using expvar.
 //
-// Each node owns a Set, so that several nodes in one process don't mix their
-// counts and nothing is registered twice.
+// Each node owns a Set, so that the counts of several nodes in one process are
+// separate and no expvar name is registered twice.
 package counter
 
 import (
@@ -12,21 +12,21 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// Set holds the counters of one node, grouped by the part that counts. Its
-// methods may be called from any goroutine.
+// Set holds the counters of one node, grouped by component. It is safe for
+// concurrent use.
 type Set struct {
 	groups expvar.Map // of *expvar.Map
-	mu     sync.Mutex // serialises the creation of groups
+	mu     sync.Mutex // serializes the creation of groups
 }
 
-// NewSet returns an empty set that is not yet published.
+// NewSet returns an empty set that is not published yet.
 func NewSet() *Set {
 	s := &Set{}
 	s.groups.Init()
 	return s
 }
 
-// Inc adds one to the counter of reason in group.
+// Inc adds 1 to the counter of reason in group.
 func (s *Set) Inc(group string, reason api.Reason) {
 	s.Add(group, reason, 1)
 }
@@ -36,7 +36,7 @@
 	s.group(group).Add(string(reason), n)
 }
 
-// Value returns the count of reason in group; zero when never counted.
+// Value returns the count of reason in group, or 0 if it was never counted.
 func (s *Set) Value(group string, reason api.Reason) int64 {
 	g, ok := s.groups.Get(group).(*expvar.Map)
 	if !ok {
@@ -49,16 +49,16 @@
 	return n.Value()
 }
 
-// String returns all counters as JSON; Set is an expvar.Var.
+// String returns all counters as JSON. It implements expvar.Var.
 func (s *Set) String() string {
 	return s.groups.String()
 }
 
-// Publish registers the set with expvar under name. It fails when the name
-// is taken in this process.
+// Publish registers the set with expvar under name. It fails if the name is
+// already registered in this process.
 func (s *Set) Publish(name string) error {
-	publishing.Lock()
-	defer publishing.Unlock()
+	publishMu.Lock()
+	defer publishMu.Unlock()
 	if expvar.Get(name) != nil {
 		return fmt.Errorf("counter: expvar name %q is taken", name)
 	}
@@ -66,10 +66,11 @@
 	return nil
 }
 
-// publishing makes the check and the registration one step; expvar.Publish
-// ends the process on a name that is taken.
-var publishing sync.Mutex
+// publishMu makes the check and the registration in Publish atomic, because
+// expvar.Publish ends the process if the name is already registered.
+var publishMu sync.Mutex
 
+// group returns the counters of a group and creates the group if necessary.
 func (s *Set) group(name string) *expvar.Map {
 	if g, ok := s.groups.Get(name).(*expvar.Map); ok {
 		return g
