--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,7 +1,6 @@
-// Package history records what callers, operators and the outside systems saw
-// of a run of several entry VMs, and checks the complete record against what
-// must always hold. The checkers are pure; each returns every violation that
-// it finds.
+// Package history records what callers, operators and external systems observe
+// while several entry VMs run, and checks the complete record against invariants.
+// The checkers have no side effects, and each returns all violations that it finds.
 package history
 
 import (
@@ -15,73 +14,73 @@
 	"github.com/skylarklock/skylarklock/internal/standin/worker"
 )
 
-// Violation is one breach of what must hold.
+// Violation is a violated invariant.
 type Violation struct {
-	Rule    string // the checker's name
+	Rule    string // name of the invariant
 	Subject string // the request, endpoint, task, VM, key or job
 	Detail  string
 }
 
-// String formats v for a report.
+// String formats the violation for a report.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s: %s: %s", v.Rule, v.Subject, v.Detail)
 }
 
-// Request is one copy of a request and what its caller was told.
+// Request is one copy of a request and the answer that its caller got.
 type Request struct {
 	ID         string
 	Idempotent bool
 	Body       []byte        // as sent
 	Start, End time.Duration // since the start of the recorder
-	Outcome    api.Outcome   // empty when no whole answer came
+	Outcome    api.Outcome   // empty if no complete answer arrived
 	Reason     api.Reason
 	Status     int
 	Answer     []byte
 	Checksum   string // from the answer's trailer
 }
 
-// Publication is one publication of a record.
+// Publication is one publication of a configuration record.
 type Publication struct {
 	Entry      string
 	Key        string
 	Value      string // the spec, as published
 	BasedOn    api.Revision
 	Start, End time.Duration
-	Answer     api.PublishAnswer // no outcome: the answer was lost
+	Answer     api.PublishAnswer // without an outcome if the answer was lost
 }
 
-// Reading is one look at a record in force at one entry VM.
+// Reading is the record in force for a key, as read once at one entry VM.
 type Reading struct {
 	Entry    string
 	Key      string
 	At       time.Duration
-	Revision api.Revision // zero: there is none
+	Revision api.Revision // 0: no record in force
 	Value    string
-	Final    bool // read when all publications were long over
+	Final    bool // read long after the last publication
 }
 
-// LeavingNotice says when a VM or an endpoint on it was announced to be leaving.
+// LeavingNotice is the announcement that a VM, or an endpoint on it, is leaving.
 type LeavingNotice struct {
-	Endpoint api.EndpointID // empty: the VM's tasks are meant
+	Endpoint api.EndpointID // empty: the notice applies to the VM's tasks
 	VM       api.VMID
 	At       time.Time
 }
 
-// Job is a job whose submission was answered, and what became of it.
+// Job is a submitted job and its outcome.
 type Job struct {
 	Spec      api.JobSpec
-	Submitted api.Outcome // empty when the answer was lost
-	Cancelled bool        // a cancellation was accepted
-	Tasks     map[string]uint32
+	Submitted api.Outcome       // empty if the answer was lost
+	Cancelled bool              // a cancellation was accepted
+	Tasks     map[string]uint32 // number of tasks by state
 }
 
-// Endpoint is an endpoint as announced, with its record.
+// Endpoint is an endpoint as announced, with what its executor recorded.
 type Endpoint struct {
 	Spec api.Endpoint
 	executor.Record
 }
 
-// History is the complete record of a run.
+// History is the complete record of a test run.
 type History struct {
 	Requests       []Request
 	Publications   []Publication
@@ -90,10 +89,10 @@
 	Jobs           []Job
 	Endpoints      []Endpoint
 	Workers        []worker.Record
-	End            time.Time // when Endpoints and Workers were read
+	End            time.Time // when the records in Endpoints and Workers were read
 }
 
-// Recorder gathers a history. It is safe for concurrent use.
+// Recorder records a history. It is safe for concurrent use.
 type Recorder struct {
 	start time.Time
 
@@ -106,7 +105,7 @@
 	return &Recorder{start: time.Now()}
 }
 
-// Now returns the monotonic time since the start of the recorder.
+// Now returns the monotonic time since the recorder was created.
 func (r *Recorder) Now() time.Duration {
 	return time.Since(r.start)
 }
@@ -125,30 +124,30 @@
 	r.history.Publications = append(r.history.Publications, p)
 }
 
-// AddReading adds one look at a record. Those of one entry VM are added in the
-// order in which they were made.
+// AddReading adds a reading. Readings at one entry VM must be added in the order in
+// which they were made.
 func (r *Recorder) AddReading(x Reading) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history.Readings = append(r.history.Readings, x)
 }
 
-// AddLeavingNotice adds the announcement that a VM or endpoint is leaving.
+// AddLeavingNotice adds a leaving notice.
 func (r *Recorder) AddLeavingNotice(l LeavingNotice) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history.LeavingNotices = append(r.history.LeavingNotices, l)
 }
 
-// AddJob adds what became of a job.
+// AddJob adds a job and its outcome.
 func (r *Recorder) AddJob(j Job) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history.Jobs = append(r.history.Jobs, j)
 }
 
-// History returns what was recorded, without the records of the outside
-// systems.
+// History returns what was recorded so far. It lacks the records of external systems:
+// Endpoints, Workers and End.
 func (r *Recorder) History() History {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -161,14 +160,14 @@
 	return h
 }
 
-// Limits are the bounds that the checkers hold a run against.
+// Limits are the bounds that the checkers apply.
 type Limits struct {
-	MaxConnections     int           // most at one endpoint
-	LeavingGracePeriod time.Duration // longest time of new work after a leaving was announced
-	MaxAttempts        int           // most runs that one copy of an idempotent request may cause
+	MaxConnections     int           // maximum of connections to one endpoint
+	LeavingGracePeriod time.Duration // how long new work may start after a leaving notice
+	MaxAttempts        int           // maximum of runs per copy of an idempotent request
 }
 
-// Check runs every checker.
+// Check runs all checkers.
 func Check(h History, l Limits) []Violation {
 	return slices.Concat(
 		CheckAtMostOnce(h.Requests, h.Endpoints),
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -15,10 +15,11 @@
 
 var t0 = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
+// at returns the time some seconds after the start of the history.
 func at(seconds int) time.Time { return t0.Add(time.Duration(seconds) * time.Second) }
 
-// asked is one copy of a request that was answered with o.
-func asked(id string, idempotent bool, o api.Outcome) Request {
+// request returns one copy of a request that was answered with outcome o.
+func request(id string, idempotent bool, o api.Outcome) Request {
 	r := Request{ID: id, Idempotent: idempotent, Body: []byte("body"), Outcome: o}
 	if o == api.OutcomeRan {
 		r.Status, r.Answer = 200, []byte(id+"\nbody")
@@ -27,7 +28,8 @@
 	return r
 }
 
-// endpoint has runs of ids that started at the given seconds.
+// endpoint returns an endpoint with runs by request ID that started at the given seconds
+// and took 1 s each.
 func endpoint(id string, runs map[string][]int) Endpoint {
 	ep := Endpoint{
 		Spec:   api.Endpoint{ID: api.EndpointID(id), Slots: 8, Connections: 60},
@@ -41,6 +43,7 @@
 	return ep
 }
 
+// attempt returns the run of an attempt of a task of job j; end 0: it has not ended.
 func attempt(vm string, index, attempt uint32, start, end int, state platform.RunState) worker.Run {
 	run := worker.Run{VM: api.VMID(vm), Task: api.TaskID{Job: "j", Index: index}, Attempt: attempt, Start: at(start), State: state}
 	if end > 0 {
@@ -49,11 +52,13 @@
 	return run
 }
 
+// vm returns the record of a VM whose capacity was fully used at some time.
 func vm(id string, runs ...worker.Run) worker.Record {
-	full := api.Resources{MilliCPU: 4}
-	return worker.Record{VM: api.VMID(id), Capacity: full, MaxInUse: full, Runs: runs}
+	capacity := api.Resources{MilliCPU: 4}
+	return worker.Record{VM: api.VMID(id), Capacity: capacity, MaxInUse: capacity, Runs: runs}
 }
 
+// publish returns a publication for key k.
 func publish(start, end int, basedOn api.Revision, value string, outcome api.PublishOutcome, revision, inForce api.Revision) Publication {
 	return Publication{
 		Key: "k", Value: value, BasedOn: basedOn, Start: time.Duration(start), End: time.Duration(end),
@@ -61,15 +66,15 @@
 	}
 }
 
-// sound returns a history without a violation, in which every checker has
-// something to look at.
-func sound() History {
+// validHistory returns a history without violations that contains records for every
+// checker.
+func validHistory() History {
 	job := Job{Spec: api.JobSpec{ID: "j", Tasks: 2}, Submitted: api.OutcomeRan, Cancelled: true, Tasks: map[string]uint32{"finished": 1, "cancelled": 1}}
 	return History{
 		Requests: []Request{
-			asked("once", false, api.OutcomeRan), asked("once", false, api.OutcomeUnknown),
-			asked("never", false, api.OutcomeNotRun), asked("never", false, ""),
-			asked("retried", true, api.OutcomeRan), asked("retried", true, api.OutcomeNotRun),
+			request("once", false, api.OutcomeRan), request("once", false, api.OutcomeUnknown),
+			request("never", false, api.OutcomeNotRun), request("never", false, ""),
+			request("retried", true, api.OutcomeRan), request("retried", true, api.OutcomeNotRun),
 		},
 		Endpoints:      []Endpoint{endpoint("a", map[string][]int{"once": {1}, "retried": {1, 2}}), endpoint("b", map[string][]int{"retried": {3}})},
 		LeavingNotices: []LeavingNotice{{Endpoint: "a", VM: "v", At: at(1)}, {VM: "v", At: at(5)}},
@@ -92,17 +97,18 @@
 
 var limits = Limits{MaxConnections: 60, LeavingGracePeriod: 2 * time.Second, MaxAttempts: 3}
 
+// No checker finds a violation in a valid history.
 func TestValidHistoryPasses(t *testing.T) {
-	for _, v := range Check(sound(), limits) {
+	for _, v := range Check(validHistory(), limits) {
 		t.Error(v)
 	}
 }
 
-// TestInjectedViolationsAreFound breaks a sound history in one place at a time.
+// Each violation that is injected into a valid history is found by its checker.
 func TestInjectedViolationsAreFound(t *testing.T) {
 	for _, row := range []struct {
-		want  string
-		plant func(h *History)
+		want   string
+		inject func(h *History)
 	}{
 		{"at-most-once: once: it ran 2", func(h *History) { h.Endpoints[1] = endpoint("b", map[string][]int{"once": {9}}) }},
 		{"at-most-once: ghost: it ran, but nobody", func(h *History) { h.Endpoints[1] = endpoint("b", map[string][]int{"ghost": {9}}) }},
@@ -135,14 +141,14 @@
 		{"jobs: j: task 1 runs on", func(h *History) { h.Workers[0].Runs[1].End = time.Time{} }},
 		{"jobs: j: cancelled, but no task", func(h *History) { h.Jobs[0].Tasks = map[string]uint32{"finished": 1, "failed": 1} }},
 	} {
-		h := sound()
-		row.plant(&h)
-		caught := false
+		h := validHistory()
+		row.inject(&h)
+		found := false
 		for _, v := range Check(h, limits) {
-			caught = caught || strings.HasPrefix(v.String(), row.want)
+			found = found || strings.HasPrefix(v.String(), row.want)
 		}
-		if !caught {
-			t.Errorf("not caught: %s; found %v", row.want, Check(h, limits))
+		if !found {
+			t.Errorf("no violation with prefix %q; found %v", row.want, Check(h, limits))
 		}
 	}
 }
--- a/internal/history/register.go
+++ b/internal/history/register.go
@@ -9,37 +9,37 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// inForce is the state of one key: the revision in force or, after a
-// publication that was accepted without its publisher being told, one that is
+// registerState is a possible state of one key: the revision in force. After a
+// publication that took effect without its publisher getting the answer, the revision is
 // only known to be above Revision.
-type inForce struct {
+type registerState struct {
 	Revision      api.Revision
 	AboveRevision bool
 }
 
-// is reports whether r may be the revision in force.
-func (s inForce) is(r api.Revision) bool {
+// mayBe reports whether r may be the revision in force.
+func (s registerState) mayBe(r api.Revision) bool {
 	return !s.AboveRevision && r == s.Revision || s.AboveRevision && r > s.Revision
 }
 
-// registerModel is one key of the configuration as a compare-and-set register.
+// registerModel models one key of the configuration as a compare-and-set register.
 var registerModel = porcupine.NondeterministicModel{
-	Init: func() []any { return []any{inForce{}} },
+	Init: func() []any { return []any{registerState{}} },
 	Step: func(state, input, output any) []any {
-		return step(state.(inForce), input.(Publication), output.(api.PublishAnswer))
+		return stepRegister(state.(registerState), input.(Publication), output.(api.PublishAnswer))
 	},
 }
 
-// step returns what may be in force after p was answered.
-func step(s inForce, p Publication, answer api.PublishAnswer) []any {
+// stepRegister returns the states that are possible after p got the given answer.
+func stepRegister(s registerState, p Publication, answer api.PublishAnswer) []any {
 	switch answer.Outcome {
 	case api.PublishAccepted:
-		if s.is(p.BasedOn) && answer.Revision > p.BasedOn {
-			return []any{inForce{Revision: answer.Revision}}
+		if s.mayBe(p.BasedOn) && answer.Revision > p.BasedOn {
+			return []any{registerState{Revision: answer.Revision}}
 		}
 		return nil
 	case api.PublishConflict:
-		// The entry VM may lag, so what it names in force may have gone.
+		// The entry VM may lag, so the revision that it names may not be in force any more.
 		if s.AboveRevision || s.Revision != p.BasedOn && answer.InForce <= s.Revision {
 			return []any{s}
 		}
@@ -47,20 +47,20 @@
 	case api.PublishInvalid, api.PublishNotWritten:
 		return []any{s}
 	}
-	if s.is(p.BasedOn) {
-		return []any{s, inForce{Revision: p.BasedOn, AboveRevision: true}}
+	if s.mayBe(p.BasedOn) {
+		return []any{s, registerState{Revision: p.BasedOn, AboveRevision: true}}
 	}
 	return []any{s}
 }
 
-// CheckRegister finds keys whose publications don't behave as those of one
+// CheckRegister finds keys whose publications are not linearizable as operations on one
 // compare-and-set register.
-func CheckRegister(publishes []Publication) []Violation {
+func CheckRegister(publications []Publication) []Violation {
 	byKey := make(map[string][]porcupine.Operation)
-	for i, p := range publishes {
+	for i, p := range publications {
 		end := int64(p.End)
-		if open(p.Answer) {
-			end = math.MaxInt64 // it may come to be accepted at any time
+		if mayStillBeAccepted(p.Answer) {
+			end = math.MaxInt64 // it may take effect at any later time
 		}
 		byKey[p.Key] = append(byKey[p.Key], porcupine.Operation{
 			ClientId: i, Input: p, Output: p.Answer, Call: int64(p.Start), Return: end,
@@ -76,17 +76,18 @@
 	return found
 }
 
-// open reports whether a publication may still come to be accepted.
-func open(a api.PublishAnswer) bool {
+// mayStillBeAccepted reports whether a publication may still be accepted after this
+// answer.
+func mayStillBeAccepted(a api.PublishAnswer) bool {
 	return a.Outcome == "" || a.Outcome == api.PublishUnsettled
 }
 
-// CheckNoReverts finds entry VMs that showed an older record after a newer one,
-// revisions that were seen with two values, and final readings that show an
-// older record than one that was accepted.
-func CheckNoReverts(publishes []Publication, readings []Reading) []Violation {
+// CheckNoReverts finds entry VMs that showed an older record after a newer one, revisions
+// that were seen with two values, and final readings that are older than an accepted
+// publication.
+func CheckNoReverts(publications []Publication, readings []Reading) []Violation {
 	const rule = "no-reverts"
-	type place struct{ entry, key string }
+	type location struct{ entry, key string }
 	type version struct {
 		key      string
 		revision api.Revision
@@ -94,15 +95,15 @@
 	var found []Violation
 	latest := make(map[string]api.Revision)
 	values := make(map[version]string)
-	for _, p := range publishes {
+	for _, p := range publications {
 		if p.Answer.Outcome == api.PublishAccepted {
 			values[version{p.Key, p.Answer.Revision}] = p.Value
 			latest[p.Key] = max(latest[p.Key], p.Answer.Revision)
 		}
 	}
-	shown := make(map[place]api.Revision)
+	shown := make(map[location]api.Revision)
 	for _, r := range readings {
-		at, v := place{r.Entry, r.Key}, version{r.Key, r.Revision}
+		at, v := location{r.Entry, r.Key}, version{r.Key, r.Revision}
 		if r.Revision < shown[at] {
 			found = append(found, Violation{rule, r.Key, fmt.Sprintf("%s showed %d after %d", r.Entry, r.Revision, shown[at])})
 		}
--- a/internal/history/requests.go
+++ b/internal/history/requests.go
@@ -10,10 +10,10 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// failedBody is what a stand-in answers when it is told to fail.
+// failedBody is the body with which a stand-in answers a request that it is set to fail.
 const failedBody = "failed\n"
 
-// runsByID counts the runs of each request id over all endpoints.
+// runsByID returns the number of runs of each request ID over all endpoints.
 func runsByID(endpoints []Endpoint) map[string]int {
 	runs := make(map[string]int)
 	for _, ep := range endpoints {
@@ -24,7 +24,7 @@
 	return runs
 }
 
-// copiesByID groups requests by id.
+// copiesByID groups requests by ID.
 func copiesByID(requests []Request) map[string][]Request {
 	copies := make(map[string][]Request)
 	for _, r := range requests {
@@ -33,8 +33,8 @@
 	return copies
 }
 
-// CheckAtMostOnce finds non-idempotent ids that ran more than once, and runs of
-// ids that nobody sent.
+// CheckAtMostOnce finds non-idempotent requests that ran more than once, and runs of
+// request IDs that were never sent.
 func CheckAtMostOnce(requests []Request, endpoints []Endpoint) []Violation {
 	const rule = "at-most-once"
 	copies := copiesByID(requests)
@@ -45,35 +45,34 @@
 		case len(sent) == 0:
 			found = append(found, Violation{rule, id, "it ran, but nobody sent it"})
 		case runs > 1 && slices.ContainsFunc(sent, func(r Request) bool { return !r.Idempotent }):
-			found = append(found, Violation{rule, id, fmt.Sprintf("it ran %d times; its callers: %s", runs, told(sent))})
+			found = append(found, Violation{rule, id, fmt.Sprintf("it ran %d times; its callers: %s", runs, describeOutcomes(sent))})
 		}
 	}
 	return found
 }
 
-// CheckNotRun finds answers "not-run" that are untrue. Of a non-idempotent request
-// the answer speaks of the id, so that no copy ever ran. Of an idempotent one
-// it speaks of that copy, so that the other copies account for every run, each
-// for at most attempts.
+// CheckNotRun finds requests with a false answer "not-run". For a non-idempotent request
+// the answer applies to the request ID: no copy may have run. For an idempotent request it
+// applies to the copy only: each of the other copies accounts for at most attempts runs.
 func CheckNotRun(requests []Request, endpoints []Endpoint, attempts int) []Violation {
 	runs := runsByID(endpoints)
 	var found []Violation
 	for id, copies := range copiesByID(requests) {
-		refused := count(copies, api.OutcomeNotRun)
-		most := attempts * (len(copies) - refused)
+		refused := countOutcome(copies, api.OutcomeNotRun)
+		maxRuns := attempts * (len(copies) - refused)
 		if !copies[0].Idempotent {
-			most = 0
+			maxRuns = 0
 		}
-		if refused > 0 && runs[id] > most {
-			detail := fmt.Sprintf("it ran %d times; its callers: %s", runs[id], told(copies))
+		if refused > 0 && runs[id] > maxRuns {
+			detail := fmt.Sprintf("it ran %d times; its callers: %s", runs[id], describeOutcomes(copies))
 			found = append(found, Violation{"not-run", id, detail})
 		}
 	}
 	return found
 }
 
-// CheckAnswers finds answers "ran" that are not the whole answer of an
-// endpoint to that very request.
+// CheckAnswers finds requests that were answered "ran" but did not run, or whose answer is
+// not the complete answer of an endpoint to that request.
 func CheckAnswers(requests []Request, endpoints []Endpoint) []Violation {
 	const rule = "whole-answer"
 	runs := runsByID(endpoints)
@@ -92,6 +91,8 @@
 	return found
 }
 
+// answerFault describes how the answer to a request that ran differs from the expected
+// one; empty: it doesn't.
 func answerFault(r Request) string {
 	want := append([]byte(r.ID+"\n"), r.Body...)
 	switch {
@@ -107,8 +108,8 @@
 	return ""
 }
 
-// CheckEndpointLimits finds endpoints that had more requests running than slots,
-// or more connections than the smaller of their own bound and connections.
+// CheckEndpointLimits finds endpoints that had more requests in progress than slots, or
+// more connections than connections or their own limit allow.
 func CheckEndpointLimits(endpoints []Endpoint, connections int) []Violation {
 	const rule = "endpoint-limits"
 	var found []Violation
@@ -116,15 +117,16 @@
 		if ep.MaxRequests > ep.Spec.Slots {
 			found = append(found, Violation{rule, string(ep.Spec.ID), fmt.Sprintf("%d requests in %d slots", ep.MaxRequests, ep.Spec.Slots)})
 		}
-		most := min(connections, ep.Spec.Connections)
-		if ep.MaxConnections > most {
-			found = append(found, Violation{rule, string(ep.Spec.ID), fmt.Sprintf("%d connections, at most %d", ep.MaxConnections, most)})
+		maxConnections := min(connections, ep.Spec.Connections)
+		if ep.MaxConnections > maxConnections {
+			found = append(found, Violation{rule, string(ep.Spec.ID), fmt.Sprintf("%d connections, at most %d", ep.MaxConnections, maxConnections)})
 		}
 	}
 	return found
 }
 
-func count(copies []Request, o api.Outcome) int {
+// countOutcome returns the number of copies with the given outcome.
+func countOutcome(copies []Request, o api.Outcome) int {
 	n := 0
 	for _, r := range copies {
 		if r.Outcome == o {
@@ -134,8 +136,8 @@
 	return n
 }
 
-// told lists what the callers of the copies were told.
-func told(copies []Request) string {
+// describeOutcomes formats the times and outcomes of the copies.
+func describeOutcomes(copies []Request) string {
 	var b bytes.Buffer
 	for _, r := range copies {
 		fmt.Fprintf(&b, "[%v-%v %s %s]", r.Start, r.End, r.Outcome, r.Reason)
--- a/internal/history/tasks.go
+++ b/internal/history/tasks.go
@@ -12,7 +12,7 @@
 	"github.com/skylarklock/skylarklock/internal/standin/worker"
 )
 
-// runsByTask groups the attempts on all VMs by task, in order of their start.
+// runsByTask groups the runs on all VMs by task, in order of their start.
 func runsByTask(workers []worker.Record) map[api.TaskID][]worker.Run {
 	runs := make(map[api.TaskID][]worker.Run)
 	for _, w := range workers {
@@ -26,13 +26,13 @@
 	return runs
 }
 
-// CheckExclusiveRuns finds tasks of which two attempts ran at the same time, and
-// attempts that ran twice. An attempt without an end ran until end.
+// CheckExclusiveRuns finds tasks of which two attempts ran at the same time, and attempts
+// that ran twice. An attempt without an end counts as running until end.
 func CheckExclusiveRuns(workers []worker.Record, end time.Time) []Violation {
 	const rule = "one-place"
 	var found []Violation
 	for task, runs := range runsByTask(workers) {
-		var last worker.Run // of those so far, the one that ended last
+		var last worker.Run // the run that ended last so far
 		attempts := make(map[uint32]bool)
 		for i, run := range runs {
 			if run.End.IsZero() {
@@ -41,10 +41,10 @@
 			if i > 0 && run.Start.Before(last.End) {
 				detail := fmt.Sprintf("attempt %d on %s until %v, attempt %d on %s from %v",
 					last.Attempt, last.VM, last.End, run.Attempt, run.VM, run.Start)
-				found = append(found, Violation{rule, name(task), detail})
+				found = append(found, Violation{rule, taskName(task), detail})
 			}
 			if attempts[run.Attempt] {
-				found = append(found, Violation{rule, name(task), fmt.Sprintf("attempt %d ran twice", run.Attempt)})
+				found = append(found, Violation{rule, taskName(task), fmt.Sprintf("attempt %d ran twice", run.Attempt)})
 			}
 			attempts[run.Attempt] = true
 			if i == 0 || run.End.After(last.End) {
@@ -55,7 +55,7 @@
 	return found
 }
 
-// CheckCapacity finds VMs that were given more than they hold.
+// CheckCapacity finds VMs whose resources in use exceeded their capacity.
 func CheckCapacity(workers []worker.Record) []Violation {
 	var found []Violation
 	for _, w := range workers {
@@ -66,24 +66,24 @@
 	return found
 }
 
-// CheckNoNewWork finds work that was started on an endpoint or VM later than
-// within after it was announced to be leaving.
-func CheckNoNewWork(leavings []LeavingNotice, endpoints []Endpoint, workers []worker.Record, within time.Duration) []Violation {
+// CheckNoNewWork finds requests and tasks that started on a leaving endpoint or VM later
+// than gracePeriod after the leaving notice.
+func CheckNoNewWork(notices []LeavingNotice, endpoints []Endpoint, workers []worker.Record, gracePeriod time.Duration) []Violation {
 	const rule = "leaving"
 	var found []Violation
-	late := func(subject, work string, start, announced time.Time) {
-		if after := start.Sub(announced); after > within {
+	checkStart := func(subject, work string, start, announced time.Time) {
+		if after := start.Sub(announced); after > gracePeriod {
 			found = append(found, Violation{rule, subject, fmt.Sprintf("%s started %v after", work, after)})
 		}
 	}
-	for _, l := range leavings {
+	for _, l := range notices {
 		for _, ep := range endpoints {
 			if l.Endpoint == "" || ep.Spec.ID != l.Endpoint {
 				continue
 			}
 			for id, runs := range ep.Runs {
 				for _, run := range runs {
-					late(string(ep.Spec.ID), id, run.Start, l.At)
+					checkStart(string(ep.Spec.ID), id, run.Start, l.At)
 				}
 			}
 		}
@@ -92,16 +92,16 @@
 				continue
 			}
 			for _, run := range w.Runs {
-				late(string(w.VM), name(run.Task), run.Start, l.At)
+				checkStart(string(w.VM), taskName(run.Task), run.Start, l.At)
 			}
 		}
 	}
 	return found
 }
 
-// CheckJobs finds accepted jobs that did not come to their end, tasks
-// reported as finished that never ended well on a VM, jobs that ran although
-// they were answered as not taken, and tasks of cancelled jobs that run on.
+// CheckJobs finds accepted jobs that have not ended, tasks that were reported as finished
+// but never succeeded on a VM, jobs that ran although their submission was answered
+// "not-run", and tasks that are still running.
 func CheckJobs(jobs []Job, workers []worker.Record) []Violation {
 	const rule = "jobs"
 	byJob := make(map[api.JobID][]worker.Run)
@@ -117,6 +117,7 @@
 	return found
 }
 
+// jobFaults describes how the reported outcome of a job contradicts the runs of its tasks.
 func jobFaults(j Job, runs []worker.Run) []string {
 	var faults []string
 	if j.Submitted == api.OutcomeNotRun && len(runs) > 0 {
@@ -125,24 +126,24 @@
 	total := uint32(0)
 	for _, state := range slices.Sorted(maps.Keys(j.Tasks)) {
 		total += j.Tasks[state]
-		if !terminal(state) {
+		if !isTerminal(state) {
 			faults = append(faults, fmt.Sprintf("%d tasks are still %s", j.Tasks[state], state))
 		}
 	}
 	if j.Submitted == api.OutcomeRan && total != j.Spec.Tasks {
 		faults = append(faults, fmt.Sprintf("%d tasks are told of, it has %d", total, j.Spec.Tasks))
 	}
-	well := make(map[api.TaskID]bool)
+	succeeded := make(map[api.TaskID]bool)
 	for _, run := range runs {
 		if run.State == platform.RunSucceeded {
-			well[run.Task] = true
+			succeeded[run.Task] = true
 		}
 		if run.End.IsZero() {
 			faults = append(faults, fmt.Sprintf("task %d runs on, on %s", run.Task.Index, run.VM))
 		}
 	}
-	if finished := j.Tasks[api.TaskFinished.String()]; int(finished) > len(well) {
-		faults = append(faults, fmt.Sprintf("%d tasks are told as finished, %d ended well", finished, len(well)))
+	if finished := j.Tasks[api.TaskFinished.String()]; int(finished) > len(succeeded) {
+		faults = append(faults, fmt.Sprintf("%d tasks are told as finished, %d ended well", finished, len(succeeded)))
 	}
 	if pending := total - j.Tasks[api.TaskFinished.String()]; j.Cancelled && pending > 0 && j.Tasks[api.TaskCancelled.String()] == 0 {
 		faults = append(faults, "cancelled, but no task is told as cancelled")
@@ -150,12 +151,13 @@
 	return faults
 }
 
-// terminal reports whether a task in the named state never changes again.
-func terminal(state string) bool {
+// isTerminal reports whether a task state, given by name, is final.
+func isTerminal(state string) bool {
 	return slices.ContainsFunc([]api.TaskState{api.TaskFinished, api.TaskFailed, api.TaskCancelled},
 		func(s api.TaskState) bool { return s.String() == state })
 }
 
-func name(t api.TaskID) string {
+// taskName formats a task as job ID and index.
+func taskName(t api.TaskID) string {
 	return fmt.Sprintf("%s/%d", cmp.Or(t.Job, "?"), t.Index)
 }
