--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -19,15 +19,15 @@
 	DefaultMaxMissingTime = 10 * time.Minute
 )
 
-// Config holds the settings of Merge. Zero fields take their defaults.
+// Config configures Merge. Zero fields take their defaults.
 type Config struct {
-	GracePeriod    time.Duration // a missing VM is kept that long
-	MaxShrink      float64       // share of the VMs missing above which the list is doubted, 0 to 1
-	MinMissing     int           // fewer missing VMs never cast doubt on the list
-	MaxMissingTime time.Duration // a missing VM is dropped after it, even if it answers
+	GracePeriod    time.Duration // how long a missing VM is kept
+	MaxShrink      float64       // share of missing VMs above which the list is not trusted, 0 to 1
+	MinMissing     int           // with fewer missing VMs the list is always trusted
+	MaxMissingTime time.Duration // how long a missing VM is kept at most, even if it answers
 }
 
-// WithDefaults returns c with its zero fields filled in.
+// WithDefaults returns c with its zero fields set to the defaults.
 func (c Config) WithDefaults() Config {
 	defaults.Set(&c.GracePeriod, DefaultGracePeriod)
 	defaults.Set(&c.MaxShrink, DefaultMaxShrink)
@@ -36,7 +36,8 @@
 	return c
 }
 
-// Validate adds the faults of c to findings, with paths below path.
+// Validate adds the invalid fields of c to findings. The paths of the fields begin with
+// path.
 func (c Config) Validate(path string, findings *finding.List) {
 	findings.Check(c.GracePeriod >= 0, path+".grace", c.GracePeriod, "a duration that is not negative")
 	findings.Check(c.MaxShrink >= 0 && c.MaxShrink <= 1, path+".max_shrink", c.MaxShrink, "a share from 0 to 1")
@@ -44,29 +45,29 @@
 	findings.Check(c.MaxMissingTime >= 0, path+".max_suspense", c.MaxMissingTime, "a duration that is not negative")
 }
 
-// Entry is what is believed of one VM.
+// Entry is the known state of one VM.
 type Entry struct {
 	VM           api.VM
-	MissingSince time.Time // since when it is missing from the list; zero when listed
+	MissingSince time.Time // when it was first missing from the list; zero if it is listed
 	LastAnswer   time.Time // when the VM or one of its endpoints last answered; zero: never
-	LastFailure  time.Time // when it was last tried in vain; zero: never
+	LastFailure  time.Time // when a contact last failed; zero: never
 }
 
 // IsMissing reports whether the VM is missing from the list.
 func (e Entry) IsMissing() bool { return !e.MissingSince.IsZero() }
 
-// IsUnresponsive reports whether the VM did not answer when it was last tried. One
-// that was not tried at all is not silent: nobody may have had work for it.
+// IsUnresponsive reports whether the last contact with the VM failed. A VM that was never
+// contacted is not unresponsive, since there may have been no work for it.
 func (e Entry) IsUnresponsive() bool { return e.LastFailure.After(e.LastAnswer) }
 
-// View is what is believed of the VMs of one data centre. The zero value
-// knows none. A view is never changed; Merge returns a new one.
+// View is the known state of the VMs of one data centre. The zero value contains no VM.
+// Merge and ApplyContacts never modify a view, but return a new one.
 type View struct {
 	Entries   map[api.VMID]Entry
-	Untrusted bool // the last list was cut so short that it is not believed
+	Untrusted bool // the last list lacked so many VMs that it is not trusted
 }
 
-// EventType says what changed.
+// EventType is the type of a change between two views.
 type EventType string
 
 // Types of events.
@@ -74,22 +75,22 @@
 	EventAdded         EventType = "vm_added"
 	EventLeaving       EventType = "vm_leaving"
 	EventChanged       EventType = "vm_changed" // address, capacity or endpoints
-	EventMissing       EventType = "vm_missing" // kept as a suspect
+	EventMissing       EventType = "vm_missing" // not listed any more, but kept for now
 	EventReturned      EventType = "vm_returned"
 	EventDropped       EventType = "vm_dropped"
 	EventListUntrusted EventType = "vm_list_doubted"
-	EventListTrusted   EventType = "vm_list_believed" // again, after it was doubted
+	EventListTrusted   EventType = "vm_list_believed" // trusted again
 )
 
 // Event is one change between two views.
 type Event struct {
 	Type EventType
-	VM   api.VMID // empty for events of the list
+	VM   api.VMID // empty for events about the list
 }
 
-// Merge returns what is believed at now, given what was believed and a new
-// list. Call it with a nil list and listed false while the platform can't be
-// reached: everything is kept. Events are in order of VM.
+// Merge returns the view at time now, given the previous view and a new list. If the
+// platform can't be reached, call it with a nil list and listed false; the previous view
+// is kept then. The events are sorted by VM.
 func Merge(cfg Config, prev View, list []api.VM, listed bool, now time.Time) (View, []Event) {
 	if !listed {
 		return prev, nil
@@ -102,19 +103,19 @@
 		now:  now,
 	}
 	for _, vm := range list {
-		m.take(vm)
+		m.addListed(vm)
 	}
-	m.judgeList()
+	m.checkShrinkage()
 	for _, id := range slices.Sorted(maps.Keys(prev.Entries)) {
 		if _, ok := m.next.Entries[id]; !ok {
-			m.suspect(id)
+			m.handleMissing(id)
 		}
 	}
 	slices.SortStableFunc(m.events, func(a, b Event) int { return cmp.Compare(a.VM, b.VM) })
 	return m.next, m.events
 }
 
-// merge is one run of Merge.
+// merge is the state of one call of Merge.
 type merge struct {
 	cfg    Config
 	prev   View
@@ -123,29 +124,29 @@
 	events []Event
 }
 
-// note records an event.
-func (m *merge) note(kind EventType, id api.VMID) {
-	m.events = append(m.events, Event{Type: kind, VM: id})
+// addEvent appends an event.
+func (m *merge) addEvent(eventType EventType, id api.VMID) {
+	m.events = append(m.events, Event{Type: eventType, VM: id})
 }
 
-// take believes what the list says of a VM.
-func (m *merge) take(vm api.VM) {
+// addListed adds a listed VM to the new view.
+func (m *merge) addListed(vm api.VM) {
 	old, known := m.prev.Entries[vm.ID]
 	m.next.Entries[vm.ID] = Entry{VM: vm, LastAnswer: old.LastAnswer, LastFailure: old.LastFailure}
 	switch {
 	case !known:
-		m.note(EventAdded, vm.ID)
+		m.addEvent(EventAdded, vm.ID)
 	case old.IsMissing():
-		m.note(EventReturned, vm.ID)
+		m.addEvent(EventReturned, vm.ID)
 	}
 	if vm.State == api.VMLeaving && old.VM.State != api.VMLeaving {
-		m.note(EventLeaving, vm.ID)
+		m.addEvent(EventLeaving, vm.ID)
 	} else if known && !sameVM(old.VM, vm) {
-		m.note(EventChanged, vm.ID)
+		m.addEvent(EventChanged, vm.ID)
 	}
 }
 
-// sameVM reports whether nothing that matters differs.
+// sameVM reports whether two VMs are equal in all fields that matter here.
 func sameVM(a, b api.VM) bool {
 	sameEndpoints := slices.Equal(a.Endpoints, b.Endpoints)
 	a.Endpoints, b.Endpoints = nil, nil
@@ -153,9 +154,9 @@
 		a.Address == b.Address && a.Capacity == b.Capacity && a.State == b.State
 }
 
-// judgeList doubts a list from which too many VMs are missing at once. VMs
-// that were leaving are expected to go.
-func (m *merge) judgeList() {
+// checkShrinkage marks the view as untrusted if too many VMs are missing from the list at
+// once. VMs that were leaving don't count, since they are expected to disappear.
+func (m *merge) checkShrinkage() {
 	missing, expected := 0, 0
 	for id, old := range m.prev.Entries {
 		if old.VM.State == api.VMLeaving {
@@ -170,28 +171,28 @@
 	m.next.Untrusted = tooMany && missing >= m.cfg.MinMissing
 	switch {
 	case m.next.Untrusted && !m.prev.Untrusted:
-		m.note(EventListUntrusted, "")
+		m.addEvent(EventListUntrusted, "")
 	case !m.next.Untrusted && m.prev.Untrusted:
-		m.note(EventListTrusted, "")
+		m.addEvent(EventListTrusted, "")
 	}
 }
 
-// suspect keeps or drops a VM that is missing from the list.
-func (m *merge) suspect(id api.VMID) {
+// handleMissing keeps or drops a VM that is missing from the list.
+func (m *merge) handleMissing(id api.VMID) {
 	entry := m.prev.Entries[id]
 	if !entry.IsMissing() {
 		entry.MissingSince = m.now
-		m.note(EventMissing, id)
+		m.addEvent(EventMissing, id)
 	}
-	if m.drops(entry) {
-		m.note(EventDropped, id)
+	if m.shouldDrop(entry) {
+		m.addEvent(EventDropped, id)
 		return
 	}
 	m.next.Entries[id] = entry
 }
 
-// drops decides whether a missing VM is given up.
-func (m *merge) drops(e Entry) bool {
+// shouldDrop reports whether a missing VM is dropped from the view.
+func (m *merge) shouldDrop(e Entry) bool {
 	missing := m.now.Sub(e.MissingSince)
 	if missing < m.cfg.GracePeriod {
 		return false
@@ -202,15 +203,15 @@
 	return !m.next.Untrusted || e.IsUnresponsive()
 }
 
-// Contact is the result of reaching a VM or one of its endpoints. Any answer,
-// a refusal too, counts.
+// Contact is the result of a call to a VM or one of its endpoints. Any answer counts as
+// answered, also a refusal.
 type Contact struct {
 	VM       api.VMID
 	At       time.Time
 	Answered bool
 }
 
-// ApplyContacts returns a view that takes contacts into account.
+// ApplyContacts returns a copy of the view that is updated with contacts.
 func (v View) ApplyContacts(contacts []Contact) View {
 	next := View{Entries: maps.Clone(v.Entries), Untrusted: v.Untrusted}
 	for _, c := range contacts {
@@ -229,8 +230,8 @@
 	return next
 }
 
-// Endpoints returns the endpoints of all VMs, in order of their ids. Those on
-// a VM that leaves are marked as leaving.
+// Endpoints returns the endpoints of all VMs, sorted by ID. Endpoints on a leaving VM are
+// marked as leaving.
 func (v View) Endpoints() []api.Endpoint {
 	var all []api.Endpoint
 	for _, entry := range v.Entries {
--- a/internal/directory/doc.go
+++ b/internal/directory/doc.go
@@ -1,8 +1,10 @@
-// Package directory decides what to believe of the platform's VM list.
+// Package directory decides which VMs of the platform's VM list to use.
 //
-// The list lags and may be cut short. A VM that is missing from it is kept as
-// a suspect for a grace time; when many go missing at once, all of them are
-// kept unless they fail to answer. The list's marks that a VM or an endpoint
-// leaves are believed at once; an endpoint's own word reaches the router first. The decision is pure: Merge takes what was believed, what
-// is listed and the time, and returns what is believed now.
+// The list lags and may be truncated. A VM that is missing from it is therefore kept for
+// a grace period. If many VMs go missing at once, all of them are kept unless they don't
+// answer. Marks in the list that a VM or an endpoint is leaving apply immediately; what
+// an endpoint itself announces reaches the router first.
+//
+// The package does no I/O: Merge takes the previous view, the new list and the time, and
+// returns the new view.
 package directory
