--- a/internal/defaults/defaults.go
+++ b/internal/defaults/defaults.go
@@ -1,7 +1,7 @@
-// Package defaults fills in settings that were left out.
+// Package defaults sets defaults for settings that were omitted.
 package defaults
 
-// Set puts value in field when the field is zero.
+// Set assigns value to field if the field is zero.
 func Set[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
