--- a/api/config.go
+++ b/api/config.go
@@ -8,8 +8,8 @@
 	// Revision while this binary doesn't understand the newest record, and
 	// zero when it understands none or the key is deleted.
 	InForce Revision `json:"in_force"`
-	// Fault says why the newest record isn't understood; empty when it is.
-	Fault string `json:"fault,omitempty"`
+	// DecodeError says why the newest record isn't understood; empty when it is.
+	DecodeError string `json:"fault,omitempty"`
 }
 
 // PublishOutcome says what became of a published record.
--- a/api/explain.go
+++ b/api/explain.go
@@ -15,11 +15,11 @@
 	Tasks  map[string]int `json:"tasks,omitempty"`  // of a job: tasks by state
 	// History holds what happened, oldest first. Equal events that follow
 	// each other are one line with a count; old lines may be missing.
-	History []HistoryLine `json:"history,omitempty"`
+	History []HistoryEvent `json:"history,omitempty"`
 }
 
-// HistoryLine is one event of a task or job, or a run of equal ones.
-type HistoryLine struct {
+// HistoryEvent is one event of a task or job, or a run of equal ones.
+type HistoryEvent struct {
 	Age    time.Duration `json:"age_ns"` // of the latest, on the clock of the answering entry VM
 	Event  string        `json:"event"`  // such as "started", "preempted", "waiting"
 	Task   *uint32       `json:"task,omitempty"`
--- a/api/outcome.go
+++ b/api/outcome.go
@@ -84,12 +84,12 @@
 
 // Unknown returns the answer for a request that may have run.
 func Unknown(reason Reason, detail string) *Refusal {
-	return UnknownRetry(reason, 0, detail)
+	return UnknownWithRetry(reason, 0, detail)
 }
 
-// UnknownRetry returns the answer for a request of which a copy may have run
+// UnknownWithRetry returns the answer for a request of which a copy may have run
 // or may yet run. Asking again with the same id after retryAfter is safe and
 // may bring another word.
-func UnknownRetry(reason Reason, retryAfter time.Duration, detail string) *Refusal {
+func UnknownWithRetry(reason Reason, retryAfter time.Duration, detail string) *Refusal {
 	return &Refusal{Outcome: OutcomeUnknown, Reason: reason, RetryAfter: retryAfter, Detail: detail}
 }
--- a/api/record.go
+++ b/api/record.go
@@ -29,18 +29,18 @@
 
 // ServiceSpec says how requests of a service are routed, in schema version 2.
 type ServiceSpec struct {
-	Service       string       `json:"service"`
-	RoutingPolicy string       `json:"routing_policy"` // "least-loaded" or "baseline"
-	TimeoutMs     int64        `json:"timeout_ms"`     // when the caller names none
-	MaxAttempts   int          `json:"max_attempts"`
-	RetryBudget   float64      `json:"retry_budget"` // retries per request, 0 to 1
-	QueueLength   int          `json:"queue_length"` // per entry VM
-	QueueMs       int64        `json:"queue_ms"`     // longest wait in the queue
-	MaxBodyBytes  int64        `json:"max_body_bytes"`
-	MaxAnswer     int64        `json:"max_answer_bytes"`
-	CallerShare   float64      `json:"caller_share"` // share of the slots one caller may use under contention
-	DataCentres   []DataCentre `json:"data_centres,omitempty"`
-	Job           *JobSpec     `json:"job,omitempty"` // tasks of the service, when the cell runs them
+	Service        string       `json:"service"`
+	RoutingPolicy  string       `json:"routing_policy"` // "least-loaded" or "baseline"
+	TimeoutMs      int64        `json:"timeout_ms"`     // when the caller names none
+	MaxAttempts    int          `json:"max_attempts"`
+	RetryBudget    float64      `json:"retry_budget"` // retries per request, 0 to 1
+	QueueLength    int          `json:"queue_length"` // per entry VM
+	QueueTimeoutMs int64        `json:"queue_ms"`     // longest wait in the queue
+	MaxBodyBytes   int64        `json:"max_body_bytes"`
+	MaxAnswerBytes int64        `json:"max_answer_bytes"`
+	CallerShare    float64      `json:"caller_share"` // share of the slots one caller may use under contention
+	DataCentres    []DataCentre `json:"data_centres,omitempty"`
+	Job            *JobSpec     `json:"job,omitempty"` // tasks of the service, when the cell runs them
 }
 
 // PolicySpec tunes placement.
@@ -63,8 +63,8 @@
 
 // LimitsSpec bounds one caller.
 type LimitsSpec struct {
-	Caller      string  `json:"caller"` // "*" for callers without a record
-	RatePerSec  float64 `json:"rate_per_second"`
-	Burst       int     `json:"burst"`
-	Concurrency int     `json:"concurrency"`
+	Caller        string  `json:"caller"` // "*" for callers without a record
+	RatePerSecond float64 `json:"rate_per_second"`
+	Burst         int     `json:"burst"`
+	Concurrency   int     `json:"concurrency"`
 }
--- a/api/resources.go
+++ b/api/resources.go
@@ -26,8 +26,8 @@
 	return r
 }
 
-// Times returns r multiplied by n.
-func (r Resources) Times(n int64) Resources {
+// Mul returns r multiplied by n.
+func (r Resources) Mul(n int64) Resources {
 	r.MilliCPU *= n
 	r.MemoryMB *= n
 	r.Accelerators *= n
@@ -44,8 +44,8 @@
 	return r.MilliCPU == 0 && r.MemoryMB == 0 && r.Accelerators == 0
 }
 
-// Negative reports whether any field is below zero.
-func (r Resources) Negative() bool {
+// HasNegative reports whether any field is below zero.
+func (r Resources) HasNegative() bool {
 	return r.MilliCPU < 0 || r.MemoryMB < 0 || r.Accelerators < 0
 }
 
--- a/api/status.go
+++ b/api/status.go
@@ -26,7 +26,7 @@
 	Applied      uint64        `json:"applied"`          // offset after the last applied record
 	ConfirmedAge time.Duration `json:"confirmed_age_ns"` // since the last read that reached the end; negative: never
 	Backlog      int           `json:"backlog"`          // entries that wait to be appended
-	Fault        string        `json:"fault,omitempty"`
+	Error        string        `json:"fault,omitempty"`
 }
 
 // MemberStatus is one entry VM of the data centre as this one sees it.
--- a/api/task.go
+++ b/api/task.go
@@ -62,40 +62,40 @@
 	return "invalid"
 }
 
-// Terminal reports whether a task in state s never changes again.
-func (s TaskState) Terminal() bool {
+// IsTerminal reports whether a task in state s never changes again.
+func (s TaskState) IsTerminal() bool {
 	return s >= TaskFinished
 }
 
-// Holds reports whether a task in state s may occupy its VM's resources.
-func (s TaskState) Holds() bool {
+// HoldsResources reports whether a task in state s may occupy its VM's resources.
+func (s TaskState) HoldsResources() bool {
 	return s == TaskStarting || s == TaskRunning || s == TaskStopping
 }
 
 // Reasons why a task or job waits, was moved or was given up.
 const (
-	ReasonQuota         Reason = "quota_exceeded"
-	ReasonFairShare     Reason = "fair_share"
-	ReasonNoCapacity    Reason = "no_capacity"
-	ReasonNeverFits     Reason = "never_fits"
-	ReasonSpread        Reason = "spread"
-	ReasonQuarantine    Reason = "worker_quarantined"
-	ReasonGangWaiting   Reason = "gang_waiting"
-	ReasonBehindGang    Reason = "behind_gang"
-	ReasonPreempted     Reason = "preempted"
-	ReasonDrained       Reason = "drained"
-	ReasonLeaseLapsed   Reason = "lease_lapsed"
-	ReasonWorkerLost    Reason = "worker_lost"
-	ReasonWorkerRestart Reason = "worker_restarted"
-	ReasonTaskFailed    Reason = "task_failed"
-	ReasonFailsAnywhere Reason = "fails_everywhere"
-	ReasonOveruse       Reason = "overuse"
-	ReasonOverrun       Reason = "overrun"
-	ReasonCancelled     Reason = "cancelled"
-	ReasonStaleEpoch    Reason = "stale_epoch"
-	ReasonDuplicate     Reason = "duplicate"
-	ReasonConflict      Reason = "conflict"
-	ReasonUnknownJob    Reason = "unknown_job"
-	ReasonUnknownVM     Reason = "unknown_vm"
-	ReasonWrongState    Reason = "wrong_state"
+	ReasonQuota           Reason = "quota_exceeded"
+	ReasonFairShare       Reason = "fair_share"
+	ReasonNoCapacity      Reason = "no_capacity"
+	ReasonNeverFits       Reason = "never_fits"
+	ReasonSpread          Reason = "spread"
+	ReasonQuarantine      Reason = "worker_quarantined"
+	ReasonGangWaiting     Reason = "gang_waiting"
+	ReasonBehindGang      Reason = "behind_gang"
+	ReasonPreempted       Reason = "preempted"
+	ReasonDrained         Reason = "drained"
+	ReasonLeaseExpired    Reason = "lease_lapsed"
+	ReasonWorkerLost      Reason = "worker_lost"
+	ReasonWorkerRestart   Reason = "worker_restarted"
+	ReasonTaskFailed      Reason = "task_failed"
+	ReasonFailsEverywhere Reason = "fails_everywhere"
+	ReasonOveruse         Reason = "overuse"
+	ReasonOverrun         Reason = "overrun"
+	ReasonCancelled       Reason = "cancelled"
+	ReasonStaleEpoch      Reason = "stale_epoch"
+	ReasonDuplicate       Reason = "duplicate"
+	ReasonConflict        Reason = "conflict"
+	ReasonUnknownJob      Reason = "unknown_job"
+	ReasonUnknownVM       Reason = "unknown_vm"
+	ReasonWrongState      Reason = "wrong_state"
 )
--- a/cmd/skylarklock/main_test.go
+++ b/cmd/skylarklock/main_test.go
@@ -87,7 +87,7 @@
 	t.Fatalf("waited in vain: %s", what)
 }
 
-func TestWholePathAsSeparateProcesses(t *testing.T) {
+func TestEndToEndWithSeparateProcesses(t *testing.T) {
 	s, err := site.Start(site.Config{
 		DataCentres: []api.DataCentre{"dc-a"}, VMs: 3, VMsPerRack: 2,
 		Capacity: api.Resources{MilliCPU: 32_000, MemoryMB: 64 << 10},
@@ -164,7 +164,7 @@
 	}
 }
 
-func TestBadSettingsAreReportedTogether(t *testing.T) {
+func TestInvalidSettingsAreReportedTogether(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "bad.json")
 	bad := `{"node_id":"","data_centre":"x","listen":{"callers":"localhost:80"},"unknown":1}`
 	if err := os.WriteFile(path, []byte(bad), 0o600); err != nil {
@@ -183,7 +183,7 @@
 }
 
 // A second signal ends the process at once, whatever is still in flight.
-func TestSecondSignalEndsAtOnce(t *testing.T) {
+func TestSecondSignalTerminatesImmediately(t *testing.T) {
 	s, err := site.Start(site.Config{
 		DataCentres: []api.DataCentre{"dc-a"}, VMs: 1, Capacity: api.Resources{MilliCPU: 1000, MemoryMB: 1000},
 	})
--- a/internal/capacity/cell.go
+++ b/internal/capacity/cell.go
@@ -48,7 +48,7 @@
 func vmsEntry(vms int) journal.Entry {
 	seen := make([]cell.SeenVM, vms)
 	for i := range seen {
-		seen[i] = cell.SeenVM{ID: vmName(i), Rack: fmt.Sprint("r", i/8), Capacity: taskSize.Times(1 << 20)}
+		seen[i] = cell.SeenVM{ID: vmName(i), Rack: fmt.Sprint("r", i/8), Capacity: taskSize.Mul(1 << 20)}
 	}
 	return cell.VMsEntry(1, seen, nil)
 }
--- a/internal/capacity/exchange.go
+++ b/internal/capacity/exchange.go
@@ -39,7 +39,7 @@
 // exchanges measures the adapter and the loopback connection.
 func exchanges(tasks int) (exchange, error) {
 	const count = 2000
-	server, address, err := serve(standin.NewHost(standin.New("vm-1", taskSize.Times(1000), time.Now, 0)))
+	server, address, err := serve(standin.NewHost(standin.New("vm-1", taskSize.Mul(1000), time.Now, 0)))
 	if err != nil {
 		return exchange{}, err
 	}
--- a/internal/capacity/records.go
+++ b/internal/capacity/records.go
@@ -84,9 +84,9 @@
 
 // recordState publishes records of batch jobs to a machine without a log.
 func recordState(records int) (state, error) {
-	m := config.NewMachine()
+	m := config.NewStateMachine()
 	publisher := config.NewPublisher(m, direct{machine: m})
-	return growth(m, config.NewMachine(), records, func(i int) error {
+	return growth(m, config.NewStateMachine(), records, func(i int) error {
 		_, err := publisher.Publish(context.Background(), api.Record{
 			Kind: api.KindBatchJob, Name: fmt.Sprintf("appraisal-%d", i), SchemaVersion: 1,
 			Spec: []byte(`{"team":"lots","tasks":12,"resources":{"milli_cpu":500,"memory_mb":512},"run_time_ns":60000000000}`),
--- a/internal/capacity/whole.go
+++ b/internal/capacity/whole.go
@@ -73,7 +73,7 @@
 // publishService publishes the record of the service and lets it come in force.
 func publishService(operators string) error {
 	record, err := json.Marshal(api.Record{
-		Kind: api.KindService, Name: "torquebench", SchemaVersion: schema.Newest(api.KindService), Spec: json.RawMessage(`{}`),
+		Kind: api.KindService, Name: "torquebench", SchemaVersion: schema.LatestVersion(api.KindService), Spec: json.RawMessage(`{}`),
 	})
 	if err != nil {
 		return err
--- a/internal/cell/apply.go
+++ b/internal/cell/apply.go
@@ -39,7 +39,7 @@
 		return "no ID"
 	case spec.Tasks == 0 || spec.Tasks > maxTasks:
 		return "number of tasks out of range"
-	case spec.Resources.Negative() || spec.Resources.IsZero():
+	case spec.Resources.HasNegative() || spec.Resources.IsZero():
 		return "resources negative or none"
 	}
 	return ""
--- a/internal/cell/apply_report.go
+++ b/internal/cell/apply_report.go
@@ -49,7 +49,7 @@
 		return nil
 	}
 	t := &j.tasks[item.Index]
-	if t.attempt != item.Attempt || !t.state.Holds() {
+	if t.attempt != item.Attempt || !t.state.HoldsResources() {
 		return nil
 	}
 	return t
--- a/internal/cell/job.go
+++ b/internal/cell/job.go
@@ -89,7 +89,7 @@
 	switch {
 	case t.state == api.TaskPending:
 		t.state = api.TaskCancelled
-	case t.state.Holds():
+	case t.state.HoldsResources():
 		t.state = api.TaskStopping
 		t.flags &^= flagStopSave
 		if j.spec.Class == api.ClassService {
@@ -161,7 +161,7 @@
 	}
 	j.shift(t, j.next(t, ending))
 	if t.state == api.TaskFailed {
-		t.reason = reasonCode(api.ReasonFailsAnywhere)
+		t.reason = reasonCode(api.ReasonFailsEverywhere)
 	}
 }
 
--- a/internal/cell/machine_test.go
+++ b/internal/cell/machine_test.go
@@ -157,7 +157,7 @@
 		}
 	}
 	x, _ := m.ExplainTask(task("batch", 0))
-	if x.Task.State != api.TaskFailed || x.Task.Reason != api.ReasonFailsAnywhere || len(x.Incidents) != 2 {
+	if x.Task.State != api.TaskFailed || x.Task.Reason != api.ReasonFailsEverywhere || len(x.Incidents) != 2 {
 		t.Errorf("%+v", x)
 	}
 }
@@ -213,7 +213,7 @@
 				b = restored(t, a, w)
 			}
 			for _, vm := range a.VMs() {
-				if !vm.Used.Fits(vm.Capacity) || vm.Used.Negative() {
+				if !vm.Used.Fits(vm.Capacity) || vm.Used.HasNegative() {
 					t.Fatalf("seed %d step %d: %+v", seed, step, vm)
 				}
 			}
--- a/internal/cell/read.go
+++ b/internal/cell/read.go
@@ -77,7 +77,7 @@
 		SaveStop:   t.flags&flagStopSave != 0,
 		Retiring:   t.flags&flagRetiring != 0,
 	}
-	if t.state.Holds() {
+	if t.state.HoldsResources() {
 		v.VM = m.vms.rows[t.vm].id
 	}
 	return v
@@ -126,7 +126,7 @@
 			return
 		}
 		for i := range j.tasks {
-			if j.tasks[i].state.Holds() {
+			if j.tasks[i].state.HoldsResources() {
 				list = append(list, m.held(j, uint32(i)))
 			}
 		}
--- a/internal/cell/snapshot.go
+++ b/internal/cell/snapshot.go
@@ -147,7 +147,7 @@
 		Reason:   t.reason,
 		Flags:    t.flags,
 	}
-	if !t.state.Holds() {
+	if !t.state.HoldsResources() {
 		image.VM = 0
 		return image
 	}
@@ -259,7 +259,7 @@
 	t.failures = image.Failures
 	t.reason = image.Reason
 	t.flags = image.Flags
-	if !image.State.Holds() {
+	if !image.State.HoldsResources() {
 		return nil
 	}
 	t.vm = image.VM
--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -13,7 +13,7 @@
 // BenchmarkApply measures the acceptance of new batch jobs, what each keeps
 // in memory, what it takes in a snapshot and to restore.
 func BenchmarkApply(b *testing.B) {
-	m := NewMachine()
+	m := NewStateMachine()
 	entries := make([]journal.Entry, b.N)
 	for i := range entries {
 		rec := api.Record{Kind: api.KindBatchJob, Name: fmt.Sprintf("appraisal-%d", i), SchemaVersion: 1,
@@ -37,13 +37,13 @@
 	b.ReportMetric(float64(len(data))/float64(b.N), "snapshot-B/record")
 	runtime.KeepAlive(entries)
 	start := time.Now()
-	must(b, NewMachine().Restore(data))
+	must(b, NewStateMachine().Restore(data))
 	b.ReportMetric(float64(time.Since(start).Nanoseconds())/float64(b.N), "restore-ns/record")
 }
 
 // BenchmarkService measures the read on the path of each request.
 func BenchmarkService(b *testing.B) {
-	m := NewMachine()
+	m := NewStateMachine()
 	must(b, apply(m, "", service("torquebench", 2, 0, `{}`)))
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
--- a/internal/config/machine.go
+++ b/internal/config/machine.go
@@ -9,9 +9,9 @@
 	"github.com/skylarklock/skylarklock/internal/journal"
 )
 
-// Machine is the state of the config stream. Reads are safe from any
+// StateMachine is the state of the config stream. Reads are safe from any
 // goroutine and take one shard's read lock.
-type Machine struct {
+type StateMachine struct {
 	tables     *tables
 	revision   atomic.Uint64
 	unreadable atomic.Int64 // keys whose newest record isn't understood
@@ -23,7 +23,7 @@
 	subscribers subscribers
 }
 
-var _ journal.Machine = (*Machine)(nil)
+var _ journal.Machine = (*StateMachine)(nil)
 
 // tombstone remembers a deletion.
 type tombstone struct {
@@ -32,20 +32,20 @@
 	Revision api.Revision
 }
 
-// NewMachine returns a machine without records.
-func NewMachine() *Machine {
-	return &Machine{tables: newTables(), recent: newRecent()}
+// NewStateMachine returns a machine without records.
+func NewStateMachine() *StateMachine {
+	return &StateMachine{tables: newTables(), recent: newRecent()}
 }
 
 // Types implements journal.Machine.
-func (m *Machine) Types() []journal.EntryType {
+func (m *StateMachine) Types() []journal.EntryType {
 	return []journal.EntryType{TypePublish}
 }
 
 // Apply implements journal.Machine. It fails with a *ConflictError or a
 // *MalformedError. A repeat of an accepted publication changes nothing and
 // isn't an error.
-func (m *Machine) Apply(_ journal.Position, e journal.Entry) error {
+func (m *StateMachine) Apply(_ journal.Position, e journal.Entry) error {
 	p, err := decodePublication(e)
 	if err != nil {
 		return err
@@ -57,7 +57,7 @@
 	return err
 }
 
-func (m *Machine) apply(p publication) (Change, error) {
+func (m *StateMachine) apply(p publication) (Change, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, repeated := m.recent.revision(p.ID); repeated {
@@ -70,7 +70,7 @@
 }
 
 // conflict returns a *ConflictError unless p may be accepted.
-func (m *Machine) conflict(p publication) error {
+func (m *StateMachine) conflict(p publication) error {
 	k := p.key()
 	current := m.tables.get(k)
 	if current.revision() != p.BasedOn {
@@ -95,7 +95,7 @@
 
 func isJob(k api.Kind) bool { return slices.Contains(jobKinds, k) }
 
-func (m *Machine) accept(p publication) Change {
+func (m *StateMachine) accept(p publication) Change {
 	rev := api.Revision(m.revision.Load() + 1)
 	current := m.tables.get(p.key())
 	next := current.with(p.key(), stored{
@@ -116,7 +116,7 @@
 }
 
 // bury remembers a deletion and forgets the oldest beyond the bound.
-func (m *Machine) bury(t tombstone) {
+func (m *StateMachine) bury(t tombstone) {
 	m.tombstones = append(m.tombstones, t)
 	if len(m.tombstones) <= keptTombstones {
 		return
@@ -131,7 +131,7 @@
 // settle says what is already certain of a publication: that it was accepted
 // (its revision), or that it conflicts at any later place in the log (the
 // error). It returns zero and nil when only the log can tell.
-func (m *Machine) settle(p publication) (api.Revision, error) {
+func (m *StateMachine) settle(p publication) (api.Revision, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if rev, ok := m.recent.revision(p.ID); ok {
@@ -144,12 +144,12 @@
 	return 0, nil
 }
 
-// Unreadable returns the number of keys that Unknown lists.
-func (m *Machine) Unreadable() int {
+// UnreadableCount returns the number of keys that Unknown lists.
+func (m *StateMachine) UnreadableCount() int {
 	return int(m.unreadable.Load())
 }
 
 // Revision returns the number of records accepted so far. It never falls.
-func (m *Machine) Revision() api.Revision {
+func (m *StateMachine) Revision() api.Revision {
 	return api.Revision(m.revision.Load())
 }
--- a/internal/config/machine_test.go
+++ b/internal/config/machine_test.go
@@ -27,7 +27,7 @@
 	return api.Record{Kind: api.KindService, Name: name, SchemaVersion: version, BasedOn: basedOn, Spec: json.RawMessage(spec)}
 }
 
-func apply(m *Machine, id string, rec api.Record) error {
+func apply(m *StateMachine, id string, rec api.Record) error {
 	return m.Apply(journal.Position{}, journal.Entry{Type: TypePublish, Body: journal.Encode(newPublication(id, rec))})
 }
 
@@ -38,11 +38,11 @@
 	timeout  int64 // of the last understood record; 0: none
 }
 
-// TestMachineAgainstReference applies random publications, repeats and
+// TestStateMachineAgainstReference applies random publications, repeats and
 // restores, and compares acceptance and reads with a plain reference.
-func TestMachineAgainstReference(t *testing.T) {
+func TestStateMachineAgainstReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := NewMachine()
+		m := NewStateMachine()
 		state := map[string]expected{}
 		var revision api.Revision
 		var accepted []publication
@@ -93,7 +93,7 @@
 
 // repeat applies an accepted publication again: the same changes nothing and
 // is no error, the same record under another id conflicts.
-func repeat(t *rapid.T, m *Machine, p publication) {
+func repeat(t *rapid.T, m *StateMachine, p publication) {
 	entry := journal.Entry{Type: TypePublish, Body: journal.Encode(p)}
 	if err := m.Apply(journal.Position{}, entry); err != nil {
 		t.Fatalf("repeat rejected: %v", err)
@@ -106,12 +106,12 @@
 	}
 }
 
-func restored(t *rapid.T, m *Machine) *Machine {
+func restored(t *rapid.T, m *StateMachine) *StateMachine {
 	data, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := NewMachine()
+	next := NewStateMachine()
 	if err := next.Restore(data); err != nil {
 		t.Fatal(err)
 	}
@@ -125,12 +125,12 @@
 	return next
 }
 
-func compare(t *rapid.T, m *Machine, revision api.Revision, state map[string]expected) {
+func compare(t *rapid.T, m *StateMachine, revision api.Revision, state map[string]expected) {
 	if m.Revision() != revision {
 		t.Fatalf("revision %d, want %d", m.Revision(), revision)
 	}
-	if m.Unreadable() != len(m.Unknown()) {
-		t.Fatalf("%d unreadable counted, %d listed", m.Unreadable(), len(m.Unknown()))
+	if m.UnreadableCount() != len(m.UnreadableRecords()) {
+		t.Fatalf("%d unreadable counted, %d listed", m.UnreadableCount(), len(m.UnreadableRecords()))
 	}
 	for name, want := range state {
 		s, ok := m.Service(name)
@@ -144,8 +144,8 @@
 	}
 }
 
-func TestSchemaVersionsSideBySide(t *testing.T) {
-	m := NewMachine()
+func TestSchemaVersionsCoexist(t *testing.T) {
+	m := NewStateMachine()
 	must(t, apply(m, "", service("a", 1, 0, `{"retries":4,"timeout_ms":700}`)))
 	must(t, apply(m, "", service("b", 2, 0, `{"max_attempts":2}`)))
 	if a, _ := m.Service("a"); a.MaxAttempts != 5 || a.TimeoutMs != 700 || a.CallerShare == 0 {
@@ -158,9 +158,9 @@
 	}
 	snapshot, err := m.Snapshot()
 	must(t, err)
-	next := NewMachine()
+	next := NewStateMachine()
 	must(t, next.Restore(snapshot))
-	unknown := next.Unknown()
+	unknown := next.UnreadableRecords()
 	if len(unknown) != 2 || unknown[0].Revision != 3 || unknown[0].InForce != 1 || string(unknown[0].Record.Spec) != `{"hedging":true}` {
 		t.Fatalf("relayed: %+v", unknown)
 	}
@@ -170,7 +170,7 @@
 	deletion := service("a", 9, 3, "")
 	deletion.Deleted = true
 	must(t, apply(next, "", deletion))
-	if _, ok := next.Service("a"); ok || len(next.Unknown()) != 1 {
+	if _, ok := next.Service("a"); ok || len(next.UnreadableRecords()) != 1 {
 		t.Fatal("a deletion wasn't understood")
 	}
 	var conflict *ConflictError
@@ -183,10 +183,10 @@
 	}
 }
 
-// TestRecordsKeptForOtherBinaries: a binary that knows version 9 but not 10
+// TestNewestRecordOfEachVersionIsKept: a binary that knows version 9 but not 10
 // finds the newest record of version 9 in a snapshot of this one.
-func TestRecordsKeptForOtherBinaries(t *testing.T) {
-	m := NewMachine()
+func TestNewestRecordOfEachVersionIsKept(t *testing.T) {
+	m := NewStateMachine()
 	for i, version := range []int{1, 9, 10, 9, 10, 1} {
 		must(t, apply(m, "", service("a", version, api.Revision(i), fmt.Sprintf(`{"timeout_ms":%d}`, i+1))))
 	}
@@ -199,10 +199,10 @@
 	}
 }
 
-// TestDeletionsAreForgottenAlike fills the memory of deletions and compares a
+// TestRestoredStateMachineForgetsSameDeletions fills the memory of deletions and compares a
 // machine with one that was restored from its snapshot.
-func TestDeletionsAreForgottenAlike(t *testing.T) {
-	live := NewMachine()
+func TestRestoredStateMachineForgetsSameDeletions(t *testing.T) {
+	live := NewStateMachine()
 	deletion := func(name string, basedOn api.Revision) api.Record {
 		return api.Record{Kind: api.KindService, Name: name, SchemaVersion: 1, BasedOn: basedOn, Deleted: true}
 	}
@@ -218,9 +218,9 @@
 	}
 	data, err := live.Snapshot()
 	must(t, err)
-	restored := NewMachine()
+	restored := NewStateMachine()
 	must(t, restored.Restore(data))
-	for _, m := range []*Machine{live, restored} {
+	for _, m := range []*StateMachine{live, restored} {
 		must(t, apply(m, "", deletion("last but one", 7)))
 		if _, ok := m.Service("again"); !ok {
 			t.Error("a key that exists again was forgotten")
@@ -234,8 +234,8 @@
 	}
 }
 
-func TestViewsFallBackAndNamesOfJobsAreUnique(t *testing.T) {
-	m := NewMachine()
+func TestDefaultsApplyAndJobNamesAreUnique(t *testing.T) {
+	m := NewStateMachine()
 	changed, cancel := m.Notify()
 	defer cancel()
 	job := `{"team":"t","resources":{"milli_cpu":1},"run_time_ns":1000}`
@@ -247,7 +247,7 @@
 	if !errors.As(err, &conflict) || conflict.HeldBy.Kind != api.KindBatchJob {
 		t.Fatalf("two jobs under one id: %v", err)
 	}
-	if l := m.Limits("anyone"); l.RatePerSec != 7.5 || l.Burst != 8 {
+	if l := m.Limits("anyone"); l.RatePerSecond != 7.5 || l.Burst != 8 {
 		t.Fatalf("limits %+v", l)
 	}
 	if j, ok := m.Job("j"); !ok || j.Spec.Class != api.ClassBatch || len(m.Jobs()) != 1 {
@@ -258,11 +258,11 @@
 	}
 }
 
-// TestReadersNeverSeeAnOlderState reads while records and snapshots are
+// TestReadersNeverSeeOlderState reads while records and snapshots are
 // applied.
-func TestReadersNeverSeeAnOlderState(t *testing.T) {
+func TestReadersNeverSeeOlderState(t *testing.T) {
 	const changes = 400
-	m := NewMachine()
+	m := NewStateMachine()
 	var readers sync.WaitGroup
 	for range 4 {
 		readers.Go(func() {
@@ -307,7 +307,7 @@
 	f.Add(journal.Encode(newPublication("", service("a", 7, 0, `{"cut`))))
 	f.Add([]byte{0x88, 0x40})
 	f.Fuzz(func(t *testing.T, body []byte) {
-		m := NewMachine()
+		m := NewStateMachine()
 		err := m.Apply(journal.Position{}, journal.Entry{Type: TypePublish, Body: body})
 		var malformed *MalformedError
 		var conflict *ConflictError
@@ -318,6 +318,6 @@
 		must(t, err)
 		data, err := m.Snapshot()
 		must(t, err)
-		must(t, NewMachine().Restore(data))
+		must(t, NewStateMachine().Restore(data))
 	})
 }
--- a/internal/config/publisher.go
+++ b/internal/config/publisher.go
@@ -15,22 +15,22 @@
 
 // Publisher proposes records to the config stream.
 type Publisher struct {
-	machine  *Machine
+	machine  *StateMachine
 	proposer journal.Proposer
 }
 
 // NewPublisher returns a publisher whose entries m applies and p appends.
-func NewPublisher(m *Machine, p journal.Proposer) *Publisher {
+func NewPublisher(m *StateMachine, p journal.Proposer) *Publisher {
 	return &Publisher{machine: m, proposer: p}
 }
 
 // Publish is PublishAs without an id of the publisher: an identical record
 // counts as a repeat, whoever sends it.
 func (p *Publisher) Publish(ctx context.Context, rec api.Record) (api.Revision, error) {
-	return p.PublishAs(ctx, "", rec)
+	return p.PublishWithID(ctx, "", rec)
 }
 
-// PublishAs proposes rec and waits until it is applied. It returns the
+// PublishWithID proposes rec and waits until it is applied. It returns the
 // record's revision once it is accepted, or
 //   - a *finding.List: the record breaks its schema, nothing was proposed;
 //   - a *ConflictError: another revision is in force;
@@ -39,9 +39,9 @@
 //
 // Publishing the identical record under the same id again, through any entry
 // VM, settles the last: a copy that was accepted is reported as such.
-func (p *Publisher) PublishAs(ctx context.Context, id string, rec api.Record) (api.Revision, error) {
+func (p *Publisher) PublishWithID(ctx context.Context, id string, rec api.Record) (api.Revision, error) {
 	l := &finding.List{}
-	schema.CheckRecord(rec, schema.Relay, "", l)
+	schema.CheckRecord(rec, schema.AllowUnknownSchema, "", l)
 	if err := l.Err(); err != nil {
 		return 0, err
 	}
--- a/internal/config/publisher_test.go
+++ b/internal/config/publisher_test.go
@@ -19,7 +19,7 @@
 // fakeJournal applies entries one at a time. Some it doesn't write, of some
 // it loses the answer, some it writes twice or after the answer.
 type fakeJournal struct {
-	machine *Machine
+	machine *StateMachine
 	mu      sync.Mutex
 	random  *rand.Rand
 	late    []journal.Entry
@@ -65,11 +65,11 @@
 	},
 }
 
-// TestRacingPublishersHaveOneWinner checks histories of publishers that race
+// TestConcurrentPublishersHaveOneWinner checks histories of publishers that race
 // over a journal with lost answers and repeat until settled.
-func TestRacingPublishersHaveOneWinner(t *testing.T) {
+func TestConcurrentPublishersHaveOneWinner(t *testing.T) {
 	const publishers, rounds = 6, 12
-	m := NewMachine()
+	m := NewStateMachine()
 	p := NewPublisher(m, &fakeJournal{machine: m, random: rand.New(rand.NewPCG(1, 2))})
 	var mu sync.Mutex
 	var history []porcupine.Operation
@@ -121,8 +121,8 @@
 	}
 }
 
-func TestRepeatIsSettledAfterLaterChanges(t *testing.T) {
-	m := NewMachine()
+func TestRepeatedPublicationIsRecognisedAfterLaterChanges(t *testing.T) {
+	m := NewStateMachine()
 	lost := service("a", 2, 0, `{"timeout_ms": 5}`)
 	must(t, apply(m, "", compact(lost)))
 	must(t, apply(m, "", service("a", 2, 1, `{"timeout_ms":6}`)))
@@ -131,7 +131,7 @@
 		t.Fatalf("repeat of revision 1: %d, %v", rev, err)
 	}
 	var conflict *ConflictError
-	if _, err := p.PublishAs(context.Background(), "other operator", lost); !errors.As(err, &conflict) || conflict.InForce != 2 {
+	if _, err := p.PublishWithID(context.Background(), "other operator", lost); !errors.As(err, &conflict) || conflict.InForce != 2 {
 		t.Fatalf("another operator's record: %v", err)
 	}
 	var l *finding.List
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -27,7 +27,7 @@
 
 // Snapshot implements journal.Machine. It holds every record, also those that
 // this binary doesn't understand.
-func (m *Machine) Snapshot() ([]byte, error) {
+func (m *StateMachine) Snapshot() ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := snapshot{
@@ -45,7 +45,7 @@
 // Restore implements journal.Machine. It fails with a *StaleSnapshotError
 // when the snapshot is older than the state, which then stays as it is.
 // Subscribers get one Change with Restored set.
-func (m *Machine) Restore(data []byte) error {
+func (m *StateMachine) Restore(data []byte) error {
 	var s snapshot
 	if err := journal.Decode(data, &s); err != nil {
 		return errors.Wrap(err, "config: snapshot")
@@ -60,7 +60,7 @@
 	return nil
 }
 
-func (m *Machine) restore(s snapshot) error {
+func (m *StateMachine) restore(s snapshot) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if s.Revision < m.Revision() {
--- a/internal/config/subscribe.go
+++ b/internal/config/subscribe.go
@@ -15,20 +15,20 @@
 	Key      Key
 	Deleted  bool        // the key has no record in force any more
 	Spec     schema.Spec // what is in force of the key; empty when nothing is
-	// Understood is false when this binary can't decode the record, so that
+	// Decoded is false when this binary can't decode the record, so that
 	// Spec is what was in force before.
-	Understood bool
+	Decoded bool
 	// Restored: the whole state was replaced, read it anew. Key is empty.
 	Restored bool
 }
 
 func changeOf(o *object) Change {
 	return Change{
-		Revision:   o.revision(),
-		Key:        o.key,
-		Deleted:    o.deleted(),
-		Spec:       o.spec,
-		Understood: o.fault == nil,
+		Revision: o.revision(),
+		Key:      o.key,
+		Deleted:  o.deleted(),
+		Spec:     o.spec,
+		Decoded:  o.fault == nil,
 	}
 }
 
@@ -42,13 +42,13 @@
 // Subscribe calls fn after each accepted record, in order, from the goroutine
 // that applies the stream; fn must not block. The returned function ends the
 // subscription; a call in progress may still end after it.
-func (m *Machine) Subscribe(fn func(Change)) (cancel func()) {
+func (m *StateMachine) Subscribe(fn func(Change)) (cancel func()) {
 	return m.subscribers.add(fn)
 }
 
 // Notify returns a channel that holds a value whenever the state changed
 // since the last receive. The returned function ends it.
-func (m *Machine) Notify() (changed <-chan struct{}, cancel func()) {
+func (m *StateMachine) Notify() (changed <-chan struct{}, cancel func()) {
 	ch := make(chan struct{}, 1)
 	cancel = m.Subscribe(func(Change) {
 		select {
--- a/internal/config/view.go
+++ b/internal/config/view.go
@@ -13,7 +13,7 @@
 }
 
 // Service returns the service in force under name, in the newest schema.
-func (m *Machine) Service(name string) (api.ServiceSpec, bool) {
+func (m *StateMachine) Service(name string) (api.ServiceSpec, bool) {
 	o := m.tables.get(Key{Kind: api.KindService, Name: name})
 	if !o.inForce() {
 		return api.ServiceSpec{}, false
@@ -22,7 +22,7 @@
 }
 
 // Services returns all services in force, in order of name.
-func (m *Machine) Services() []api.ServiceSpec {
+func (m *StateMachine) Services() []api.ServiceSpec {
 	var out []api.ServiceSpec
 	for _, o := range m.inForce(api.KindService) {
 		out = append(out, *o.spec.Service)
@@ -31,7 +31,7 @@
 }
 
 // Policy returns the policy in force, or the built-in one.
-func (m *Machine) Policy() api.PolicySpec {
+func (m *StateMachine) Policy() api.PolicySpec {
 	o := m.tables.get(Key{Kind: api.KindPolicy, Name: schema.PolicyName})
 	if !o.inForce() {
 		return schema.DefaultPolicy()
@@ -40,7 +40,7 @@
 }
 
 // Quota returns the quota in force of a team.
-func (m *Machine) Quota(team string) (api.QuotaSpec, bool) {
+func (m *StateMachine) Quota(team string) (api.QuotaSpec, bool) {
 	o := m.tables.get(Key{Kind: api.KindQuota, Name: team})
 	if !o.inForce() {
 		return api.QuotaSpec{}, false
@@ -49,7 +49,7 @@
 }
 
 // Quotas returns all quotas in force, in order of team.
-func (m *Machine) Quotas() []api.QuotaSpec {
+func (m *StateMachine) Quotas() []api.QuotaSpec {
 	var out []api.QuotaSpec
 	for _, o := range m.inForce(api.KindQuota) {
 		out = append(out, *o.spec.Quota)
@@ -59,7 +59,7 @@
 
 // Limits returns the limits in force of a caller: its own, else those of
 // schema.AnyCaller, else the built-in ones.
-func (m *Machine) Limits(caller string) api.LimitsSpec {
+func (m *StateMachine) Limits(caller string) api.LimitsSpec {
 	for _, name := range []string{caller, schema.AnyCaller} {
 		o := m.tables.get(Key{Kind: api.KindLimits, Name: name})
 		if o.inForce() {
@@ -70,7 +70,7 @@
 }
 
 // Job returns the job in force under id, of whichever kind.
-func (m *Machine) Job(id api.JobID) (Job, bool) {
+func (m *StateMachine) Job(id api.JobID) (Job, bool) {
 	for _, kind := range jobKinds {
 		if j, ok := jobOf(m.tables.get(Key{Kind: kind, Name: string(id)})); ok {
 			return j, true
@@ -81,7 +81,7 @@
 
 // Jobs returns all jobs in force, the tasks of services too, in order of kind
 // and name.
-func (m *Machine) Jobs() []Job {
+func (m *StateMachine) Jobs() []Job {
 	var out []Job
 	for _, kind := range jobKinds {
 		for _, o := range m.inForce(kind) {
@@ -107,7 +107,7 @@
 	return Job{Key: o.key, Revision: o.records[o.understood].Revision, Spec: *spec}, true
 }
 
-func (m *Machine) inForce(kind api.Kind) []*object {
+func (m *StateMachine) inForce(kind api.Kind) []*object {
 	all := m.tables.of(kind).all()
 	kept := all[:0]
 	for _, o := range all {
@@ -119,7 +119,7 @@
 }
 
 // Record returns the state of one key, a deleted one too.
-func (m *Machine) Record(k Key) (api.RecordState, bool) {
+func (m *StateMachine) Record(k Key) (api.RecordState, bool) {
 	o := m.tables.get(k)
 	if o == nil {
 		return api.RecordState{}, false
@@ -129,7 +129,7 @@
 
 // Records returns the state of all keys, deleted ones too, or of those of one
 // kind when it isn't empty.
-func (m *Machine) Records(kind api.Kind) []api.RecordState {
+func (m *StateMachine) Records(kind api.Kind) []api.RecordState {
 	var out []api.RecordState
 	for _, o := range m.tables.objects() {
 		if kind == "" || o.key.Kind == kind {
@@ -139,9 +139,9 @@
 	return out
 }
 
-// Unknown returns the keys whose newest record this binary doesn't
+// UnreadableRecords returns the keys whose newest record this binary doesn't
 // understand. The last understood one, if any, stays in force.
-func (m *Machine) Unknown() []api.RecordState {
+func (m *StateMachine) UnreadableRecords() []api.RecordState {
 	var out []api.RecordState
 	for _, o := range m.tables.objects() {
 		if o.fault != nil {
@@ -157,7 +157,7 @@
 		s.InForce = o.records[o.understood].Revision
 	}
 	if o.fault != nil {
-		s.Fault = o.fault.Error()
+		s.DecodeError = o.fault.Error()
 	}
 	return s
 }
--- a/internal/controller/jobs/jobs.go
+++ b/internal/controller/jobs/jobs.go
@@ -21,7 +21,7 @@
 	"github.com/skylarklock/skylarklock/internal/schema"
 )
 
-// Records reads the records in force; *config.Machine implements it.
+// Records reads the records in force; *config.StateMachine implements it.
 type Records interface {
 	Jobs() []config.Job
 	Records(kind api.Kind) []api.RecordState
@@ -121,7 +121,7 @@
 		}
 		retired++
 		_, err := c.publisher.Publish(ctx, api.Record{
-			Kind: job.Key.Kind, Name: job.Key.Name, SchemaVersion: schema.Newest(job.Key.Kind),
+			Kind: job.Key.Kind, Name: job.Key.Name, SchemaVersion: schema.LatestVersion(job.Key.Kind),
 			BasedOn: job.Revision, Deleted: true,
 		})
 		if err != nil {
--- a/internal/controller/jobs/jobs_test.go
+++ b/internal/controller/jobs/jobs_test.go
@@ -33,7 +33,7 @@
 func (holder) CellEpoch() api.Epoch                        { return 1 }
 
 func TestPublishedJobIsTakenOnceAtItsHome(t *testing.T) {
-	records, tasks, counters := config.NewMachine(), cell.New(holder{}, counter.NewSet()), counter.NewSet()
+	records, tasks, counters := config.NewStateMachine(), cell.New(holder{}, counter.NewSet()), counter.NewSet()
 	publisher := config.NewPublisher(records, direct{[]journal.Machine{records}})
 	home := func(id string, _ []api.DataCentre) api.DataCentre { return api.DataCentre(id[:1]) }
 	c := New(Config{DataCentre: "a", Home: home}, records, tasks, direct{[]journal.Machine{tasks}}, publisher, holder{}, counters, time.Now)
--- a/internal/controller/learning/learning.go
+++ b/internal/controller/learning/learning.go
@@ -175,7 +175,7 @@
 func (c *Controller) failed(vm api.VMID, task api.TaskID, now time.Time) {
 	c.estimates.ForgetTask(task)
 	if _, blamed := c.failures.RecordFailure(vm, task, now); blamed {
-		c.counters.Inc(counterGroup, api.ReasonFailsAnywhere)
+		c.counters.Inc(counterGroup, api.ReasonFailsEverywhere)
 	}
 }
 
--- a/internal/controller/placement/feed.go
+++ b/internal/controller/placement/feed.go
@@ -260,7 +260,7 @@
 	var stops []cell.Stop
 	for _, p := range planned {
 		view, ok := f.c.machine.Task(p.Task)
-		if !ok || !view.State.Holds() || view.State == api.TaskStopping || f.moving[p.Task] {
+		if !ok || !view.State.HoldsResources() || view.State == api.TaskStopping || f.moving[p.Task] {
 			continue
 		}
 		f.moving[p.Task] = true
--- a/internal/controller/recovery/recovery.go
+++ b/internal/controller/recovery/recovery.go
@@ -79,7 +79,7 @@
 		c.gangs[e.Task.Job] = true // whether it is a gang is looked up in the round
 	}
 	switch e.Reason {
-	case api.ReasonLeaseLapsed, api.ReasonWorkerLost, api.ReasonWorkerRestart:
+	case api.ReasonLeaseExpired, api.ReasonWorkerLost, api.ReasonWorkerRestart:
 		c.lost[e.VM]++
 	}
 }
--- a/internal/controller/recovery/recovery_test.go
+++ b/internal/controller/recovery/recovery_test.go
@@ -55,7 +55,7 @@
 		}
 	}
 	one := api.Resources{MilliCPU: 1000}
-	must(cell.VMsEntry(1, []cell.SeenVM{{ID: "a", Capacity: one.Times(9)}}, nil))
+	must(cell.VMsEntry(1, []cell.SeenVM{{ID: "a", Capacity: one.Mul(9)}}, nil))
 	submit := func(id api.JobID, class api.Class, priority int, only ...api.DataCentre) {
 		must(cell.SubmitEntry(api.JobSpec{ID: id, Class: class, Priority: priority, Tasks: 3, Resources: one, DataCentres: only}, 0))
 	}
--- a/internal/controller/worker/bench_test.go
+++ b/internal/controller/worker/bench_test.go
@@ -48,7 +48,7 @@
 	log.SetOutput(io.Discard)
 	c := New(DefaultConfig(lease.Params{Lease: 6 * time.Second}), r.machine, r, r, r, r, r, r, log, time.Now)
 	one := api.Resources{MilliCPU: 1000}
-	_ = r.Propose(b.Context(), cell.VMsEntry(1, []cell.SeenVM{{ID: "a", Capacity: one.Times(25)}}, nil))
+	_ = r.Propose(b.Context(), cell.VMsEntry(1, []cell.SeenVM{{ID: "a", Capacity: one.Mul(25)}}, nil))
 	var starts []cell.Start
 	var running []cell.Report
 	for i := range 25 {
--- a/internal/controller/worker/exchange.go
+++ b/internal/controller/worker/exchange.go
@@ -172,7 +172,7 @@
 	v.lapsed = true
 	for _, h := range held {
 		v.tracker.MarkEnded(attemptOf(h))
-		c.journal.add(cell.Report{Task: h.Task, Attempt: h.Attempt, Ending: cell.ReportLost, Reason: api.ReasonLeaseLapsed}, h)
+		c.journal.add(cell.Report{Task: h.Task, Attempt: h.Attempt, Ending: cell.ReportLost, Reason: api.ReasonLeaseExpired}, h)
 	}
 }
 
@@ -238,7 +238,7 @@
 	case platform.RunKilled:
 		report.Ending = cell.ReportKilled
 		if h.State != api.TaskStopping {
-			report.Reason = api.ReasonLeaseLapsed
+			report.Reason = api.ReasonLeaseExpired
 		}
 	default:
 		c.counters.Inc(counterGroup, "unknown_run_state")
@@ -252,9 +252,9 @@
 	switch {
 	case e.State == api.TaskFinished:
 		return cell.ReportSucceeded
-	case e.Reason == api.ReasonTaskFailed || e.Reason == api.ReasonFailsAnywhere:
+	case e.Reason == api.ReasonTaskFailed || e.Reason == api.ReasonFailsEverywhere:
 		return cell.ReportErrored
-	case e.Reason == api.ReasonWorkerLost || e.Reason == api.ReasonLeaseLapsed || e.Reason == api.ReasonWorkerRestart:
+	case e.Reason == api.ReasonWorkerLost || e.Reason == api.ReasonLeaseExpired || e.Reason == api.ReasonWorkerRestart:
 		return cell.ReportLost
 	}
 	return cell.ReportKilled
--- a/internal/ctl/publish.go
+++ b/internal/ctl/publish.go
@@ -35,7 +35,7 @@
 		if err != nil {
 			return nil, badInput("%w", err)
 		}
-		records, l := schema.CheckFile(file, data, schema.Author)
+		records, l := schema.CheckFile(file, data, schema.RejectUnknownSchema)
 		all.Findings = append(all.Findings, l.Findings...)
 		for i, rec := range records {
 			out = append(out, placedRecord{place: fmt.Sprintf("%s[%d]", file, i), record: rec})
--- a/internal/entry/cellparts.go
+++ b/internal/entry/cellparts.go
@@ -97,7 +97,7 @@
 		return spec, err
 	}
 	decoded, err := schema.Decode(api.Record{
-		Kind: kind, Name: string(spec.ID), SchemaVersion: schema.Newest(kind), Spec: data,
+		Kind: kind, Name: string(spec.ID), SchemaVersion: schema.LatestVersion(kind), Spec: data,
 	})
 	if err != nil {
 		return spec, err
--- a/internal/entry/cluster_test.go
+++ b/internal/entry/cluster_test.go
@@ -251,7 +251,7 @@
 // publish publishes a record through p until its outcome is known, and records
 // the publication.
 func (c *cluster) publish(p *process, kind api.Kind, name string, basedOn api.Revision, spec string) api.PublishAnswer {
-	body, err := json.Marshal(api.Record{Kind: kind, Name: name, SchemaVersion: schema.Newest(kind), BasedOn: basedOn, Spec: json.RawMessage(spec)})
+	body, err := json.Marshal(api.Record{Kind: kind, Name: name, SchemaVersion: schema.LatestVersion(kind), BasedOn: basedOn, Spec: json.RawMessage(spec)})
 	must(c.t, err)
 	done := history.Publication{Entry: string(p.settings.NodeID), Key: string(kind) + "/" + name, Value: spec, BasedOn: basedOn, Start: c.rec.Now()}
 	c.await("publication of "+done.Key, func() bool {
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -15,14 +15,14 @@
 
 // operatorHandler returns the operators' service of this node.
 func (n *Node) operatorHandler() http.Handler {
-	return operator.NewHandler(operator.Parts{
+	return operator.NewHandler(operator.Dependencies{
 		Config:    n.streams.configs,
 		Publisher: config.NewPublisher(n.streams.configs, n.streams.config),
 		Explainer: explainer{machine: n.streams.tasks},
 		Reporter:  n,
 		Counters:  n.counters,
 		Vars:      n.vars(),
-		Log:       n.log,
+		Logger:    n.log,
 	}, operator.Options{MaxBodyBytes: n.settings.Limits.MaxOperatorBytes})
 }
 
@@ -52,7 +52,7 @@
 		Incarnation: n.origin.Incarnation,
 		Draining:    n.owner.Draining(),
 		Revision:    n.streams.configs.Revision(),
-		Unreadable:  n.streams.configs.Unreadable(),
+		Unreadable:  n.streams.configs.UnreadableCount(),
 		Requests:    n.chain.Gate().InFlight(),
 		Uptime:      now.Sub(n.started),
 		Tasks:       map[string]int{},
@@ -183,6 +183,6 @@
 	return out
 }
 
-func historyLine(i cell.Incident) api.HistoryLine {
-	return api.HistoryLine{Event: i.What, Task: &i.Task.Index, VM: i.VM, Reason: i.Reason, Count: 1}
+func historyLine(i cell.Incident) api.HistoryEvent {
+	return api.HistoryEvent{Event: i.What, Task: &i.Task.Index, VM: i.VM, Reason: i.Reason, Count: 1}
 }
--- a/internal/entry/requests.go
+++ b/internal/entry/requests.go
@@ -51,7 +51,7 @@
 
 // records lets the filter chain read the records in force.
 type records struct {
-	configs *config.Machine
+	configs *config.StateMachine
 }
 
 // Service implements filter.Services.
--- a/internal/entry/streams.go
+++ b/internal/entry/streams.go
@@ -34,7 +34,7 @@
 
 // streams are the two streams that an entry VM follows.
 type streams struct {
-	configs *config.Machine
+	configs *config.StateMachine
 	owners  *ownership.Machine
 	marks   *reqkey.Machine
 	tasks   *cell.Machine
@@ -47,7 +47,7 @@
 // tells how many entry VMs share the budget of appends.
 func newStreams(s *settings.Settings, log platform.Log, origin journal.Origin, entries func() int, counters *counter.Set, logger logrus.FieldLogger) (*streams, error) {
 	st := &streams{
-		configs: config.NewMachine(),
+		configs: config.NewStateMachine(),
 		owners:  ownership.NewMachine(),
 		marks:   reqkey.NewMachine(),
 	}
--- a/internal/entry/world.go
+++ b/internal/entry/world.go
@@ -15,7 +15,7 @@
 type world struct {
 	*scheduler.State
 	scheduler *scheduler.Scheduler
-	configs   *config.Machine
+	configs   *config.StateMachine
 	revision  api.Revision // that policy and quotas were last read at
 	quotas    map[string]api.QuotaSpec
 }
--- a/internal/entry/world_test.go
+++ b/internal/entry/world_test.go
@@ -22,7 +22,7 @@
 // A quota that is published or deleted while this node places tasks is in
 // force from the next cycle on.
 func TestQuotaIsInForceWithoutANewTenure(t *testing.T) {
-	configs := config.NewMachine()
+	configs := config.NewStateMachine()
 	publisher := config.NewPublisher(configs, applied{configs})
 	w := (&Node{streams: &streams{configs: configs}}).newWorld()
 	now := time.Now()
--- a/internal/experiment/publish.go
+++ b/internal/experiment/publish.go
@@ -33,7 +33,7 @@
 			return err
 		}
 	}
-	limits := api.LimitsSpec{Caller: schema.AnyCaller, RatePerSec: 5000, Burst: 5000, Concurrency: 2000}
+	limits := api.LimitsSpec{Caller: schema.AnyCaller, RatePerSecond: 5000, Burst: 5000, Concurrency: 2000}
 	if err := c.publish(ctx, api.KindLimits, schema.AnyCaller, limits); err != nil {
 		return err
 	}
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	body, err := json.Marshal(api.Record{Kind: kind, Name: name, SchemaVersion: schema.Newest(kind), Spec: data})
+	body, err := json.Marshal(api.Record{Kind: kind, Name: name, SchemaVersion: schema.LatestVersion(kind), Spec: data})
 	if err != nil {
 		return err
 	}
--- a/internal/filter/attempt.go
+++ b/internal/filter/attempt.go
@@ -199,8 +199,8 @@
 }
 
 func maxAnswer(spec api.ServiceSpec) int64 {
-	if spec.MaxAnswer > 0 {
-		return spec.MaxAnswer
+	if spec.MaxAnswerBytes > 0 {
+		return spec.MaxAnswerBytes
 	}
 	return defaultMaxAnswer
 }
--- a/internal/filter/bench_test.go
+++ b/internal/filter/bench_test.go
@@ -72,7 +72,7 @@
 // BenchmarkFlood is another caller's request while one caller floods the
 // chain from four goroutines, each caller being allowed 20,000 a second.
 func BenchmarkFlood(b *testing.B) {
-	w := benchWorld(api.LimitsSpec{RatePerSec: 20_000, Burst: b.N})
+	w := benchWorld(api.LimitsSpec{RatePerSecond: 20_000, Burst: b.N})
 	var stop atomic.Bool
 	var offered, refused atomic.Int64
 	flood := func() {
--- a/internal/filter/chain_test.go
+++ b/internal/filter/chain_test.go
@@ -341,7 +341,7 @@
 		settings Settings
 		after    time.Duration // Retry-After of the first refusal
 	}{
-		"rate":        {api.LimitsSpec{RatePerSec: 10, Burst: 5}, Settings{}, 100 * time.Millisecond},
+		"rate":        {api.LimitsSpec{RatePerSecond: 10, Burst: 5}, Settings{}, 100 * time.Millisecond},
 		"concurrency": {api.LimitsSpec{Concurrency: 5}, Settings{}, DefaultRetryAfter},
 		"share":       {api.LimitsSpec{}, Settings{MaxInFlight: 8, CallerShare: 5.0 / 8}, DefaultRetryAfter},
 	} {
--- a/internal/filter/conclude.go
+++ b/internal/filter/conclude.go
@@ -81,7 +81,7 @@
 	case <-timer.C:
 	}
 	detail := refusal.Detail + "; that it is not run was not confirmed by the log in time"
-	return api.UnknownRetry(refusal.Reason, c.settings.RetryAfter, detail)
+	return api.UnknownWithRetry(refusal.Reason, c.settings.RetryAfter, detail)
 }
 
 // errBacklog says that JournalBacklog appends are under way.
--- a/internal/filter/copies_test.go
+++ b/internal/filter/copies_test.go
@@ -19,7 +19,7 @@
 		"draining":  {"unknown draining", func(w *world) { w.chains["b"].gate.Drain() }},
 		"not ready": {"unknown not_ready", func(w *world) { w.chains["b"].gate.SetReady(false) }},
 		"full":      {"unknown class_limit", func(w *world) { w.chains["b"].gate.max = 0 }},
-		"limit":     {"unknown caller_limit", func(w *world) { w.limits = api.LimitsSpec{RatePerSec: 1e-3, Burst: 1} }},
+		"limit":     {"unknown caller_limit", func(w *world) { w.limits = api.LimitsSpec{RatePerSecond: 1e-3, Burst: 1} }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/filter/dedup.go
+++ b/internal/filter/dedup.go
@@ -147,7 +147,7 @@
 }
 
 func (c *Chain) stillRunning(id string) *api.Refusal {
-	return api.UnknownRetry(api.ReasonStillRunning, c.settings.RetryAfter, fmt.Sprintf("request %q is in flight", id))
+	return api.UnknownWithRetry(api.ReasonStillRunning, c.settings.RetryAfter, fmt.Sprintf("request %q is in flight", id))
 }
 
 // errNotSent says that the mark found was never used, so that the id may be
@@ -228,7 +228,7 @@
 			return answer, err
 		}
 	}
-	return nil, api.UnknownRetry(reason, c.settings.RetryAfter, detail)
+	return nil, api.UnknownWithRetry(reason, c.settings.RetryAfter, detail)
 }
 
 // AnswerOf serves Peers.AnswerOf: it tells what became of the request that
--- a/internal/filter/home.go
+++ b/internal/filter/home.go
@@ -74,11 +74,11 @@
 		}
 		if !certainlyNotSent(err) {
 			detail := fmt.Sprintf("entry VM %s of %s may have the request, its reply was lost", node, home)
-			return nil, api.UnknownRetry(api.ReasonPeerUnreachable, c.settings.RetryAfter, detail)
+			return nil, api.UnknownWithRetry(api.ReasonPeerUnreachable, c.settings.RetryAfter, detail)
 		}
 	}
 	detail := fmt.Sprintf("no entry VM of the request's home data centre %s can be reached", home)
-	return nil, api.UnknownRetry(api.ReasonHomeUnreachable, c.settings.RetryAfter, detail)
+	return nil, api.UnknownWithRetry(api.ReasonHomeUnreachable, c.settings.RetryAfter, detail)
 }
 
 func certainlyNotSent(err error) bool {
--- a/internal/filter/limit.go
+++ b/internal/filter/limit.go
@@ -123,10 +123,10 @@
 }
 
 func newRate(spec api.LimitsSpec) *rate.Limiter {
-	if spec.RatePerSec <= 0 {
+	if spec.RatePerSecond <= 0 {
 		return nil
 	}
-	return rate.NewLimiter(rate.Limit(spec.RatePerSec), max(spec.Burst, 1))
+	return rate.NewLimiter(rate.Limit(spec.RatePerSecond), max(spec.Burst, 1))
 }
 
 // forgetIdle makes room in a full shard.
--- a/internal/filter/mark.go
+++ b/internal/filter/mark.go
@@ -100,5 +100,5 @@
 }
 
 func (c *Chain) notMarked(reason api.Reason, detail string) *api.Refusal {
-	return api.UnknownRetry(reason, c.settings.RetryAfter, detail)
+	return api.UnknownWithRetry(reason, c.settings.RetryAfter, detail)
 }
--- a/internal/filter/truth.go
+++ b/internal/filter/truth.go
@@ -18,7 +18,7 @@
 	if refusal.RetryAfter > 0 {
 		retryAfter = refusal.RetryAfter
 	}
-	return api.UnknownRetry(refusal.Reason, retryAfter, refusal.Detail)
+	return api.UnknownWithRetry(refusal.Reason, retryAfter, refusal.Detail)
 }
 
 // turnedAway is TurnedAway for x. A single attempt is refused to the entry VM
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -145,8 +145,8 @@
 	same(t, word(resp), "429 not-run caller_limit retry=2 close=false")
 	same(t, strings.Contains(body, "over"), true)
 	for want, refusal := range map[string]*api.Refusal{ // a copy turned away, and one that was sent
-		"503 unknown caller_limit retry=2 close=false":     api.UnknownRetry(api.ReasonCallerLimit, 1001*time.Millisecond, ""),
-		"502 unknown peer_unreachable retry=1 close=false": api.UnknownRetry(api.ReasonPeerUnreachable, time.Second, ""),
+		"503 unknown caller_limit retry=2 close=false":     api.UnknownWithRetry(api.ReasonCallerLimit, 1001*time.Millisecond, ""),
+		"502 unknown peer_unreachable retry=1 close=false": api.UnknownWithRetry(api.ReasonPeerUnreachable, time.Second, ""),
 	} {
 		b.handle = func(context.Context, *filter.Exchange) (*api.Answer, error) { return nil, refusal }
 		resp, _ = c.ask(get("/"))
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -191,7 +191,7 @@
 }
 
 func inRange(r api.Resources) bool {
-	if r.Negative() || r.IsZero() {
+	if r.HasNegative() || r.IsZero() {
 		return false
 	}
 	return r.MilliCPU <= math.MaxUint32 && r.MemoryMB <= math.MaxUint32 && r.Accelerators <= math.MaxUint32
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -39,7 +39,7 @@
 				sum = sum.Add(r)
 			}
 			_, used, _ := l.Usage(0)
-			if used != sum || !used.Fits(capacity) || used.Negative() {
+			if used != sum || !used.Fits(capacity) || used.HasNegative() {
 				t.Fatalf("used %v, sum of allocations %v, capacity %v", used, sum, capacity)
 			}
 		}
--- a/internal/operator/publish.go
+++ b/internal/operator/publish.go
@@ -39,13 +39,13 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), s.options.PublishTimeout)
 	defer cancel()
-	rev, err := s.Publisher.PublishAs(ctx, id, rec)
+	rev, err := s.Publisher.PublishWithID(ctx, id, rec)
 	s.answer(w, rec, rev, err)
 }
 
 // onlyRecord reads the one record of a request's body.
 func onlyRecord(body []byte) (api.Record, *finding.List) {
-	records, l := schema.CheckFile("", body, schema.Relay)
+	records, l := schema.CheckFile("", body, schema.AllowUnknownSchema)
 	if len(records) == 1 {
 		return records[0], l
 	}
@@ -72,7 +72,7 @@
 	if v.reason != "" {
 		s.Counters.Inc(CounterGroup, v.reason)
 	}
-	s.Log.WithFields(logrus.Fields{
+	s.Logger.WithFields(logrus.Fields{
 		"kind":     rec.Kind,
 		"name":     rec.Name,
 		"based_on": rec.BasedOn,
--- a/internal/operator/read.go
+++ b/internal/operator/read.go
@@ -17,7 +17,7 @@
 }
 
 func (s *service) unreadable(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, listed(s.Config.Unknown()))
+	writeJSON(w, http.StatusOK, listed(s.Config.UnreadableRecords()))
 }
 
 // listed makes an empty list read [] and not null.
--- a/internal/operator/service.go
+++ b/internal/operator/service.go
@@ -20,21 +20,21 @@
 // CounterGroup is the group of the service's counters.
 const CounterGroup = "operator"
 
-// PublishTimeout is how long one publication may take before it is answered
+// DefaultPublishTimeout is how long one publication may take before it is answered
 // as unsettled, unless Options say otherwise.
-const PublishTimeout = 10 * time.Second
+const DefaultPublishTimeout = 10 * time.Second
 
-// Config reads the records in force; *config.Machine is one.
+// Config reads the records in force; *config.StateMachine is one.
 type Config interface {
 	Record(k config.Key) (api.RecordState, bool)
 	Records(kind api.Kind) []api.RecordState
-	Unknown() []api.RecordState
+	UnreadableRecords() []api.RecordState
 }
 
 // Publisher publishes records; *config.Publisher is one, and says what its
 // errors mean.
 type Publisher interface {
-	PublishAs(ctx context.Context, id string, rec api.Record) (api.Revision, error)
+	PublishWithID(ctx context.Context, id string, rec api.Record) (api.Revision, error)
 }
 
 // Explainer explains jobs and tasks. It returns false for those it doesn't
@@ -49,15 +49,15 @@
 	Status() api.Status
 }
 
-// Parts are what the service reads from and writes to. All are needed.
-type Parts struct {
+// Dependencies are what the service reads from and writes to. All are needed.
+type Dependencies struct {
 	Config    Config
 	Publisher Publisher
 	Explainer Explainer
 	Reporter  Reporter
 	Counters  *counter.Set
 	Vars      map[string]expvar.Var // further variables of this node, by name; may be nil
-	Log       *logrus.Entry
+	Logger    *logrus.Entry
 }
 
 // Options bound the service. Zero values take the defaults.
@@ -67,19 +67,19 @@
 }
 
 type service struct {
-	Parts
+	Dependencies
 	options Options
 }
 
 // NewHandler returns the service's handler.
-func NewHandler(p Parts, o Options) http.Handler {
+func NewHandler(p Dependencies, o Options) http.Handler {
 	if o.MaxBodyBytes == 0 {
 		o.MaxBodyBytes = settings.Default().Limits.MaxOperatorBytes
 	}
 	if o.PublishTimeout == 0 {
-		o.PublishTimeout = PublishTimeout
+		o.PublishTimeout = DefaultPublishTimeout
 	}
-	s := &service{Parts: p, options: o}
+	s := &service{Dependencies: p, options: o}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/records", s.publish)
 	mux.HandleFunc("GET /v1/config", s.records)
--- a/internal/operator/service_test.go
+++ b/internal/operator/service_test.go
@@ -24,7 +24,7 @@
 // fakeNode stands for the rest of an entry VM. Its journal applies each entry
 // and then fails with err.
 type fakeNode struct {
-	machine *config.Machine
+	machine *config.StateMachine
 	lose    bool // don't apply
 	err     error
 	ready   bool
@@ -49,14 +49,14 @@
 
 func TestOperatorService(t *testing.T) {
 	Convey("An operator's service over a node", t, func() {
-		m := config.NewMachine()
+		m := config.NewStateMachine()
 		node := &fakeNode{machine: m}
 		counters := counter.NewSet()
 		log, err := logging.New(io.Discard, "info")
 		So(err, ShouldBeNil)
-		h := NewHandler(Parts{
+		h := NewHandler(Dependencies{
 			Config: m, Publisher: config.NewPublisher(m, node), Explainer: node, Reporter: node,
-			Counters: counters, Log: logging.ForNode(log, "n1", "dc"),
+			Counters: counters, Logger: logging.ForNode(log, "n1", "dc"),
 		}, Options{MaxBodyBytes: 2000})
 		call := func(method, path, body string) *httptest.ResponseRecorder {
 			w := httptest.NewRecorder()
@@ -131,7 +131,7 @@
 		Convey("has timeouts on its listener", func() {
 			srv := NewServer(h, settings.Default().Limits)
 			So(srv.ReadHeaderTimeout, ShouldBeGreaterThan, 0)
-			So(srv.WriteTimeout, ShouldBeGreaterThan, PublishTimeout)
+			So(srv.WriteTimeout, ShouldBeGreaterThan, DefaultPublishTimeout)
 		})
 	})
 }
--- a/internal/quarantine/failing_task.go
+++ b/internal/quarantine/failing_task.go
@@ -38,7 +38,7 @@
 	delete(t.taskFailures, task)
 	return FailingTask{
 		Task:   task,
-		Reason: api.ReasonFailsAnywhere,
+		Reason: api.ReasonFailsEverywhere,
 		Detail: fmt.Sprintf("failed on %d VMs that are healthy: %v", len(healthy), healthy),
 	}, true
 }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -82,7 +82,7 @@
 		}
 		f, reported := tr.RecordFailure(vm(3), task(9999), now)
 		So(reported, ShouldBeTrue)
-		So(f.Reason, ShouldEqual, api.ReasonFailsAnywhere)
+		So(f.Reason, ShouldEqual, api.ReasonFailsEverywhere)
 		So(tr.vms[vm(1)].outcomes.failed, ShouldEqual, 0)
 	})
 	Convey("One job that fails on all VMs quarantines no VM", t, func() {
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -62,7 +62,7 @@
 		})
 		b.Run(fmt.Sprintf("refused/endpoints=%d", n), func(b *testing.B) {
 			r := benchRouter(n, 1)
-			r.SetService("s", api.ServiceSpec{QueueLength: 1, QueueMs: 1_000_000})
+			r.SetService("s", api.ServiceSpec{QueueLength: 1, QueueTimeoutMs: 1_000_000})
 			for range n + 1 { // the last one waits
 				go func() { _, _ = r.Acquire(b.Context(), "s", api.ClassInteractive, "a", nil) }()
 			}
--- a/internal/router/experiment_test.go
+++ b/internal/router/experiment_test.go
@@ -124,7 +124,7 @@
 func (x experiment) play() tally {
 	source := rand.New(rand.NewPCG(7, 7))
 	router := New(Config{Rand: rand.NewPCG(1, 2)})
-	router.SetService("s", api.ServiceSpec{RoutingPolicy: x.policy, QueueMs: 500, QueueLength: 2000})
+	router.SetService("s", api.ServiceSpec{RoutingPolicy: x.policy, QueueTimeoutMs: 500, QueueLength: 2000})
 	models := make([]*modelEndpoint, x.endpoints)
 	held := make([]Held, x.endpoints)
 	byID := make(map[api.EndpointID]*modelEndpoint)
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -59,7 +59,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := testRouter(heldEndpoint("e1", "s", 4), heldEndpoint("e2", "s", 4))
-				r.SetService("s", api.ServiceSpec{QueueLength: 60, QueueMs: 60_000, CallerShare: tc.share})
+				r.SetService("s", api.ServiceSpec{QueueLength: 60, QueueTimeoutMs: 60_000, CallerShare: tc.share})
 				granted := make(chan string, 1000)
 				send := func(count int, caller string, class api.Class, took time.Duration) {
 					for range count {
@@ -97,7 +97,7 @@
 func TestQueueIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := testRouter(heldEndpoint("e1", "s", 1))
-		r.SetService("s", api.ServiceSpec{QueueLength: 2, QueueMs: 300})
+		r.SetService("s", api.ServiceSpec{QueueLength: 2, QueueTimeoutMs: 300})
 		for range 50 { // the service takes 100 ms
 			mustAcquire(t, r, "a").Done(okResult)
 		}
--- a/internal/router/shard.go
+++ b/internal/router/shard.go
@@ -62,7 +62,7 @@
 	next := limits{
 		policy:      spec.RoutingPolicy,
 		queueLength: spec.QueueLength,
-		queueTime:   time.Duration(spec.QueueMs) * time.Millisecond,
+		queueTime:   time.Duration(spec.QueueTimeoutMs) * time.Millisecond,
 		callerShare: spec.CallerShare,
 	}
 	defaults.Set(&next.policy, PolicyLeastLoaded)
--- a/internal/scheduler/feasibility.go
+++ b/internal/scheduler/feasibility.go
@@ -94,7 +94,7 @@
 // minAllocation returns the resources that j holds at least when any of it runs.
 func (j *jobState) minAllocation() api.Resources {
 	if j.isGang() {
-		return j.need().Times(int64(j.Spec.Tasks))
+		return j.need().Mul(int64(j.Spec.Tasks))
 	}
 	return j.need()
 }
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -16,8 +16,8 @@
 // them all, otherwise across several.
 func (c *cycle) placeGang(j *jobState) {
 	tasks := int64(len(j.pending))
-	if !j.team.allows(j.need().Times(tasks)) {
-		c.waitForQuota(j, j.need().Times(tasks))
+	if !j.team.allows(j.need().Mul(tasks)) {
+		c.waitForQuota(j, j.need().Mul(tasks))
 		return
 	}
 	c.searches++
--- a/internal/scheduler/gangpreempt.go
+++ b/internal/scheduler/gangpreempt.go
@@ -59,7 +59,7 @@
 	}
 	placements := make([]placement, 0, tasks)
 	for _, n := range j.nominations[:tasks] {
-		if !n.vm.acceptsWork() || n.vm.available().Negative() {
+		if !n.vm.acceptsWork() || n.vm.available().HasNegative() {
 			return nil
 		}
 		placements = append(placements, placement{vm: n.vm, tasks: 1})
--- a/internal/scheduler/hold.go
+++ b/internal/scheduler/hold.go
@@ -305,7 +305,7 @@
 	if end := expectedEndNanos(c.now, j.runTime()); end != 0 && end <= h.expectedStart.UnixNano() {
 		return true
 	}
-	remaining := v.Capacity.Sub(v.nominated).Sub(h.job.need().Times(v.holdTasks))
+	remaining := v.Capacity.Sub(v.nominated).Sub(h.job.need().Mul(v.holdTasks))
 	for _, alloc := range v.allocations {
 		if end := c.expectedEndOf(alloc); end == 0 || end > h.expectedStart.UnixNano() {
 			remaining = remaining.Sub(alloc.resources)
--- a/internal/scheduler/model_test.go
+++ b/internal/scheduler/model_test.go
@@ -269,7 +269,7 @@
 // checkIndexes compares the indexes of the State with the indexed values.
 func checkIndexes(t *rapid.T, st *State) {
 	for id, v := range st.vms {
-		indexed := v.acceptsWork() && v.hold == nil && !v.available().Negative()
+		indexed := v.acceptsWork() && v.hold == nil && !v.available().HasNegative()
 		if (v.indexPartition != nil) != indexed {
 			t.Fatalf("VM %v: indexed %v, want %v", id, v.indexPartition != nil, indexed)
 		}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -218,7 +218,7 @@
 		return
 	}
 	band := bandOf(int(alloc.priority), 0)
-	alloc.vm.evictable = alloc.vm.evictable.Add(alloc.resources.Times(int64(n)))
+	alloc.vm.evictable = alloc.vm.evictable.Add(alloc.resources.Mul(int64(n)))
 	alloc.vm.evictableByBand[band] += n
 	st.evictable[band] += n
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -89,7 +89,7 @@
 func TestOrder(t *testing.T) {
 	Convey("Urgent jobs go first, then the team with the smallest weighted share, then the oldest job", t, func() {
 		h := newHarness(1, api.Resources{MilliCPU: 7000, MemoryMB: 7000}, Config{})
-		h.PutQuota(api.QuotaSpec{Team: "team-b", Max: small.Times(9), Weight: 2})
+		h.PutQuota(api.QuotaSpec{Team: "team-b", Max: small.Mul(9), Weight: 2})
 		h.submit(job("a1", api.ClassBatch, 3, 1000))
 		h.submit(job("b1", api.ClassBatch, 3, 1000))
 		h.submit(job("a2", api.ClassBatch, 3, 1000))
@@ -128,12 +128,12 @@
 			{Job: "a1", Reason: api.ReasonNeverFits, Detail: "a task needs cpu=5000m memory=5000MB accelerators=0, the VMs it may use have at most cpu=4000m memory=4000MB accelerators=0"},
 			{Job: "a2", Reason: api.ReasonNeverFits, Detail: "4 tasks of cpu=3000m memory=3000MB accelerators=0 at once, the VMs it may use have room for 3 when idle"},
 			{Job: "q1", Reason: api.ReasonQuota, Detail: "needs cpu=6000m memory=6000MB accelerators=0 at once, the quota of team team-q is cpu=4000m memory=4000MB accelerators=0"}})
-		h.PutVM(VM{ID: "large", DataCentre: "dc", Capacity: small.Times(2), Schedulable: true})
+		h.PutVM(VM{ID: "large", DataCentre: "dc", Capacity: small.Mul(2), Schedulable: true})
 		So(started(h.cycle()), ShouldResemble, []string{"a1/0", "a2/0", "a2/1", "a2/2", "a2/3"})
 	})
 	Convey("A temporarily shortened VM list makes no job infeasible", t, func() {
 		h := newHarness(1, small, Config{})
-		h.PutVM(VM{ID: "large", DataCentre: "dc", Capacity: small.Times(2), Schedulable: true})
+		h.PutVM(VM{ID: "large", DataCentre: "dc", Capacity: small.Mul(2), Schedulable: true})
 		h.RemoveVM("large")
 		h.submit(job("a1", api.ClassBatch, 1, 5000))
 		So(h.cycle().Infeasible, ShouldBeEmpty)
@@ -345,7 +345,7 @@
 	Convey("A waiting job is retried", t, func() {
 		h := newHarness(1, small, Config{})
 		Convey("when a quarantined VM is due for a probe, although no capacity was freed", func() {
-			h.PutVM(VM{ID: "bad", DataCentre: "dc", Capacity: small.Times(2), Schedulable: true, Quarantined: true})
+			h.PutVM(VM{ID: "bad", DataCentre: "dc", Capacity: small.Mul(2), Schedulable: true, Quarantined: true})
 			h.submit(job("a1", api.ClassBatch, 2, 5000))
 			So(started(h.cycle()), ShouldResemble, []string{"a1/0"})
 			h.end(api.TaskID{Job: "a1"})
--- a/internal/scheduler/vm.go
+++ b/internal/scheduler/vm.go
@@ -132,7 +132,7 @@
 	if !v.acceptsWork() {
 		return
 	}
-	if v.hold != nil || v.available().Negative() {
+	if v.hold != nil || v.available().HasNegative() {
 		return
 	}
 	st.dataCentreOf(v.DataCentre).partitionOf(v).insert(v)
@@ -146,7 +146,7 @@
 
 // reindex updates the index after a change of the available capacity of v.
 func (st *State) reindex(v *vmState) {
-	if v.indexPartition != nil && !v.available().Negative() {
+	if v.indexPartition != nil && !v.available().HasNegative() {
 		v.indexPartition.update(v)
 		return
 	}
--- a/internal/scheduler/wave_test.go
+++ b/internal/scheduler/wave_test.go
@@ -65,7 +65,7 @@
 	if w.rnd.IntN(10) == 0 {
 		urgent := batch
 		urgent.Priority, urgent.RunTime = api.PriorityUrgent, 10*time.Second
-		urgent.Resources = batch.Resources.Times(4)
+		urgent.Resources = batch.Resources.Mul(4)
 		w.submitKind("urgent", "team-0", urgent)
 	}
 	if w.rnd.IntN(25) == 0 {
--- a/internal/schema/check.go
+++ b/internal/schema/check.go
@@ -51,9 +51,9 @@
 	bounded(l, path, "timeout_ms", s.TimeoutMs, 1, maxTimeoutMs)
 	bounded(l, path, "max_attempts", int64(s.MaxAttempts), 1, maxAttempts)
 	bounded(l, path, "queue_length", int64(s.QueueLength), 0, maxQueueLength)
-	bounded(l, path, "queue_ms", s.QueueMs, 0, maxTimeoutMs)
+	bounded(l, path, "queue_ms", s.QueueTimeoutMs, 0, maxTimeoutMs)
 	bounded(l, path, "max_body_bytes", s.MaxBodyBytes, 0, maxBytes)
-	bounded(l, path, "max_answer_bytes", s.MaxAnswer, 1, maxBytes)
+	bounded(l, path, "max_answer_bytes", s.MaxAnswerBytes, 1, maxBytes)
 	fraction(l, path, "retry_budget", s.RetryBudget, 0, 1)
 	fraction(l, path, "caller_share", s.CallerShare, 0.01, 1)
 	checkDataCentres(s.DataCentres, path+".data_centres", l)
@@ -115,7 +115,7 @@
 
 func checkLimits(name string, s api.LimitsSpec, path string, l *finding.List) {
 	sameName(l, path, "caller", s.Caller, name)
-	fraction(l, path, "rate_per_second", s.RatePerSec, 0, maxRate)
+	fraction(l, path, "rate_per_second", s.RatePerSecond, 0, maxRate)
 	bounded(l, path, "burst", int64(s.Burst), 1, maxBurst)
 	bounded(l, path, "concurrency", int64(s.Concurrency), 1, maxBurst)
 }
--- a/internal/schema/convert.go
+++ b/internal/schema/convert.go
@@ -51,20 +51,20 @@
 // limitsV1 is schema version 1 of a caller's limits. It has no burst; the
 // burst of one second's rate is taken.
 type limitsV1 struct {
-	Caller      string  `json:"caller"`
-	RatePerSec  float64 `json:"rate_per_second"`
-	Concurrency int     `json:"concurrency"`
+	Caller        string  `json:"caller"`
+	RatePerSecond float64 `json:"rate_per_second"`
+	Concurrency   int     `json:"concurrency"`
 }
 
 // current converts s to version 2.
 func (s limitsV1) current() api.LimitsSpec {
-	burst := int(math.Ceil(s.RatePerSec))
-	return api.LimitsSpec{Caller: s.Caller, RatePerSec: s.RatePerSec, Burst: max(burst, 1), Concurrency: s.Concurrency}
+	burst := int(math.Ceil(s.RatePerSecond))
+	return api.LimitsSpec{Caller: s.Caller, RatePerSecond: s.RatePerSecond, Burst: max(burst, 1), Concurrency: s.Concurrency}
 }
 
 func decodeLimitsV1(rec api.Record, path string, l *finding.List) Spec {
 	d := DefaultLimits()
-	s := limitsV1{Caller: rec.Name, RatePerSec: d.RatePerSec, Concurrency: d.Concurrency}
+	s := limitsV1{Caller: rec.Name, RatePerSecond: d.RatePerSecond, Concurrency: d.Concurrency}
 	strictjson.Decode(rec.Spec, &s, path, l)
 	out := s.current()
 	out.Burst = min(out.Burst, maxBurst) // a rate above the bound is reported as a rate
--- a/internal/schema/default.go
+++ b/internal/schema/default.go
@@ -11,16 +11,16 @@
 // DefaultService returns the service that a record without fields stands for.
 func DefaultService(name string) api.ServiceSpec {
 	return api.ServiceSpec{
-		Service:       name,
-		RoutingPolicy: RoutingLeastLoaded,
-		TimeoutMs:     10_000,
-		MaxAttempts:   3,
-		RetryBudget:   0.1,
-		QueueLength:   200,
-		QueueMs:       2_000,
-		MaxBodyBytes:  1 << 20,
-		MaxAnswer:     4 << 20,
-		CallerShare:   0.5,
+		Service:        name,
+		RoutingPolicy:  RoutingLeastLoaded,
+		TimeoutMs:      10_000,
+		MaxAttempts:    3,
+		RetryBudget:    0.1,
+		QueueLength:    200,
+		QueueTimeoutMs: 2_000,
+		MaxBodyBytes:   1 << 20,
+		MaxAnswerBytes: 4 << 20,
+		CallerShare:    0.5,
 	}
 }
 
@@ -44,5 +44,5 @@
 // DefaultLimits returns the limits of callers while no record names them or
 // AnyCaller.
 func DefaultLimits() api.LimitsSpec {
-	return api.LimitsSpec{Caller: AnyCaller, RatePerSec: 500, Burst: 1000, Concurrency: 200}
+	return api.LimitsSpec{Caller: AnyCaller, RatePerSecond: 500, Burst: 1000, Concurrency: 200}
 }
--- a/internal/schema/record.go
+++ b/internal/schema/record.go
@@ -22,21 +22,21 @@
 	kindPattern = regexp.MustCompile(`^[a-z][a-z0-9-]{0,31}$`)
 )
 
-// Mode says how a record that this binary can't decode is judged.
-type Mode int
+// UnknownSchemaMode says how a record that this binary can't decode is judged.
+type UnknownSchemaMode int
 
 // Modes of checking.
 const (
-	// Author: whoever writes the record must know its schema.
-	Author Mode = iota
-	// Relay: a newer schema or kind is passed on unread, for the binaries
+	// RejectUnknownSchema: whoever writes the record must know its schema.
+	RejectUnknownSchema UnknownSchemaMode = iota
+	// AllowUnknownSchema: a newer schema or kind is passed on unread, for the binaries
 	// that know it.
-	Relay
+	AllowUnknownSchema
 )
 
 // CheckRecord adds every fault of rec to l; path is the record's place in its
 // file, empty for a file of one record.
-func CheckRecord(rec api.Record, mode Mode, path string, l *finding.List) {
+func CheckRecord(rec api.Record, mode UnknownSchemaMode, path string, l *finding.List) {
 	at := func(field string) string { return strings.TrimPrefix(path+"."+field, ".") }
 	before := len(l.Findings)
 	l.Check(kindPattern.MatchString(string(rec.Kind)), at("kind"), rec.Kind, "one of "+kindNames())
@@ -52,11 +52,11 @@
 		l.Check(rec.BasedOn > 0, at("based_on"), rec.BasedOn, "the revision to delete")
 		return
 	}
-	if Known(rec) {
+	if CanDecode(rec) {
 		decodeSpec(rec, at("spec"), l)
 		return
 	}
-	if mode == Author {
+	if mode == RejectUnknownSchema {
 		checkVersion(rec, path, l)
 		return
 	}
@@ -65,11 +65,11 @@
 
 // checkVersion reports a kind or schema version that this binary can't decode.
 func checkVersion(rec api.Record, path string, l *finding.List) {
-	if Known(rec) && !rec.Deleted {
+	if CanDecode(rec) && !rec.Deleted {
 		return
 	}
 	prefix := strings.TrimPrefix(path+".", ".")
-	newest := Newest(rec.Kind)
+	newest := LatestVersion(rec.Kind)
 	if newest == 0 {
 		l.Add(prefix+"kind", rec.Kind, "one of "+kindNames())
 		return
@@ -79,7 +79,7 @@
 
 // CheckFile reads the records of one file, a single one or an array, and
 // checks each. The list carries every fault of the file; it is never nil.
-func CheckFile(file string, data []byte, mode Mode) ([]api.Record, *finding.List) {
+func CheckFile(file string, data []byte, mode UnknownSchemaMode) ([]api.Record, *finding.List) {
 	l := &finding.List{File: file}
 	if !strictjson.Valid(data, "", l) {
 		return nil, l
@@ -93,7 +93,7 @@
 	return []api.Record{rec}, l
 }
 
-func checkArray(data []byte, mode Mode, l *finding.List) []api.Record {
+func checkArray(data []byte, mode UnknownSchemaMode, l *finding.List) []api.Record {
 	var records []api.Record
 	strictjson.Decode(data, &records, "", l)
 	for i, rec := range records {
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -53,16 +53,16 @@
 	return kinds
 }
 
-// Newest returns the newest schema version of kind that this binary knows,
+// LatestVersion returns the newest schema version of kind that this binary knows,
 // or 0 for a kind that it doesn't know.
-func Newest(kind api.Kind) int {
+func LatestVersion(kind api.Kind) int {
 	return len(versions[kind])
 }
 
-// Known reports whether this binary can decode the record. A deletion has no
+// CanDecode reports whether this binary can decode the record. A deletion has no
 // content and is always known.
-func Known(rec api.Record) bool {
-	return rec.Deleted || (rec.SchemaVersion >= 1 && rec.SchemaVersion <= Newest(rec.Kind))
+func CanDecode(rec api.Record) bool {
+	return rec.Deleted || (rec.SchemaVersion >= 1 && rec.SchemaVersion <= LatestVersion(rec.Kind))
 }
 
 // Decode converts the record's spec to the form in use. It fails with a
--- a/internal/schema/schema_test.go
+++ b/internal/schema/schema_test.go
@@ -19,7 +19,7 @@
 	return strings.Join(out, " ")
 }
 
-func TestEveryFaultOfAFileHasItsPlace(t *testing.T) {
+func TestAllFindingsOfFileHavePaths(t *testing.T) {
 	file := `[
 	  {"kind":"service","name":"torquebench","schema_version":2,"based_on":0,
 	   "spec":{"service":"other","max_attempts":0,"retries":1,"caller_share":2,
@@ -34,7 +34,7 @@
 	   "spec":{"team":"t","class":"gang","tasks":0,"resources":{"milli_cpu":1},"run_time_ns":0}},
 	  {"kind":"policy","name":"default","schema_version":1,"spec":{"sample_size":0}}
 	]`
-	records, l := CheckFile("f.json", []byte(file), Author)
+	records, l := CheckFile("f.json", []byte(file), RejectUnknownSchema)
 	want := strings.Join([]string{
 		"[4].note [0].spec.retries [0].spec.job.resources.gpus",
 		"[0].spec.service [0].spec.max_attempts [0].spec.caller_share",
@@ -51,18 +51,18 @@
 	}
 }
 
-func TestNewerSchemaIsRelayedButNotAuthored(t *testing.T) {
+func TestUnknownSchemaIsAllowedOrRejectedByMode(t *testing.T) {
 	rec := api.Record{Kind: "future", Name: "x", SchemaVersion: 1, Spec: json.RawMessage(`{"a":1}`)}
 	relay, author := &finding.List{}, &finding.List{}
-	CheckRecord(rec, Relay, "", relay)
-	CheckRecord(rec, Author, "", author)
+	CheckRecord(rec, AllowUnknownSchema, "", relay)
+	CheckRecord(rec, RejectUnknownSchema, "", author)
 	if relay.Err() != nil || paths(author) != "kind" {
 		t.Fatalf("relay %v, author %v", relay, author)
 	}
 }
 
-// TestExamplesOfTheOperatorsPage keeps docs/operators/records.md true.
-func TestExamplesOfTheOperatorsPage(t *testing.T) {
+// TestDocumentedRecordsAreValid keeps docs/operators/records.md true.
+func TestDocumentedRecordsAreValid(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/records.md")
 	if err != nil {
 		t.Fatal(err)
@@ -70,7 +70,7 @@
 	examples := strings.Split(string(page), "```json\n")[1:]
 	for i, example := range examples {
 		text, _, _ := strings.Cut(example, "```")
-		if _, l := CheckFile(fmt.Sprintf("example %d", i), []byte(text), Author); l.Err() != nil {
+		if _, l := CheckFile(fmt.Sprintf("example %d", i), []byte(text), RejectUnknownSchema); l.Err() != nil {
 			t.Error(l)
 		}
 	}
@@ -86,7 +86,7 @@
 	f.Add([]byte(`[{"kind":"service","name":"s","schema_version":2,"spec":{"job":{"id":"s"}}},{}]`))
 	f.Add([]byte(`{"kind":"quota","name":"t","schema_version":1,"deleted":true,"based_on":4}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		records, l := CheckFile("f", data, Author)
+		records, l := CheckFile("f", data, RejectUnknownSchema)
 		if l.Err() != nil {
 			return
 		}
@@ -101,7 +101,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, l := CheckFile("f", again, Author); l.Err() != nil {
+			if _, l := CheckFile("f", again, RejectUnknownSchema); l.Err() != nil {
 				t.Fatalf("accepted record is refused when written again: %v", l)
 			}
 		}
--- a/internal/settings/docs_test.go
+++ b/internal/settings/docs_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestOperatorsPageNamesEveryField keeps docs/operators/settings.md true.
-func TestOperatorsPageNamesEveryField(t *testing.T) {
+// TestDocumentationListsAllSettings keeps docs/operators/settings.md true.
+func TestDocumentationListsAllSettings(t *testing.T) {
 	data, err := os.ReadFile("../../docs/operators/settings.md")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -17,7 +17,7 @@
   "vm_list": {"url": "http://10.9.0.1:7001"}
 }`
 
-func TestMinimalSettingsTakeDefaults(t *testing.T) {
+func TestMinimalSettingsGetDefaults(t *testing.T) {
 	s, err := Decode("s.json", []byte(minimal))
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestEveryFaultIsReportedWithItsPlace(t *testing.T) {
+func TestAllFindingsAreReportedWithPaths(t *testing.T) {
 	faulty := `{
 	  "node_id": "bad id", "data_centre": "bne1", "data_centres": ["bne1", "bne1"],
 	  "listen": {"callers": "localhost:80", "operators": "10.0.0.1:1", "peers": "0.0.0.0:2", "admins": "x"},
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestSyntaxFaultNamesItsLine(t *testing.T) {
+func TestSyntaxErrorNamesLine(t *testing.T) {
 	_, err := Decode("s.json", []byte("{\n  \"node_id\": }"))
 	var l *finding.List
 	if !errors.As(err, &l) || len(l.Findings) != 1 || l.Findings[0].Value != "line 2, column 14: invalid character '}' looking for beginning of value" {
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestFlagsAndEnvironmentOverride(t *testing.T) {
+func TestFlagsAndEnvironmentOverrideSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.json")
 	if err := os.WriteFile(path, []byte(minimal), 0o600); err != nil {
 		t.Fatal(err)
