--- a/api/outcome.go
+++ b/api/outcome.go
@@ -5,29 +5,32 @@
 	"time"
 )
 
-// Outcome says what became of a request. Exactly one is given with every
-// final answer.
+// Outcome says whether a request was run. Every final answer carries exactly
+// one outcome.
 type Outcome string
 
-// The three outcomes.
+// Outcomes of a request.
 const (
-	// OutcomeRan: an endpoint ran the request and this is its whole answer.
+	// OutcomeRan means that an endpoint ran the request and that this is its
+	// complete answer.
 	OutcomeRan Outcome = "ran"
-	// OutcomeNotRun: it is certain that no endpoint ran the request or will
-	// run it. Of a non-idempotent request it speaks of the request id: no
-	// copy, through any entry VM, ran or ever will. Of an idempotent request
-	// it speaks of this copy only; others of the same id may have run.
+	// OutcomeNotRun means that certainly no endpoint ran the request or will
+	// run it. For a non-idempotent request this holds for the request id: no
+	// copy sent through any entry VM has run or ever will. For an idempotent
+	// request it holds for this copy only; other copies with the same id may
+	// have run.
 	OutcomeNotRun Outcome = "not-run"
-	// OutcomeUnknown: the request, or a copy of it, may have run or come to
-	// run; no whole answer is known. Asking again with the same id is safe.
+	// OutcomeUnknown means that the request, or a copy of it, may have run or
+	// may still run, and that no complete answer is known. Retrying with the
+	// same id is safe.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Reason is the machine-readable cause of a refusal, retry or wait. Each has
-// an expvar counter of the same name.
+// Reason is the machine-readable cause of a refusal, retry or wait. Each
+// reason has an expvar counter of the same name.
 type Reason string
 
-// Reasons of the request plane.
+// Reasons for refusing, retrying or delaying requests.
 const (
 	ReasonMalformed          Reason = "malformed"
 	ReasonTooLarge           Reason = "too_large"
@@ -63,13 +66,13 @@
 	ReasonInternal           Reason = "internal"
 )
 
-// Refusal is the typed error of a request, job or record that was turned
-// away or given up.
+// Refusal is the error for a request, job or record that was rejected or
+// abandoned.
 type Refusal struct {
 	Outcome    Outcome       `json:"outcome"`
 	Reason     Reason        `json:"reason"`
 	Detail     string        `json:"detail,omitempty"`
-	RetryAfter time.Duration `json:"retry_after_ns,omitempty"` // zero: asking again won't help
+	RetryAfter time.Duration `json:"retry_after_ns,omitempty"` // zero: a retry would not succeed
 }
 
 // Error implements error.
@@ -77,19 +80,20 @@
 	return fmt.Sprintf("%s: %s: %s", r.Outcome, r.Reason, r.Detail)
 }
 
-// NotRun returns a refusal of a request that certainly did not run.
+// NotRun returns a Refusal for a request that certainly did not run.
 func NotRun(reason Reason, retryAfter time.Duration, detail string) *Refusal {
 	return &Refusal{Outcome: OutcomeNotRun, Reason: reason, RetryAfter: retryAfter, Detail: detail}
 }
 
-// Unknown returns the answer for a request that may have run.
+// Unknown returns a Refusal for a request that may have run, without a retry
+// delay.
 func Unknown(reason Reason, detail string) *Refusal {
 	return UnknownWithRetry(reason, 0, detail)
 }
 
-// UnknownWithRetry returns the answer for a request of which a copy may have run
-// or may yet run. Asking again with the same id after retryAfter is safe and
-// may bring another word.
+// UnknownWithRetry returns a Refusal for a request of which a copy may have run
+// or may still run. Retrying with the same id after retryAfter is safe and may
+// give a definite outcome.
 func UnknownWithRetry(reason Reason, retryAfter time.Duration, detail string) *Refusal {
 	return &Refusal{Outcome: OutcomeUnknown, Reason: reason, RetryAfter: retryAfter, Detail: detail}
 }
--- a/api/request.go
+++ b/api/request.go
@@ -1,15 +1,16 @@
 package api
 
-// Headers of a caller's request and of its answer.
+// HTTP headers of requests and answers.
 const (
-	// HeaderRequestID identifies a request; repeats carry the same value.
-	// A value "dc/rest" pins the request's home to data centre dc.
+	// HeaderRequestID identifies a request; retries carry the same value.
+	// A value of the form "dc/rest" sets the request's home to data centre dc.
 	HeaderRequestID = "Request-Id"
-	// HeaderCaller names the caller for limits and fairness.
+	// HeaderCaller identifies the caller for limits and fair sharing.
 	HeaderCaller = "Caller-Id"
-	// HeaderIdempotent is "true" or "false"; missing means false.
+	// HeaderIdempotent is "true" or "false" (default).
 	HeaderIdempotent = "Idempotent"
-	// HeaderTimeout is the time left to the caller, in milliseconds.
+	// HeaderTimeout is the time remaining until the caller's deadline, in
+	// milliseconds.
 	HeaderTimeout = "Timeout-Ms"
 	// HeaderClass is "interactive" or "batch".
 	HeaderClass = "Request-Class"
@@ -19,16 +20,18 @@
 	HeaderReason = "Request-Reason"
 	// HeaderEpoch carries the sender's shard epoch to an endpoint.
 	HeaderEpoch = "Holder-Epoch"
-	// HeaderSlotsBusy is an endpoint's own count of requests running.
+	// HeaderSlotsBusy is the number of running requests as counted by the
+	// endpoint itself.
 	HeaderSlotsBusy = "Slots-Busy"
-	// HeaderLeaving is "true" in the answer of an endpoint that is leaving.
+	// HeaderLeaving is "true" in the answer of an endpoint that is about to
+	// shut down.
 	HeaderLeaving = "Endpoint-Leaving"
-	// HeaderNotRun is "true" in an endpoint's answer that refuses a request
-	// without running it.
+	// HeaderNotRun is "true" in the answer of an endpoint that refused the
+	// request without running it.
 	HeaderNotRun = "Endpoint-Not-Run"
 )
 
-// Request is one caller's request as it passes through the entry VMs.
+// Request is a caller's request as forwarded between entry VMs.
 type Request struct {
 	ID         string            `json:"id"`
 	Service    string            `json:"service"`
@@ -36,12 +39,12 @@
 	Class      Class             `json:"class"`
 	Idempotent bool              `json:"idempotent"`
 	Method     string            `json:"method"`
-	Path       string            `json:"path"` // with query, as sent to the endpoint
+	Path       string            `json:"path"` // including the query, as sent to the endpoint
 	Header     map[string]string `json:"header,omitempty"`
 	Body       []byte            `json:"body,omitempty"`
 }
 
-// Answer is the whole answer of an endpoint.
+// Answer is the complete answer of an endpoint.
 type Answer struct {
 	Status   int               `json:"status"`
 	Header   map[string]string `json:"header,omitempty"`
--- a/api/resources.go
+++ b/api/resources.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// Resources is an amount of what a VM offers or a task needs.
+// Resources is an amount of compute resources, such as the capacity of a VM or
+// the requirements of a task.
 type Resources struct {
 	_            struct{} `cbor:",toarray"`
 	MilliCPU     int64    `json:"milli_cpu"`    // thousandths of a processor
@@ -18,7 +19,7 @@
 	return r
 }
 
-// Sub returns r minus o; fields may become negative.
+// Sub returns r minus o; fields of the result may be negative.
 func (r Resources) Sub(o Resources) Resources {
 	r.MilliCPU -= o.MilliCPU
 	r.MemoryMB -= o.MemoryMB
@@ -44,7 +45,7 @@
 	return r.MilliCPU == 0 && r.MemoryMB == 0 && r.Accelerators == 0
 }
 
-// HasNegative reports whether any field is below zero.
+// HasNegative reports whether any field is negative.
 func (r Resources) HasNegative() bool {
 	return r.MilliCPU < 0 || r.MemoryMB < 0 || r.Accelerators < 0
 }
