--- a/cmd/skylarkctl/main.go
+++ b/cmd/skylarkctl/main.go
@@ -1,4 +1,4 @@
-// Command skylarkctl is the operators' tool of skylarklock.
+// Command skylarkctl is the command-line tool for skylarklock operators.
 package main
 
 import (
--- a/cmd/skylarklock/main.go
+++ b/cmd/skylarklock/main.go
@@ -1,8 +1,7 @@
-// Command skylarklock is the process of an entry VM: it takes callers'
-// requests and jobs, and decides together with the other entry VMs what runs
-// where.
+// Command skylarklock runs on an entry VM. It accepts requests and jobs from
+// callers and, together with the other entry VMs, decides where they run.
 //
-// Exit codes: 0 after a graceful shutdown, 1 after a failure, 2 for bad
+// Exit codes: 0 after a graceful shutdown, 1 after a failure, 2 for invalid
 // settings or arguments.
 package main
 
@@ -29,8 +28,8 @@
 	exitBadInput = 2
 )
 
-// platformCommand runs the process on the users' platform, whose settings file
-// it reads in place of our own.
+// platformCommand is the argument that selects the users' platform: the process
+// then reads the platform's settings file instead of internal/settings.
 const platformCommand = "platform"
 
 func main() {
@@ -68,8 +67,9 @@
 	return exitOK
 }
 
-// shutdownContext ends with the first SIGTERM or SIGINT, which starts a
-// graceful shutdown. A second signal ends the process at once.
+// shutdownContext returns a context that is cancelled by the first SIGTERM or
+// SIGINT, which starts a graceful shutdown. A second signal terminates the
+// process immediately.
 func shutdownContext() (context.Context, context.CancelFunc) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	context.AfterFunc(ctx, stop)
--- a/cmd/skylarklock/main_test.go
+++ b/cmd/skylarklock/main_test.go
@@ -18,24 +18,27 @@
 	"github.com/skylarklock/skylarklock/internal/standin/site"
 )
 
-// childVariable makes the test binary run as the entry process itself.
-const childVariable = "SKYLARKLOCK_TEST_CHILD"
+// childEnvVar is the environment variable that makes the test binary run as
+// the entry process.
+const childEnvVar = "SKYLARKLOCK_TEST_CHILD"
 
-// patience bounds each wait; no verdict depends on how long one takes.
-const patience = 60 * time.Second
+// waitTimeout bounds each wait. No test result depends on the duration of a
+// wait that ends before it.
+const waitTimeout = 60 * time.Second
 
 func TestMain(m *testing.M) {
-	if os.Getenv(childVariable) != "" {
+	if os.Getenv(childEnvVar) != "" {
 		os.Exit(run(os.Args[1:]))
 	}
 	os.Exit(m.Run())
 }
 
-// start runs an entry process with settings from path.
-func start(t *testing.T, path string) (*exec.Cmd, *bytes.Buffer) {
+// startEntry starts an entry process with the settings file at path. It returns
+// the process and its log output.
+func startEntry(t *testing.T, path string) (*exec.Cmd, *bytes.Buffer) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], "-settings", path)
-	cmd.Env = append(os.Environ(), childVariable+"=1")
+	cmd.Env = append(os.Environ(), childEnvVar+"=1")
 	var logs bytes.Buffer
 	cmd.Stderr = &logs
 	if err := cmd.Start(); err != nil {
@@ -58,7 +61,8 @@
 	return path
 }
 
-// send sends one request and returns the answer with its body.
+// send sends one request and returns the response with its body. If the request
+// fails, the response is empty and the text is the error.
 func send(t *testing.T, method, url, body string, header map[string]string) (*http.Response, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, url, strings.NewReader(body))
@@ -77,16 +81,21 @@
 	return resp, string(text)
 }
 
-func await(t *testing.T, what string, done func() bool) {
+// waitFor polls until done returns true, and fails the test after waitTimeout.
+func waitFor(t *testing.T, what string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if done() {
 			return
 		}
 	}
-	t.Fatalf("waited in vain: %s", what)
+	t.Fatalf("timed out waiting for %s", what)
 }
 
+// TestEndToEndWithSeparateProcesses runs two entry processes with stand-ins of
+// the platform: a record is published, an idempotent request runs, a
+// non-idempotent request that is retried through both entry VMs runs exactly
+// once, a batch job finishes, and both processes shut down gracefully.
 func TestEndToEndWithSeparateProcesses(t *testing.T) {
 	s, err := site.Start(site.Config{
 		DataCentres: []api.DataCentre{"dc-a"}, VMs: 3, VMsPerRack: 2,
@@ -104,11 +113,11 @@
 	var processes []*exec.Cmd
 	var logs []*bytes.Buffer
 	for _, e := range entries {
-		cmd, log := start(t, writeSettings(t, e))
+		cmd, log := startEntry(t, writeSettings(t, e))
 		processes, logs = append(processes, cmd), append(logs, log)
 	}
 	caller := func(i int) string { return "http://" + entries[i].Listen.Callers }
-	await(t, "readiness", func() bool {
+	waitFor(t, "readiness", func() bool {
 		a, _ := send(t, http.MethodGet, caller(0)+"/v1/ready", "", nil)
 		b, _ := send(t, http.MethodGet, caller(1)+"/v1/ready", "", nil)
 		return a.StatusCode == http.StatusOK && b.StatusCode == http.StatusOK
@@ -120,21 +129,21 @@
 	}
 
 	idempotent := map[string]string{api.HeaderRequestID: "sweep-1", api.HeaderIdempotent: "true"}
-	await(t, "an idempotent request that ran", func() bool {
+	waitFor(t, "the idempotent request to run", func() bool {
 		resp, _ := send(t, http.MethodPost, caller(1)+"/v1/services/torquebench/sweep", "sweep", idempotent)
 		return resp.Header.Get(api.HeaderOutcome) == string(api.OutcomeRan)
 	})
 
-	billed := map[string]string{api.HeaderRequestID: "billed-1"}
+	notIdempotent := map[string]string{api.HeaderRequestID: "billed-1"}
 	for i := range 4 {
 		var text string
-		await(t, "the billed check's answer", func() bool {
+		waitFor(t, "the answer of the non-idempotent request", func() bool {
 			var resp *http.Response
-			resp, text = send(t, http.MethodPost, caller(i%2)+"/v1/services/torquebench/check", "bill", billed)
+			resp, text = send(t, http.MethodPost, caller(i%2)+"/v1/services/torquebench/check", "bill", notIdempotent)
 			return resp.Header.Get(api.HeaderOutcome) == string(api.OutcomeRan)
 		})
 		if !strings.Contains(text, "billed-1") {
-			t.Fatalf("answer of another request: %q", text)
+			t.Fatalf("got the answer of another request: %q", text)
 		}
 	}
 	runs := 0
@@ -142,14 +151,14 @@
 		runs += len(x.Record().Runs["billed-1"])
 	}
 	if runs != 1 {
-		t.Fatalf("the billed check ran %d times", runs)
+		t.Fatalf("the non-idempotent request ran %d times, want 1", runs)
 	}
 
 	job := `{"id":"appraisal","team":"sales","class":"batch","tasks":3,"resources":{"milli_cpu":1000,"memory_mb":64},"run_time_ns":1000000}`
 	if resp, text := send(t, http.MethodPost, caller(0)+"/v1/jobs", job, nil); resp.StatusCode != http.StatusAccepted {
 		t.Fatalf("submit: %d %s", resp.StatusCode, text)
 	}
-	await(t, "the batch job's end", func() bool {
+	waitFor(t, "the batch job to finish", func() bool {
 		_, text := send(t, http.MethodGet, caller(1)+"/v1/jobs/appraisal", "", nil)
 		return strings.Contains(text, `"finished":3`)
 	})
@@ -159,30 +168,31 @@
 			t.Fatal(err)
 		}
 		if err := p.Wait(); err != nil {
-			t.Errorf("entry %d did not end well: %v\n%s", i, err, logs[i].String())
+			t.Errorf("entry process %d failed: %v\n%s", i, err, logs[i].String())
 		}
 	}
 }
 
 func TestInvalidSettingsAreReportedTogether(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "bad.json")
-	bad := `{"node_id":"","data_centre":"x","listen":{"callers":"localhost:80"},"unknown":1}`
-	if err := os.WriteFile(path, []byte(bad), 0o600); err != nil {
+	invalid := `{"node_id":"","data_centre":"x","listen":{"callers":"localhost:80"},"unknown":1}`
+	if err := os.WriteFile(path, []byte(invalid), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd, logs := start(t, path)
+	cmd, logs := startEntry(t, path)
 	_ = cmd.Wait()
 	if code := cmd.ProcessState.ExitCode(); code != exitBadInput {
 		t.Errorf("exit code %d, want %d", code, exitBadInput)
 	}
-	for _, place := range []string{"node_id", "listen.callers", "unknown"} {
-		if !strings.Contains(logs.String(), place) {
-			t.Errorf("no finding at %s in:\n%s", place, logs.String())
+	for _, field := range []string{"node_id", "listen.callers", "unknown"} {
+		if !strings.Contains(logs.String(), field) {
+			t.Errorf("no finding for %s in:\n%s", field, logs.String())
 		}
 	}
 }
 
-// A second signal ends the process at once, whatever is still in flight.
+// TestSecondSignalTerminatesImmediately sends a second SIGTERM during a drain
+// and checks that it terminates the process before the drain ends.
 func TestSecondSignalTerminatesImmediately(t *testing.T) {
 	s, err := site.Start(site.Config{
 		DataCentres: []api.DataCentre{"dc-a"}, VMs: 1, Capacity: api.Resources{MilliCPU: 1000, MemoryMB: 1000},
@@ -197,18 +207,18 @@
 	}
 	entries[0].ReadinessDelay = settings.Duration(time.Minute) // the drain lasts longer than the test
 	entries[0].DrainDeadline = settings.Duration(2 * time.Minute)
-	process, logs := start(t, writeSettings(t, entries[0]))
+	process, logs := startEntry(t, writeSettings(t, entries[0]))
 	ready := func() int {
 		resp, _ := send(t, http.MethodGet, "http://"+entries[0].Listen.Callers+"/v1/ready", "", nil)
 		return resp.StatusCode
 	}
-	await(t, "readiness", func() bool { return ready() == http.StatusOK })
+	waitFor(t, "readiness", func() bool { return ready() == http.StatusOK })
 	_ = process.Process.Signal(syscall.SIGTERM)
-	await(t, "the drain", func() bool { return ready() == http.StatusServiceUnavailable })
+	waitFor(t, "the drain to start", func() bool { return ready() == http.StatusServiceUnavailable })
 	_ = process.Process.Signal(syscall.SIGTERM)
 	_ = process.Wait()
 	status, ok := process.ProcessState.Sys().(syscall.WaitStatus)
 	if !ok || !status.Signaled() || status.Signal() != syscall.SIGTERM {
-		t.Fatalf("ended as %v\n%s", process.ProcessState, logs.String())
+		t.Fatalf("process state is %v, want terminated by SIGTERM\n%s", process.ProcessState, logs.String())
 	}
 }
