--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/skylarklock/skylarklock/internal/journal"
 )
 
-// BenchmarkApply measures the acceptance of new batch jobs, what each keeps
-// in memory, what it takes in a snapshot and to restore.
+// BenchmarkApply measures the acceptance of new batch jobs: the time of Apply,
+// the heap and snapshot bytes per record, and the time to restore a record.
 func BenchmarkApply(b *testing.B) {
 	m := NewStateMachine()
 	entries := make([]journal.Entry, b.N)
@@ -41,7 +41,7 @@
 	b.ReportMetric(float64(time.Since(start).Nanoseconds())/float64(b.N), "restore-ns/record")
 }
 
-// BenchmarkService measures the read on the path of each request.
+// BenchmarkService measures StateMachine.Service, which is called for each request.
 func BenchmarkService(b *testing.B) {
 	m := NewStateMachine()
 	must(b, apply(m, "", service("torquebench", 2, 0, `{}`)))
--- a/internal/config/entry.go
+++ b/internal/config/entry.go
@@ -1,10 +1,10 @@
-// Package config holds the operators' records that are in force.
+// Package config holds the configuration records that operators publish.
 //
-// The Machine applies published records in the order of the log, by compare
-// and set: a record is accepted when its BasedOn equals the revision in force
-// of its key. Acceptance never depends on what this binary knows of a schema,
-// so binaries of different versions accept the same records. A Publisher
-// proposes records and settles lost answers.
+// StateMachine applies published records in log order by compare-and-set: a record
+// is accepted if its BasedOn equals the revision in force of its key. Acceptance
+// never depends on which schemas this binary can decode, so binaries of different
+// versions accept the same records. Publisher proposes records and determines
+// their outcome when an answer of the log is lost.
 package config
 
 import (
@@ -20,20 +20,21 @@
 // TypePublish is the entry type of a published record.
 const TypePublish = journal.TypeConfigFirst
 
-// Bounds that every reader applies. They are part of the stored format.
+// Bounds that every reader of the log applies. They are part of the stored
+// format.
 const (
 	maxEntryBytes = 96 << 10
 	maxKindBytes  = 32
 	maxNameBytes  = 128
-	// keptPublications is how many of the latest accepted publications are
-	// remembered, to tell a repeat from a new one.
-	keptPublications = 4096
-	// keptTombstones is how many of the latest deletions are remembered. An
-	// older deleted key counts as never seen.
-	keptTombstones = 16384
+	// maxRecentPublications is the number of latest accepted publications that
+	// are remembered to recognise repeats.
+	maxRecentPublications = 4096
+	// maxTombstones is the number of latest deletions that are remembered. A
+	// key whose deletion is older is treated as if it had never existed.
+	maxTombstones = 16384
 )
 
-// Key identifies a record.
+// Key identifies a configuration record by kind and name.
 type Key struct {
 	_    struct{} `cbor:",toarray"`
 	Kind api.Kind `json:"kind"`
@@ -47,11 +48,11 @@
 	return cmp.Or(cmp.Compare(k.Kind, o.Kind), cmp.Compare(k.Name, o.Name))
 }
 
-// PublicationID tells the repeat of a publication from a new one. It covers
-// the publisher's own id and the whole record.
+// PublicationID identifies a publication, so that repeats are recognised. It is
+// a hash of the publisher's id and the whole record.
 type PublicationID [16]byte
 
-// publication is the body of an entry of TypePublish.
+// publication is the body of a journal entry of TypePublish.
 type publication struct {
 	_             struct{} `cbor:",toarray"`
 	ID            PublicationID
@@ -79,8 +80,9 @@
 
 func (p publication) key() Key { return Key{Kind: p.Kind, Name: p.Name} }
 
-// decodePublication reads an entry. It checks the form only, by rules that
-// no later binary changes.
+// decodePublication decodes a journal entry. It checks only the form, by rules
+// that must not change in later versions, since all binaries must accept the
+// same entries.
 func decodePublication(e journal.Entry) (publication, error) {
 	var p publication
 	if e.Type != TypePublish {
@@ -101,8 +103,9 @@
 	return p, p.checkSpec()
 }
 
-// checkSpec checks that a deletion has no spec and any other record has one
-// of valid JSON, so that it can be shown and relayed.
+// checkSpec checks that a deletion names a revision and has no spec, and that
+// any other record has a spec of valid JSON, so that the record can be shown
+// and relayed.
 func (p publication) checkSpec() error {
 	switch {
 	case p.Deleted && p.BasedOn == 0:
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -6,15 +6,15 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// ConflictError rejects a record that is based on another revision than the
-// one in force, or whose name another kind of job holds. Every reader rejects
-// it alike.
+// ConflictError rejects a record that is not based on the revision in force, or
+// whose name is in use by a job of another kind. All readers of the log reject
+// the same records.
 type ConflictError struct {
 	Key     Key
 	BasedOn api.Revision
-	InForce api.Revision // 0: the key doesn't exist
+	InForce api.Revision // 0: the key does not exist
 	Deleted bool         // the revision in force is a deletion
-	HeldBy  Key          // the key that holds the job's name; empty: the key itself
+	HeldBy  Key          // the job of another kind that has the name; empty: the revision differs
 }
 
 // Error implements error.
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("config: %s: based on revision %d, in force is %d", e.Key, e.BasedOn, e.InForce)
 }
 
-// MalformedError rejects an entry that is no record at all.
+// MalformedError rejects a journal entry that is not a well-formed record.
 type MalformedError struct {
 	Detail string
 }
@@ -33,7 +33,7 @@
 // Error implements error.
 func (e *MalformedError) Error() string { return "config: malformed entry: " + e.Detail }
 
-// StaleSnapshotError refuses a snapshot that is older than the state.
+// StaleSnapshotError rejects a snapshot that is older than the current state.
 type StaleSnapshotError struct {
 	Snapshot, State api.Revision
 }
--- a/internal/config/machine.go
+++ b/internal/config/machine.go
@@ -9,32 +9,33 @@
 	"github.com/skylarklock/skylarklock/internal/journal"
 )
 
-// StateMachine is the state of the config stream. Reads are safe from any
-// goroutine and take one shard's read lock.
+// StateMachine is the state of the config stream, to which journal entries are
+// applied in log order. Reads are safe for concurrent use; a read of one
+// key takes the read lock of one table shard.
 type StateMachine struct {
-	tables     *tables
-	revision   atomic.Uint64
-	unreadable atomic.Int64 // keys whose newest record isn't understood
+	tables          *tables
+	revision        atomic.Uint64
+	unreadableCount atomic.Int64 // number of keys whose newest record cannot be decoded
 
-	mu         sync.Mutex // held by Apply, Restore, Snapshot and settle
-	recent     recent
-	tombstones []tombstone // oldest first
+	mu                 sync.Mutex // held by Apply, Restore, Snapshot and knownOutcome
+	recentPublications recentPublications
+	tombstones         []tombstone // oldest first
 
 	subscribers subscribers
 }
 
 var _ journal.Machine = (*StateMachine)(nil)
 
-// tombstone remembers a deletion.
+// tombstone records the deletion of a key.
 type tombstone struct {
 	_        struct{} `cbor:",toarray"`
 	Key      Key
 	Revision api.Revision
 }
 
-// NewStateMachine returns a machine without records.
+// NewStateMachine returns a StateMachine without records.
 func NewStateMachine() *StateMachine {
-	return &StateMachine{tables: newTables(), recent: newRecent()}
+	return &StateMachine{tables: newTables(), recentPublications: newRecentPublications()}
 }
 
 // Types implements journal.Machine.
@@ -42,9 +43,9 @@
 	return []journal.EntryType{TypePublish}
 }
 
-// Apply implements journal.Machine. It fails with a *ConflictError or a
-// *MalformedError. A repeat of an accepted publication changes nothing and
-// isn't an error.
+// Apply implements journal.Machine. Its errors are of type *ConflictError or
+// *MalformedError. Applying an accepted publication again has no effect and
+// returns no error.
 func (m *StateMachine) Apply(_ journal.Position, e journal.Entry) error {
 	p, err := decodePublication(e)
 	if err != nil {
@@ -60,23 +61,23 @@
 func (m *StateMachine) apply(p publication) (Change, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, repeated := m.recent.revision(p.ID); repeated {
+	if _, repeated := m.recentPublications.revision(p.ID); repeated {
 		return Change{}, nil
 	}
-	if err := m.conflict(p); err != nil {
+	if err := m.checkConflict(p); err != nil {
 		return Change{}, err
 	}
 	return m.accept(p), nil
 }
 
-// conflict returns a *ConflictError unless p may be accepted.
-func (m *StateMachine) conflict(p publication) error {
+// checkConflict returns a *ConflictError if p cannot be accepted, else nil.
+func (m *StateMachine) checkConflict(p publication) error {
 	k := p.key()
 	current := m.tables.get(k)
 	if current.revision() != p.BasedOn {
 		return &ConflictError{Key: k, BasedOn: p.BasedOn, InForce: current.revision(), Deleted: current.deleted()}
 	}
-	if !isJob(k.Kind) || p.Deleted {
+	if !isJobKind(k.Kind) || p.Deleted {
 		return nil
 	}
 	for _, kind := range jobKinds {
@@ -89,16 +90,16 @@
 	return nil
 }
 
-// jobKinds share one space of names: a job's id is unique in the cell. The
-// list is part of the stored format.
+// jobKinds are the kinds that share one namespace, since a job's id is unique in
+// the cell. The list is part of the stored format.
 var jobKinds = []api.Kind{api.KindService, api.KindBatchJob, api.KindGangJob}
 
-func isJob(k api.Kind) bool { return slices.Contains(jobKinds, k) }
+func isJobKind(k api.Kind) bool { return slices.Contains(jobKinds, k) }
 
 func (m *StateMachine) accept(p publication) Change {
 	rev := api.Revision(m.revision.Load() + 1)
 	current := m.tables.get(p.key())
-	next := current.with(p.key(), stored{
+	next := current.withRecord(p.key(), storedRecord{
 		Revision:      rev,
 		BasedOn:       p.BasedOn,
 		SchemaVersion: p.SchemaVersion,
@@ -106,19 +107,20 @@
 		Spec:          p.Spec,
 	})
 	m.tables.put(next)
-	m.unreadable.Add(int64(next.unreadable() - current.unreadable()))
-	m.recent.add(p.ID, rev)
+	m.unreadableCount.Add(int64(next.unreadableCount() - current.unreadableCount()))
+	m.recentPublications.add(p.ID, rev)
 	if p.Deleted {
-		m.bury(tombstone{Key: p.key(), Revision: rev})
+		m.addTombstone(tombstone{Key: p.key(), Revision: rev})
 	}
 	m.revision.Store(uint64(rev))
 	return changeOf(next)
 }
 
-// bury remembers a deletion and forgets the oldest beyond the bound.
-func (m *StateMachine) bury(t tombstone) {
+// addTombstone records a deletion. Beyond maxTombstones it drops the oldest
+// tombstone, and its key unless the key has been created again.
+func (m *StateMachine) addTombstone(t tombstone) {
 	m.tombstones = append(m.tombstones, t)
-	if len(m.tombstones) <= keptTombstones {
+	if len(m.tombstones) <= maxTombstones {
 		return
 	}
 	oldest := m.tombstones[0]
@@ -128,13 +130,14 @@
 	}
 }
 
-// settle says what is already certain of a publication: that it was accepted
-// (its revision), or that it conflicts at any later place in the log (the
-// error). It returns zero and nil when only the log can tell.
-func (m *StateMachine) settle(p publication) (api.Revision, error) {
+// knownOutcome returns the outcome of a publication if the state already
+// determines it: the revision if the publication was accepted, or an error if it
+// would conflict at any later position in the log. It returns zero and nil if
+// the outcome is still open.
+func (m *StateMachine) knownOutcome(p publication) (api.Revision, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if rev, ok := m.recent.revision(p.ID); ok {
+	if rev, ok := m.recentPublications.revision(p.ID); ok {
 		return rev, nil
 	}
 	current := m.tables.get(p.key())
@@ -144,12 +147,12 @@
 	return 0, nil
 }
 
-// UnreadableCount returns the number of keys that Unknown lists.
+// UnreadableCount returns the number of keys that UnreadableRecords returns.
 func (m *StateMachine) UnreadableCount() int {
-	return int(m.unreadable.Load())
+	return int(m.unreadableCount.Load())
 }
 
-// Revision returns the number of records accepted so far. It never falls.
+// Revision returns the number of records accepted so far. It never decreases.
 func (m *StateMachine) Revision() api.Revision {
 	return api.Revision(m.revision.Load())
 }
--- a/internal/config/machine_test.go
+++ b/internal/config/machine_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	_ = flag.Set("rapid.seed", "20261202") // the same cases in every run
+	_ = flag.Set("rapid.seed", "20261202") // fixed, so that every run tests the same cases
 	os.Exit(m.Run())
 }
 
@@ -31,19 +31,19 @@
 	return m.Apply(journal.Position{}, journal.Entry{Type: TypePublish, Body: journal.Encode(newPublication(id, rec))})
 }
 
-// expected is what a reader of the whole log would conclude about one key.
-type expected struct {
+// expectedState is the state of one key in the reference model.
+type expectedState struct {
 	revision api.Revision
 	deleted  bool
-	timeout  int64 // of the last understood record; 0: none
+	timeout  int64 // of the newest decodable record; 0: none
 }
 
 // TestStateMachineAgainstReference applies random publications, repeats and
-// restores, and compares acceptance and reads with a plain reference.
+// restores, and compares acceptance and reads with a reference model.
 func TestStateMachineAgainstReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewStateMachine()
-		state := map[string]expected{}
+		state := map[string]expectedState{}
 		var revision api.Revision
 		var accepted []publication
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -68,10 +68,10 @@
 					t.Fatalf("based on %d, in force %d: got %v", rec.BasedOn, before.revision, err)
 				}
 			case err != nil:
-				t.Fatalf("rejected: %v", err)
+				t.Fatalf("record was rejected: %v", err)
 			default:
 				revision++
-				next := expected{revision: revision, deleted: rec.Deleted, timeout: before.timeout}
+				next := expectedState{revision: revision, deleted: rec.Deleted, timeout: before.timeout}
 				if rec.Deleted {
 					next.timeout = 0
 				} else if readable {
@@ -81,32 +81,34 @@
 				accepted = append(accepted, newPublication(fmt.Sprint(step), rec))
 			}
 			if len(accepted) > 0 && rapid.Bool().Draw(t, "repeat") {
-				repeat(t, m, accepted[rapid.IntRange(0, len(accepted)-1).Draw(t, "which")])
+				applyAgain(t, m, accepted[rapid.IntRange(0, len(accepted)-1).Draw(t, "which")])
 			}
 			if rapid.IntRange(0, 5).Draw(t, "restore") == 0 {
-				m = restored(t, m)
+				m = restoreFromSnapshot(t, m)
 			}
-			compare(t, m, revision, state)
+			compareWithReference(t, m, revision, state)
 		}
 	})
 }
 
-// repeat applies an accepted publication again: the same changes nothing and
-// is no error, the same record under another id conflicts.
-func repeat(t *rapid.T, m *StateMachine, p publication) {
+// applyAgain applies an accepted publication again: with the same id it must be
+// accepted without effect, with another id it must conflict.
+func applyAgain(t *rapid.T, m *StateMachine, p publication) {
 	entry := journal.Entry{Type: TypePublish, Body: journal.Encode(p)}
 	if err := m.Apply(journal.Position{}, entry); err != nil {
-		t.Fatalf("repeat rejected: %v", err)
+		t.Fatalf("repeated publication was rejected: %v", err)
 	}
 	p.ID[0]++
 	entry.Body = journal.Encode(p)
 	var conflict *ConflictError
 	if err := m.Apply(journal.Position{}, entry); !errors.As(err, &conflict) {
-		t.Fatalf("second publication of the same record: %v", err)
+		t.Fatalf("same record with another id: got %v, want a conflict", err)
 	}
 }
 
-func restored(t *rapid.T, m *StateMachine) *StateMachine {
+// restoreFromSnapshot returns a new StateMachine restored from a snapshot of m,
+// after checking that both give the same snapshot and the same reads.
+func restoreFromSnapshot(t *rapid.T, m *StateMachine) *StateMachine {
 	data, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -120,17 +122,17 @@
 		t.Fatalf("snapshot of the restored machine differs (%v)", err)
 	}
 	if !reflect.DeepEqual(m.Records(""), next.Records("")) || !reflect.DeepEqual(m.Services(), next.Services()) {
-		t.Fatal("restored machine reads differently")
+		t.Fatal("restored machine returns different records or services")
 	}
 	return next
 }
 
-func compare(t *rapid.T, m *StateMachine, revision api.Revision, state map[string]expected) {
+func compareWithReference(t *rapid.T, m *StateMachine, revision api.Revision, state map[string]expectedState) {
 	if m.Revision() != revision {
 		t.Fatalf("revision %d, want %d", m.Revision(), revision)
 	}
 	if m.UnreadableCount() != len(m.UnreadableRecords()) {
-		t.Fatalf("%d unreadable counted, %d listed", m.UnreadableCount(), len(m.UnreadableRecords()))
+		t.Fatalf("UnreadableCount is %d, UnreadableRecords lists %d", m.UnreadableCount(), len(m.UnreadableRecords()))
 	}
 	for name, want := range state {
 		s, ok := m.Service(name)
@@ -144,47 +146,52 @@
 	}
 }
 
+// TestSchemaVersionsCoexist checks that records of known and unknown schema
+// versions are accepted together: the newest decodable record stays in force,
+// unknown records are kept in snapshots, and deletions, conflicts and stale
+// snapshots are handled without decoding them.
 func TestSchemaVersionsCoexist(t *testing.T) {
 	m := NewStateMachine()
 	must(t, apply(m, "", service("a", 1, 0, `{"retries":4,"timeout_ms":700}`)))
 	must(t, apply(m, "", service("b", 2, 0, `{"max_attempts":2}`)))
 	if a, _ := m.Service("a"); a.MaxAttempts != 5 || a.TimeoutMs != 700 || a.CallerShare == 0 {
-		t.Fatalf("version 1 converted to %+v", a)
+		t.Fatalf("version 1 was converted to %+v", a)
 	}
 	must(t, apply(m, "", service("a", 9, 1, `{"hedging":true}`)))
 	must(t, apply(m, "", api.Record{Kind: "future", Name: "x", SchemaVersion: 1, Spec: json.RawMessage(`{}`)}))
 	if a, ok := m.Service("a"); !ok || a.MaxAttempts != 5 {
-		t.Fatalf("the last understood record isn't in force: %+v", a)
+		t.Fatalf("the newest decodable record is not in force: %+v", a)
 	}
 	snapshot, err := m.Snapshot()
 	must(t, err)
 	next := NewStateMachine()
 	must(t, next.Restore(snapshot))
-	unknown := next.UnreadableRecords()
-	if len(unknown) != 2 || unknown[0].Revision != 3 || unknown[0].InForce != 1 || string(unknown[0].Record.Spec) != `{"hedging":true}` {
-		t.Fatalf("relayed: %+v", unknown)
+	unreadable := next.UnreadableRecords()
+	if len(unreadable) != 2 || unreadable[0].Revision != 3 || unreadable[0].InForce != 1 || string(unreadable[0].Record.Spec) != `{"hedging":true}` {
+		t.Fatalf("unreadable records after restore: %+v", unreadable)
 	}
 	if a, ok := next.Service("a"); !ok || a.MaxAttempts != 5 {
-		t.Fatalf("after the snapshot in force: %+v", a)
+		t.Fatalf("service in force after restore: %+v", a)
 	}
 	deletion := service("a", 9, 3, "")
 	deletion.Deleted = true
 	must(t, apply(next, "", deletion))
 	if _, ok := next.Service("a"); ok || len(next.UnreadableRecords()) != 1 {
-		t.Fatal("a deletion wasn't understood")
+		t.Fatal("the deletion of an unreadable record had no effect")
 	}
 	var conflict *ConflictError
 	if err := apply(next, "late", service("a", 1, 0, `{}`)); !errors.As(err, &conflict) || conflict.InForce != 5 || !conflict.Deleted {
-		t.Fatalf("a late record revived a deleted key: %v", err)
+		t.Fatalf("record for a deleted key: got %v, want a conflict", err)
 	}
 	var stale *StaleSnapshotError
 	if err := next.Restore(snapshot); !errors.As(err, &stale) || next.Revision() != 5 {
-		t.Fatalf("an older snapshot was restored: %v", err)
+		t.Fatalf("restore of an older snapshot: got %v, want *StaleSnapshotError", err)
 	}
 }
 
-// TestNewestRecordOfEachVersionIsKept: a binary that knows version 9 but not 10
-// finds the newest record of version 9 in a snapshot of this one.
+// TestNewestRecordOfEachVersionIsKept checks that the newest record of each
+// schema version is kept. A binary that knows version 9 but not 10 needs the
+// newest record of version 9 from a snapshot of this binary.
 func TestNewestRecordOfEachVersionIsKept(t *testing.T) {
 	m := NewStateMachine()
 	for i, version := range []int{1, 9, 10, 9, 10, 1} {
@@ -199,35 +206,36 @@
 	}
 }
 
-// TestRestoredStateMachineForgetsSameDeletions fills the memory of deletions and compares a
-// machine with one that was restored from its snapshot.
+// TestRestoredStateMachineForgetsSameDeletions fills the list of tombstones and checks
+// that a machine and one restored from its snapshot drop the same tombstones.
+// Otherwise they would accept different records.
 func TestRestoredStateMachineForgetsSameDeletions(t *testing.T) {
-	live := NewStateMachine()
+	original := NewStateMachine()
 	deletion := func(name string, basedOn api.Revision) api.Record {
 		return api.Record{Kind: api.KindService, Name: name, SchemaVersion: 1, BasedOn: basedOn, Deleted: true}
 	}
-	must(t, apply(live, "", service("again", 1, 0, `{}`)))
-	must(t, apply(live, "", deletion("again", 1)))
-	must(t, apply(live, "", service("again", 1, 2, `{}`)))
-	must(t, apply(live, "", service("gone", 1, 0, `{}`)))
-	must(t, apply(live, "", deletion("gone", 4)))
-	must(t, apply(live, "", service("last", 1, 0, `{}`)))
-	must(t, apply(live, "", service("last but one", 1, 0, `{}`)))
-	for len(live.tombstones) < keptTombstones {
-		live.tombstones = append(live.tombstones, tombstone{Key: Key{Kind: "filler", Name: "f"}})
+	must(t, apply(original, "", service("again", 1, 0, `{}`)))
+	must(t, apply(original, "", deletion("again", 1)))
+	must(t, apply(original, "", service("again", 1, 2, `{}`)))
+	must(t, apply(original, "", service("gone", 1, 0, `{}`)))
+	must(t, apply(original, "", deletion("gone", 4)))
+	must(t, apply(original, "", service("last", 1, 0, `{}`)))
+	must(t, apply(original, "", service("last but one", 1, 0, `{}`)))
+	for len(original.tombstones) < maxTombstones {
+		original.tombstones = append(original.tombstones, tombstone{Key: Key{Kind: "filler", Name: "f"}})
 	}
-	data, err := live.Snapshot()
+	data, err := original.Snapshot()
 	must(t, err)
 	restored := NewStateMachine()
 	must(t, restored.Restore(data))
-	for _, m := range []*StateMachine{live, restored} {
+	for _, m := range []*StateMachine{original, restored} {
 		must(t, apply(m, "", deletion("last but one", 7)))
 		if _, ok := m.Service("again"); !ok {
-			t.Error("a key that exists again was forgotten")
+			t.Error("a key that was created again was dropped with its tombstone")
 		}
 		var conflict *ConflictError
 		if err := apply(m, "x", service("gone", 1, 0, `{}`)); !errors.As(err, &conflict) {
-			t.Errorf("a remembered deletion was undone: %v", err)
+			t.Errorf("record for a deleted key: got %v, want a conflict", err)
 		}
 		must(t, apply(m, "", deletion("last", 6)))
 		must(t, apply(m, "y", service("gone", 1, 0, `{}`)))
@@ -245,7 +253,7 @@
 	var conflict *ConflictError
 	err := apply(m, "", api.Record{Kind: api.KindGangJob, Name: "j", SchemaVersion: 1, Spec: json.RawMessage(job)})
 	if !errors.As(err, &conflict) || conflict.HeldBy.Kind != api.KindBatchJob {
-		t.Fatalf("two jobs under one id: %v", err)
+		t.Fatalf("second job with the same id: got %v, want a conflict", err)
 	}
 	if l := m.Limits("anyone"); l.RatePerSecond != 7.5 || l.Burst != 8 {
 		t.Fatalf("limits %+v", l)
@@ -254,12 +262,13 @@
 		t.Fatalf("job %+v", j)
 	}
 	if m.Policy().SampleSize == 0 {
-		t.Fatal("no built-in policy")
+		t.Fatal("no default policy")
 	}
 }
 
-// TestReadersNeverSeeOlderState reads while records and snapshots are
-// applied.
+// TestReadersNeverSeeOlderState reads concurrently while records are applied and
+// snapshots restored, and checks that neither the revision nor the service goes
+// back, and that the service is at least as new as the revision read before it.
 func TestReadersNeverSeeOlderState(t *testing.T) {
 	const changes = 400
 	m := NewStateMachine()
@@ -299,8 +308,8 @@
 	}
 }
 
-// FuzzApply feeds arbitrary entries: no panic, a typed error or acceptance,
-// and a snapshot that restores.
+// FuzzApply applies arbitrary entries. Each must be accepted or rejected with a
+// typed error, and the resulting state must marshal and restore from a snapshot.
 func FuzzApply(f *testing.F) {
 	f.Add(journal.Encode(newPublication("", service("a", 1, 0, `{"retries":1}`))))
 	f.Add(journal.Encode(newPublication("", service("a", 7, 0, ``))))
@@ -312,9 +321,9 @@
 		var malformed *MalformedError
 		var conflict *ConflictError
 		if err != nil && !errors.As(err, &malformed) && !errors.As(err, &conflict) {
-			t.Fatalf("untyped error %v", err)
+			t.Fatalf("error of unexpected type: %v", err)
 		}
-		_, err = json.Marshal(m.Records("")) // as operators read them
+		_, err = json.Marshal(m.Records("")) // the form shown to operators
 		must(t, err)
 		data, err := m.Snapshot()
 		must(t, err)
--- a/internal/config/object.go
+++ b/internal/config/object.go
@@ -5,8 +5,8 @@
 	"github.com/skylarklock/skylarklock/internal/schema"
 )
 
-// stored is one accepted record of a key.
-type stored struct {
+// storedRecord is one accepted record of a key, without the key.
+type storedRecord struct {
 	_             struct{} `cbor:",toarray"`
 	Revision      api.Revision
 	BasedOn       api.Revision
@@ -15,22 +15,22 @@
 	Spec          []byte
 }
 
-// object is all that is kept of one key. It is immutable once it is in a
+// object holds the retained records of one key. It is immutable once it is in a
 // table.
 type object struct {
 	key Key
-	// records holds, in order of revision: the newest record, the newest of
-	// each schema version (for binaries that know no newer one), and the
-	// newest that this binary understands.
-	records    []stored
-	understood int // index in records, or -1
-	spec       schema.Spec
-	fault      error // why the newest record isn't understood; nil when it is
+	// records holds, in order of revision, the newest record, the newest
+	// record of each schema version (for binaries that know no newer version)
+	// and the newest record that this binary can decode.
+	records      []storedRecord
+	decodedIndex int         // index in records of the newest decodable record, or -1
+	spec         schema.Spec // of the record at decodedIndex
+	decodeErr    error       // why the newest record cannot be decoded, or nil
 }
 
-func (o *object) newest() stored { return o.records[len(o.records)-1] }
+func (o *object) newest() storedRecord { return o.records[len(o.records)-1] }
 
-// revision returns the revision in force of the key.
+// revision returns the revision of the newest record, or 0 if o is nil.
 func (o *object) revision() api.Revision {
 	if o == nil {
 		return 0
@@ -40,18 +40,18 @@
 
 func (o *object) deleted() bool { return o != nil && o.newest().Deleted }
 
-// inForce reports whether the key has a record that decisions may use.
-func (o *object) inForce() bool { return o != nil && o.understood >= 0 }
+// inForce reports whether the key has a decoded record in force.
+func (o *object) inForce() bool { return o != nil && o.decodedIndex >= 0 }
 
-// unreadable returns 1 for a key whose newest record isn't understood, else 0.
-func (o *object) unreadable() int {
-	if o == nil || o.fault == nil {
+// unreadableCount returns 1 if the newest record cannot be decoded, else 0.
+func (o *object) unreadableCount() int {
+	if o == nil || o.decodeErr == nil {
 		return 0
 	}
 	return 1
 }
 
-func (s stored) record(k Key) api.Record {
+func (s storedRecord) record(k Key) api.Record {
 	return api.Record{
 		Kind:          k.Kind,
 		Name:          k.Name,
@@ -62,47 +62,48 @@
 	}
 }
 
-// with returns the object that follows o (nil for a new key) once s is
-// accepted. A deletion forgets all earlier records.
-func (o *object) with(k Key, s stored) *object {
-	next := &object{key: k, understood: -1}
+// withRecord returns the object that replaces o (nil for a new key) when s is
+// accepted. A deletion drops all earlier records.
+func (o *object) withRecord(k Key, s storedRecord) *object {
+	next := &object{key: k, decodedIndex: -1}
 	if s.Deleted {
-		next.records = []stored{s}
+		next.records = []storedRecord{s}
 		return next
 	}
 	if o != nil && !o.deleted() {
 		next.records = append(next.records, o.records...)
-		next.understood = o.understood
+		next.decodedIndex = o.decodedIndex
 		next.spec = o.spec
 	}
 	next.records = append(next.records, s)
 	spec, err := schema.Decode(s.record(k))
-	next.fault = err
+	next.decodeErr = err
 	if err == nil {
 		next.spec = spec
-		next.understood = len(next.records) - 1
+		next.decodedIndex = len(next.records) - 1
 	}
 	next.prune()
 	return next
 }
 
-// prune drops the records that nobody needs any more.
+// prune drops records that are neither the newest of their schema version nor
+// the newest decodable one.
 func (o *object) prune() {
 	kept := o.records[:0:0]
-	understood := -1
+	decodedIndex := -1
 	for i, s := range o.records {
-		if i != o.understood && !o.newestOfVersion(i) {
+		if i != o.decodedIndex && !o.isNewestOfVersion(i) {
 			continue
 		}
-		if i == o.understood {
-			understood = len(kept)
+		if i == o.decodedIndex {
+			decodedIndex = len(kept)
 		}
 		kept = append(kept, s)
 	}
-	o.records, o.understood = kept, understood
+	o.records, o.decodedIndex = kept, decodedIndex
 }
 
-func (o *object) newestOfVersion(i int) bool {
+func (o *object) isNewestOfVersion(i int) bool {
 	for _, later := range o.records[i+1:] {
 		if later.SchemaVersion == o.records[i].SchemaVersion {
 			return false
@@ -111,12 +112,12 @@
 	return true
 }
 
-// rebuild makes an object from the records of a snapshot, which a binary of
-// another version may have written.
-func rebuild(k Key, records []stored) *object {
+// objectFromRecords builds an object from the records of a snapshot, which may
+// have been written by a binary of another version.
+func objectFromRecords(k Key, records []storedRecord) *object {
 	var o *object
 	for _, s := range records {
-		o = o.with(k, s)
+		o = o.withRecord(k, s)
 	}
 	return o
 }
--- a/internal/config/publisher_test.go
+++ b/internal/config/publisher_test.go
@@ -16,27 +16,28 @@
 	"github.com/skylarklock/skylarklock/internal/journal"
 )
 
-// fakeJournal applies entries one at a time. Some it doesn't write, of some
-// it loses the answer, some it writes twice or after the answer.
+// fakeJournal is a journal that applies entries one at a time and injects
+// faults: it drops an entry, loses the answer, applies an entry twice, or
+// applies it only at the next call.
 type fakeJournal struct {
 	machine *StateMachine
 	mu      sync.Mutex
 	random  *rand.Rand
-	late    []journal.Entry
+	delayed []journal.Entry // applied at the next call
 }
 
 func (f *fakeJournal) Propose(_ context.Context, e journal.Entry) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, late := range f.late {
-		_ = f.machine.Apply(journal.Position{}, late)
+	for _, delayed := range f.delayed {
+		_ = f.machine.Apply(journal.Position{}, delayed)
 	}
-	f.late = nil
+	f.delayed = nil
 	switch f.random.IntN(5) {
 	case 0:
 		return journal.ErrNotWritten
 	case 1:
-		f.late = append(f.late, e)
+		f.delayed = append(f.delayed, e)
 		return journal.ErrUnsettled
 	case 2:
 		_ = f.machine.Apply(journal.Position{}, e)
@@ -47,13 +48,14 @@
 	return f.machine.Apply(journal.Position{}, e)
 }
 
-// casOutput is the settled outcome of one compare and set.
+// casOutput is the final outcome of one compare-and-set.
 type casOutput struct {
 	accepted bool
-	revision api.Revision // accepted: the new one; else the one in force
+	revision api.Revision // the new revision if accepted, else the one in force
 }
 
-// casRegister is the revision in force of one key.
+// casRegister models the revision in force of one key as a register with
+// compare-and-set.
 var casRegister = porcupine.Model{
 	Init: func() any { return api.Revision(0) },
 	Step: func(state, input, output any) (bool, any) {
@@ -65,8 +67,9 @@
 	},
 }
 
-// TestConcurrentPublishersHaveOneWinner checks histories of publishers that race
-// over a journal with lost answers and repeat until settled.
+// TestConcurrentPublishersHaveOneWinner lets publishers compete over a faulty
+// journal and retry until their outcome is known. It checks that exactly one
+// wins over each revision and that the history is linearizable.
 func TestConcurrentPublishersHaveOneWinner(t *testing.T) {
 	const publishers, rounds = 6, 12
 	m := NewStateMachine()
@@ -101,10 +104,11 @@
 		}
 	}
 	if !porcupine.CheckOperations(casRegister, history) {
-		t.Error("history isn't linearizable")
+		t.Error("history is not linearizable")
 	}
 }
 
+// publishUntilSettled publishes rec until its outcome is known.
 func publishUntilSettled(t *testing.T, p *Publisher, rec api.Record) casOutput {
 	for {
 		rev, err := p.Publish(context.Background(), rec)
@@ -115,27 +119,30 @@
 		case errors.As(err, &conflict):
 			return casOutput{revision: conflict.InForce}
 		case !errors.Is(err, journal.ErrNotWritten) && !errors.Is(err, journal.ErrUnsettled):
-			t.Errorf("unexpected %v", err)
+			t.Errorf("unexpected error: %v", err)
 			return casOutput{}
 		}
 	}
 }
 
+// TestRepeatedPublicationIsRecognisedAfterLaterChanges publishes a record again
+// whose first answer was lost, after another record has replaced it. The repeat
+// must return the original revision without a proposal to the log.
 func TestRepeatedPublicationIsRecognisedAfterLaterChanges(t *testing.T) {
 	m := NewStateMachine()
 	lost := service("a", 2, 0, `{"timeout_ms": 5}`)
-	must(t, apply(m, "", compact(lost)))
+	must(t, apply(m, "", compactSpec(lost)))
 	must(t, apply(m, "", service("a", 2, 1, `{"timeout_ms":6}`)))
-	p := NewPublisher(m, nil) // settled without the log
+	p := NewPublisher(m, nil) // the outcomes must be known without the log
 	if rev, err := p.Publish(context.Background(), lost); rev != 1 || err != nil {
-		t.Fatalf("repeat of revision 1: %d, %v", rev, err)
+		t.Fatalf("repeat of revision 1: got revision %d, %v", rev, err)
 	}
 	var conflict *ConflictError
 	if _, err := p.PublishWithID(context.Background(), "other operator", lost); !errors.As(err, &conflict) || conflict.InForce != 2 {
-		t.Fatalf("another operator's record: %v", err)
+		t.Fatalf("identical record of another operator: got %v, want a conflict", err)
 	}
 	var l *finding.List
 	if _, err := p.Publish(context.Background(), service("a", 2, 2, `{"max_attempts":0,"retries":1}`)); !errors.As(err, &l) || len(l.Findings) == 0 {
-		t.Fatalf("invalid record: %v", err)
+		t.Fatalf("invalid record: got %v, want findings", err)
 	}
 }
--- a/internal/config/recent.go
+++ b/internal/config/recent.go
@@ -2,34 +2,34 @@
 
 import "github.com/skylarklock/skylarklock/api"
 
-// accepted is one accepted publication.
-type accepted struct {
+// acceptedPublication is one accepted publication.
+type acceptedPublication struct {
 	_        struct{} `cbor:",toarray"`
 	ID       PublicationID
 	Revision api.Revision
 }
 
-// recent remembers the latest accepted publications. It is guarded by the
-// machine's lock.
-type recent struct {
-	order []accepted // oldest first
-	byID  map[PublicationID]api.Revision
+// recentPublications holds the latest accepted publications, at most
+// maxRecentPublications. It is guarded by StateMachine.mu.
+type recentPublications struct {
+	byRevision []acceptedPublication // oldest first
+	byID       map[PublicationID]api.Revision
 }
 
-func newRecent() recent {
-	return recent{byID: make(map[PublicationID]api.Revision)}
+func newRecentPublications() recentPublications {
+	return recentPublications{byID: make(map[PublicationID]api.Revision)}
 }
 
-func (r *recent) add(id PublicationID, rev api.Revision) {
-	r.order = append(r.order, accepted{ID: id, Revision: rev})
+func (r *recentPublications) add(id PublicationID, rev api.Revision) {
+	r.byRevision = append(r.byRevision, acceptedPublication{ID: id, Revision: rev})
 	r.byID[id] = rev
-	if len(r.order) > keptPublications {
-		delete(r.byID, r.order[0].ID)
-		r.order = r.order[1:]
+	if len(r.byRevision) > maxRecentPublications {
+		delete(r.byID, r.byRevision[0].ID)
+		r.byRevision = r.byRevision[1:]
 	}
 }
 
-func (r *recent) revision(id PublicationID) (api.Revision, bool) {
+func (r *recentPublications) revision(id PublicationID) (api.Revision, bool) {
 	rev, ok := r.byID[id]
 	return rev, ok
 }
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -7,7 +7,7 @@
 	"github.com/skylarklock/skylarklock/internal/journal"
 )
 
-// snapshotFormat is the version of the snapshot's own form.
+// snapshotFormat is the version of the snapshot's encoding.
 const snapshotFormat = 1
 
 type snapshot struct {
@@ -15,25 +15,25 @@
 	Format     int
 	Revision   api.Revision
 	Objects    []snapshotObject
-	Recent     []accepted
+	Recent     []acceptedPublication
 	Tombstones []tombstone
 }
 
 type snapshotObject struct {
 	_       struct{} `cbor:",toarray"`
 	Key     Key
-	Records []stored
+	Records []storedRecord
 }
 
-// Snapshot implements journal.Machine. It holds every record, also those that
-// this binary doesn't understand.
+// Snapshot implements journal.Machine. The snapshot includes records that this
+// binary cannot decode.
 func (m *StateMachine) Snapshot() ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	s := snapshot{
 		Format:     snapshotFormat,
 		Revision:   m.Revision(),
-		Recent:     m.recent.order,
+		Recent:     m.recentPublications.byRevision,
 		Tombstones: m.tombstones,
 	}
 	for _, o := range m.tables.objects() {
@@ -42,9 +42,9 @@
 	return journal.Encode(s), nil
 }
 
-// Restore implements journal.Machine. It fails with a *StaleSnapshotError
-// when the snapshot is older than the state, which then stays as it is.
-// Subscribers get one Change with Restored set.
+// Restore implements journal.Machine. If the snapshot is older than the state,
+// it returns a *StaleSnapshotError and leaves the state unchanged. Otherwise
+// subscribers receive one Change with Restored set.
 func (m *StateMachine) Restore(data []byte) error {
 	var s snapshot
 	if err := journal.Decode(data, &s); err != nil {
@@ -66,13 +66,13 @@
 	if s.Revision < m.Revision() {
 		return &StaleSnapshotError{Snapshot: s.Revision, State: m.Revision()}
 	}
-	unreadable := 0
+	unreadableCount := 0
 	present := make(map[Key]bool, len(s.Objects))
 	for _, so := range s.Objects {
-		if o := rebuild(so.Key, so.Records); o != nil {
+		if o := objectFromRecords(so.Key, so.Records); o != nil {
 			present[so.Key] = true
 			m.tables.put(o)
-			unreadable += o.unreadable()
+			unreadableCount += o.unreadableCount()
 		}
 	}
 	for _, o := range m.tables.objects() {
@@ -80,12 +80,12 @@
 			m.tables.remove(o.key)
 		}
 	}
-	m.recent = newRecent()
+	m.recentPublications = newRecentPublications()
 	for _, a := range s.Recent {
-		m.recent.add(a.ID, a.Revision)
+		m.recentPublications.add(a.ID, a.Revision)
 	}
 	m.tombstones = s.Tombstones
-	m.unreadable.Store(int64(unreadable))
+	m.unreadableCount.Store(int64(unreadableCount))
 	m.revision.Store(uint64(s.Revision))
 	return nil
 }
--- a/internal/config/subscribe.go
+++ b/internal/config/subscribe.go
@@ -9,16 +9,17 @@
 	"github.com/skylarklock/skylarklock/internal/schema"
 )
 
-// Change tells a subscriber of one accepted record or of a restored state.
+// Change describes an accepted record or a restored state to a subscriber.
 type Change struct {
 	Revision api.Revision
 	Key      Key
-	Deleted  bool        // the key has no record in force any more
-	Spec     schema.Spec // what is in force of the key; empty when nothing is
-	// Decoded is false when this binary can't decode the record, so that
-	// Spec is what was in force before.
+	Deleted  bool        // the record deletes the key
+	Spec     schema.Spec // the spec in force of the key; empty if there is none
+	// Decoded is false if this binary cannot decode the record. Spec is then
+	// the spec that was in force before.
 	Decoded bool
-	// Restored: the whole state was replaced, read it anew. Key is empty.
+	// Restored is true if the whole state was replaced by a snapshot and must
+	// be read again. Key is then empty.
 	Restored bool
 }
 
@@ -28,26 +29,27 @@
 		Key:      o.key,
 		Deleted:  o.deleted(),
 		Spec:     o.spec,
-		Decoded:  o.fault == nil,
+		Decoded:  o.decodeErr == nil,
 	}
 }
 
-// subscribers holds the functions to call after each change.
+// subscribers is the set of functions that are called after each change.
 type subscribers struct {
 	mu   sync.Mutex
 	next int
 	fns  map[int]func(Change)
 }
 
-// Subscribe calls fn after each accepted record, in order, from the goroutine
-// that applies the stream; fn must not block. The returned function ends the
-// subscription; a call in progress may still end after it.
+// Subscribe calls fn after each accepted record, in log order, from the goroutine
+// that applies the stream; fn must not block. The returned function cancels the
+// subscription; a call of fn that is in progress may return after it.
 func (m *StateMachine) Subscribe(fn func(Change)) (cancel func()) {
 	return m.subscribers.add(fn)
 }
 
-// Notify returns a channel that holds a value whenever the state changed
-// since the last receive. The returned function ends it.
+// Notify returns a channel from which a value can be received if the state has
+// changed since the last receive. The returned function cancels the
+// notifications.
 func (m *StateMachine) Notify() (changed <-chan struct{}, cancel func()) {
 	ch := make(chan struct{}, 1)
 	cancel = m.Subscribe(func(Change) {
@@ -81,7 +83,7 @@
 	}
 }
 
-// current returns the functions in order of subscription.
+// current returns the subscribed functions in order of subscription.
 func (s *subscribers) current() []func(Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/config/table.go
+++ b/internal/config/table.go
@@ -9,9 +9,9 @@
 	"github.com/skylarklock/skylarklock/internal/schema"
 )
 
-const shardCount = 16 // of each table
+const shardCount = 16 // shards per table
 
-// table holds the objects of one kind, in shards each under its own lock.
+// table holds objects by key, divided into shards that each have their own lock.
 type table struct {
 	seed   maphash.Seed
 	shards [shardCount]shard
@@ -34,7 +34,7 @@
 	return &t.shards[maphash.String(t.seed, name)%shardCount]
 }
 
-// get returns the object of a key, or nil.
+// get returns the object of key k, or nil.
 func (t *table) get(k Key) *object {
 	s := t.shard(k.Name)
 	s.mu.RLock()
@@ -56,8 +56,8 @@
 	delete(s.objects, k)
 }
 
-// all returns the objects in order of their keys.
-func (t *table) all() []*object {
+// sortedObjects returns all objects, sorted by key.
+func (t *table) sortedObjects() []*object {
 	var out []*object
 	for i := range t.shards {
 		s := &t.shards[i]
@@ -71,40 +71,41 @@
 	return out
 }
 
-// tables holds one table for each kind that this binary knows and one for
-// all others.
+// tables holds one table for each kind that this binary knows and one for all
+// other kinds.
 type tables struct {
-	known map[api.Kind]*table
-	other *table
+	known        map[api.Kind]*table
+	unknownKinds *table
 }
 
 func newTables() *tables {
-	t := &tables{known: make(map[api.Kind]*table), other: newTable()}
+	t := &tables{known: make(map[api.Kind]*table), unknownKinds: newTable()}
 	for _, k := range schema.Kinds() {
 		t.known[k] = newTable()
 	}
 	return t
 }
 
-// of returns the table of a kind.
-func (t *tables) of(k api.Kind) *table {
+// tableFor returns the table that holds objects of kind k.
+func (t *tables) tableFor(k api.Kind) *table {
 	if known := t.known[k]; known != nil {
 		return known
 	}
-	return t.other
+	return t.unknownKinds
 }
 
-func (t *tables) get(k Key) *object { return t.of(k.Kind).get(k) }
+func (t *tables) get(k Key) *object { return t.tableFor(k.Kind).get(k) }
 
-func (t *tables) put(o *object) { t.of(o.key.Kind).put(o) }
+func (t *tables) put(o *object) { t.tableFor(o.key.Kind).put(o) }
 
-func (t *tables) remove(k Key) { t.of(k.Kind).remove(k) }
+func (t *tables) remove(k Key) { t.tableFor(k.Kind).remove(k) }
 
-// objects returns all objects of every kind, sorted by kind and name.
+// objects returns the objects of all kinds: the known kinds in order, then the
+// others, each table sorted by key.
 func (t *tables) objects() []*object {
 	var out []*object
 	for _, k := range schema.Kinds() {
-		out = append(out, t.known[k].all()...)
+		out = append(out, t.known[k].sortedObjects()...)
 	}
-	return append(out, t.other.all()...)
+	return append(out, t.unknownKinds.sortedObjects()...)
 }
