--- a/internal/schema/default.go
+++ b/internal/schema/default.go
@@ -5,10 +5,10 @@
 // Routing policies of a service.
 const (
 	RoutingLeastLoaded = "least-loaded"
-	RoutingBaseline    = "baseline" // round robin, three retries, no limits: to measure against
+	RoutingBaseline    = "baseline" // round robin, three retries, no limits; a baseline for comparisons
 )
 
-// DefaultService returns the service that a record without fields stands for.
+// DefaultService returns the spec of a service whose record sets no fields.
 func DefaultService(name string) api.ServiceSpec {
 	return api.ServiceSpec{
 		Service:        name,
@@ -24,12 +24,12 @@
 	}
 }
 
-// DefaultJob returns a job of one task; its team and resources have no default.
+// DefaultJob returns a job with one task. Team and resources have no defaults.
 func DefaultJob(id api.JobID, class api.Class) api.JobSpec {
 	return api.JobSpec{ID: id, Class: class, Priority: api.PriorityDefault, Tasks: 1, MaxAttempts: 3}
 }
 
-// DefaultPolicy returns the policy in force while none is published.
+// DefaultPolicy returns the policy that applies until one is published.
 func DefaultPolicy() api.PolicySpec {
 	return api.PolicySpec{
 		SampleSize:         32,
@@ -41,8 +41,8 @@
 	}
 }
 
-// DefaultLimits returns the limits of callers while no record names them or
-// AnyCaller.
+// DefaultLimits returns the limits of a caller if there is neither a record for
+// the caller nor one for AnyCaller.
 func DefaultLimits() api.LimitsSpec {
 	return api.LimitsSpec{Caller: AnyCaller, RatePerSecond: 500, Burst: 1000, Concurrency: 200}
 }
--- a/internal/schema/record.go
+++ b/internal/schema/record.go
@@ -12,7 +12,7 @@
 	"github.com/skylarklock/skylarklock/internal/strictjson"
 )
 
-// MaxSpecBytes bounds the spec of one record.
+// MaxSpecBytes is the maximum size of the spec of a record.
 const MaxSpecBytes = 64 << 10
 
 const allowedName = "1 to 128 of a-z, A-Z, 0-9, '.', '_', '-', ':', '@'"
@@ -22,63 +22,67 @@
 	kindPattern = regexp.MustCompile(`^[a-z][a-z0-9-]{0,31}$`)
 )
 
-// UnknownSchemaMode says how a record that this binary can't decode is judged.
+// UnknownSchemaMode determines whether CheckRecord accepts a record whose kind or
+// schema version this binary cannot decode.
 type UnknownSchemaMode int
 
-// Modes of checking.
+// Modes for unknown schemas.
 const (
-	// RejectUnknownSchema: whoever writes the record must know its schema.
+	// RejectUnknownSchema rejects the record. It is used where records are
+	// written, since the author must know their schema.
 	RejectUnknownSchema UnknownSchemaMode = iota
-	// AllowUnknownSchema: a newer schema or kind is passed on unread, for the binaries
-	// that know it.
+	// AllowUnknownSchema accepts the record if its spec is valid JSON, so that
+	// it reaches the binaries that know its kind and schema version.
 	AllowUnknownSchema
 )
 
-// CheckRecord adds every fault of rec to l; path is the record's place in its
-// file, empty for a file of one record.
+// CheckRecord adds a finding to l for every error in rec. path is the position of
+// the record in its file, empty for a file with a single record.
 func CheckRecord(rec api.Record, mode UnknownSchemaMode, path string, l *finding.List) {
-	at := func(field string) string { return strings.TrimPrefix(path+"."+field, ".") }
+	fieldPath := func(field string) string { return strings.TrimPrefix(path+"."+field, ".") }
 	before := len(l.Findings)
-	l.Check(kindPattern.MatchString(string(rec.Kind)), at("kind"), rec.Kind, "one of "+kindNames())
+	l.Check(kindPattern.MatchString(string(rec.Kind)), fieldPath("kind"), rec.Kind, "one of "+kindNames())
 	anyCaller := rec.Kind == api.KindLimits && rec.Name == AnyCaller
-	l.Check(anyCaller || namePattern.MatchString(rec.Name), at("name"), rec.Name, allowedName)
-	l.Check(rec.SchemaVersion >= 1, at("schema_version"), rec.SchemaVersion, "at least 1")
-	l.Check(len(rec.Spec) <= MaxSpecBytes, at("spec"), fmt.Sprintf("%d bytes", len(rec.Spec)), fmt.Sprintf("at most %d bytes", MaxSpecBytes))
+	l.Check(anyCaller || namePattern.MatchString(rec.Name), fieldPath("name"), rec.Name, allowedName)
+	l.Check(rec.SchemaVersion >= 1, fieldPath("schema_version"), rec.SchemaVersion, "at least 1")
+	l.Check(len(rec.Spec) <= MaxSpecBytes, fieldPath("spec"), fmt.Sprintf("%d bytes", len(rec.Spec)), fmt.Sprintf("at most %d bytes", MaxSpecBytes))
 	if len(l.Findings) > before {
 		return
 	}
 	if rec.Deleted {
-		l.Check(len(rec.Spec) == 0, at("spec"), "a spec", "none in a deletion")
-		l.Check(rec.BasedOn > 0, at("based_on"), rec.BasedOn, "the revision to delete")
+		l.Check(len(rec.Spec) == 0, fieldPath("spec"), "a spec", "none in a deletion")
+		l.Check(rec.BasedOn > 0, fieldPath("based_on"), rec.BasedOn, "the revision to delete")
 		return
 	}
 	if CanDecode(rec) {
-		decodeSpec(rec, at("spec"), l)
+		decodeSpec(rec, fieldPath("spec"), l)
 		return
 	}
 	if mode == RejectUnknownSchema {
 		checkVersion(rec, path, l)
 		return
 	}
-	l.Check(json.Valid(rec.Spec), at("spec"), "not JSON", "valid JSON")
+	l.Check(json.Valid(rec.Spec), fieldPath("spec"), "not JSON", "valid JSON")
 }
 
-// checkVersion reports a kind or schema version that this binary can't decode.
+// checkVersion adds a finding for a kind or schema version that this binary
+// cannot decode.
 func checkVersion(rec api.Record, path string, l *finding.List) {
 	if CanDecode(rec) && !rec.Deleted {
 		return
 	}
 	prefix := strings.TrimPrefix(path+".", ".")
-	newest := LatestVersion(rec.Kind)
-	if newest == 0 {
+	latest := LatestVersion(rec.Kind)
+	if latest == 0 {
 		l.Add(prefix+"kind", rec.Kind, "one of "+kindNames())
 		return
 	}
-	l.Add(prefix+"schema_version", rec.SchemaVersion, rangeOf(1, int64(newest)))
+	l.Add(prefix+"schema_version", rec.SchemaVersion, formatRange(1, int64(latest)))
 }
 
-// CheckFile reads the records of one file, a single one or an array, and
-// checks each. The list carries every fault of the file; it is never nil.
+// CheckFile decodes and checks the records of a file, which holds a single record
+// or an array of records. The list holds a finding for every error in the file;
+// it is never nil.
 func CheckFile(file string, data []byte, mode UnknownSchemaMode) ([]api.Record, *finding.List) {
 	l := &finding.List{File: file}
 	if !strictjson.Valid(data, "", l) {
@@ -103,7 +107,7 @@
 }
 
 func kindNames() string {
-	names := make([]string, 0, len(versions))
+	names := make([]string, 0, len(decodersByKind))
 	for _, k := range Kinds() {
 		names = append(names, string(k))
 	}
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -1,7 +1,6 @@
-// Package schema knows the schema versions of operators' records: it decodes
-// every version that is in force into the one form that decisions use, and
-// holds the one validation that the operators' command, the publish path and
-// the configuration machine share.
+// Package schema defines the schema versions of configuration records. It decodes
+// every supported version into a common representation, and validates records
+// for skylarkctl, the operator service and the config state machine.
 package schema
 
 import (
@@ -13,14 +12,15 @@
 	"github.com/skylarklock/skylarklock/internal/strictjson"
 )
 
-// PolicyName is the name of the one record of api.KindPolicy that is in force.
+// PolicyName is the only valid name of a record of api.KindPolicy.
 const PolicyName = "default"
 
-// AnyCaller names the limits of callers without a record of their own.
+// AnyCaller is the name of the limits record for callers without a record of
+// their own.
 const AnyCaller = "*"
 
-// Spec is a decoded record. The field of the record's kind is set; the value
-// is shared and must not be changed.
+// Spec is the decoded spec of a record. Only the field for the record's kind is
+// set. Its value is shared and must not be modified.
 type Spec struct {
 	Service *api.ServiceSpec
 	Job     *api.JobSpec // of batch and gang jobs
@@ -29,12 +29,12 @@
 	Limits  *api.LimitsSpec
 }
 
-// decoder reads one schema version of one kind over its defaults, converts
-// it to the form in use and checks it.
-type decoder func(rec api.Record, path string, l *finding.List) Spec
+// specDecoder decodes one schema version of one kind over its defaults, converts
+// it to the latest version and checks it.
+type specDecoder func(rec api.Record, path string, l *finding.List) Spec
 
-// versions holds the decoders of each kind; the first is schema version 1.
-var versions = map[api.Kind][]decoder{
+// decodersByKind holds the decoders of each kind, in order of schema version from 1.
+var decodersByKind = map[api.Kind][]specDecoder{
 	api.KindService:  {decodeServiceV1, decodeServiceV2},
 	api.KindBatchJob: {decodeBatchJobV1},
 	api.KindGangJob:  {decodeGangJobV1},
@@ -43,30 +43,31 @@
 	api.KindLimits:   {decodeLimitsV1, decodeLimitsV2},
 }
 
-// Kinds returns the kinds that this binary knows, sorted.
+// Kinds returns the kinds that this binary can decode, sorted.
 func Kinds() []api.Kind {
-	kinds := make([]api.Kind, 0, len(versions))
-	for k := range versions {
+	kinds := make([]api.Kind, 0, len(decodersByKind))
+	for k := range decodersByKind {
 		kinds = append(kinds, k)
 	}
 	slices.Sort(kinds)
 	return kinds
 }
 
-// LatestVersion returns the newest schema version of kind that this binary knows,
-// or 0 for a kind that it doesn't know.
+// LatestVersion returns the latest schema version of kind that this binary can
+// decode, or 0 if the kind is unknown.
 func LatestVersion(kind api.Kind) int {
-	return len(versions[kind])
+	return len(decodersByKind[kind])
 }
 
-// CanDecode reports whether this binary can decode the record. A deletion has no
-// content and is always known.
+// CanDecode reports whether this binary knows the kind and schema version of rec.
+// It is always true for a deletion, which has no spec.
 func CanDecode(rec api.Record) bool {
 	return rec.Deleted || (rec.SchemaVersion >= 1 && rec.SchemaVersion <= LatestVersion(rec.Kind))
 }
 
-// Decode converts the record's spec to the form in use. It fails with a
-// *finding.List when the record isn't Known or breaks its schema.
+// Decode decodes the record's spec and converts it to the latest schema version.
+// It returns a *finding.List as the error if CanDecode is false or the spec
+// violates its schema.
 func Decode(rec api.Record) (Spec, error) {
 	l := &finding.List{}
 	checkVersion(rec, "", l)
@@ -82,7 +83,7 @@
 		l.Add(path, nil, "the record's content")
 		return Spec{}
 	}
-	return versions[rec.Kind][rec.SchemaVersion-1](rec, path, l)
+	return decodersByKind[rec.Kind][rec.SchemaVersion-1](rec, path, l)
 }
 
 func decodeServiceV2(rec api.Record, path string, l *finding.List) Spec {
@@ -96,12 +97,12 @@
 	return Spec{Service: &s}
 }
 
-// hasJob reports whether a service's spec names tasks to run.
+// hasJob reports whether the spec of a service has a job.
 func hasJob(spec []byte) bool {
-	var probe struct {
+	var fields struct {
 		Job json.RawMessage `json:"job"`
 	}
-	return json.Unmarshal(spec, &probe) == nil && len(probe.Job) > 0
+	return json.Unmarshal(spec, &fields) == nil && len(fields.Job) > 0
 }
 
 func decodeBatchJobV1(rec api.Record, path string, l *finding.List) Spec {
--- a/internal/schema/schema_test.go
+++ b/internal/schema/schema_test.go
@@ -11,6 +11,7 @@
 	"github.com/skylarklock/skylarklock/internal/finding"
 )
 
+// paths returns the paths of the findings, separated by spaces.
 func paths(l *finding.List) string {
 	var out []string
 	for _, f := range l.Findings {
@@ -19,6 +20,8 @@
 	return strings.Join(out, " ")
 }
 
+// TestAllFindingsOfFileHavePaths checks that all errors in a file of several
+// records are reported together, each with the path of its field.
 func TestAllFindingsOfFileHavePaths(t *testing.T) {
 	file := `[
 	  {"kind":"service","name":"torquebench","schema_version":2,"based_on":0,
@@ -51,17 +54,19 @@
 	}
 }
 
+// TestUnknownSchemaIsAllowedOrRejectedByMode checks that a record of an unknown
+// kind is rejected when it is written but accepted when it is relayed.
 func TestUnknownSchemaIsAllowedOrRejectedByMode(t *testing.T) {
 	rec := api.Record{Kind: "future", Name: "x", SchemaVersion: 1, Spec: json.RawMessage(`{"a":1}`)}
-	relay, author := &finding.List{}, &finding.List{}
-	CheckRecord(rec, AllowUnknownSchema, "", relay)
-	CheckRecord(rec, RejectUnknownSchema, "", author)
-	if relay.Err() != nil || paths(author) != "kind" {
-		t.Fatalf("relay %v, author %v", relay, author)
+	allowed, rejected := &finding.List{}, &finding.List{}
+	CheckRecord(rec, AllowUnknownSchema, "", allowed)
+	CheckRecord(rec, RejectUnknownSchema, "", rejected)
+	if allowed.Err() != nil || paths(rejected) != "kind" {
+		t.Fatalf("findings with AllowUnknownSchema: %v, with RejectUnknownSchema: %v", allowed, rejected)
 	}
 }
 
-// TestDocumentedRecordsAreValid keeps docs/operators/records.md true.
+// TestDocumentedRecordsAreValid checks the examples in docs/operators/records.md.
 func TestDocumentedRecordsAreValid(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/records.md")
 	if err != nil {
@@ -75,12 +80,12 @@
 		}
 	}
 	if len(examples) != 4 {
-		t.Errorf("%d examples", len(examples))
+		t.Errorf("%d examples, want 4", len(examples))
 	}
 }
 
-// FuzzCheckFile feeds arbitrary files: every accepted record decodes, alone
-// and after a second writing.
+// FuzzCheckFile checks arbitrary files. Every accepted record must decode, and
+// must still be accepted after it is marshalled again.
 func FuzzCheckFile(f *testing.F) {
 	f.Add([]byte(`{"kind":"limits","name":"c","schema_version":1,"spec":{"rate_per_second":2}}`))
 	f.Add([]byte(`[{"kind":"service","name":"s","schema_version":2,"spec":{"job":{"id":"s"}}},{}]`))
@@ -95,14 +100,14 @@
 				continue
 			}
 			if _, err := Decode(rec); err != nil {
-				t.Fatalf("accepted record doesn't decode: %v", err)
+				t.Fatalf("accepted record does not decode: %v", err)
 			}
-			again, err := json.Marshal(rec)
+			marshalled, err := json.Marshal(rec)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, l := CheckFile("f", again, RejectUnknownSchema); l.Err() != nil {
-				t.Fatalf("accepted record is refused when written again: %v", l)
+			if _, l := CheckFile("f", marshalled, RejectUnknownSchema); l.Err() != nil {
+				t.Fatalf("accepted record is rejected after marshalling: %v", l)
 			}
 		}
 	})
