--- a/internal/settings/default.go
+++ b/internal/settings/default.go
@@ -7,8 +7,8 @@
 	mib = 1 << 20
 )
 
-// Default returns settings with every default filled in. Identity, addresses
-// and URLs have none.
+// Default returns the default settings. The identity of the VM, addresses and
+// URLs have no defaults and are empty.
 func Default() *Settings {
 	return &Settings{
 		Log:              defaultLog(),
--- a/internal/settings/docs_test.go
+++ b/internal/settings/docs_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// TestDocumentationListsAllSettings keeps docs/operators/settings.md true.
+// TestDocumentationListsAllSettings checks that docs/operators/settings.md lists
+// every setting with its default and that its example is valid.
 func TestDocumentationListsAllSettings(t *testing.T) {
 	data, err := os.ReadFile("../../docs/operators/settings.md")
 	if err != nil {
@@ -30,17 +31,17 @@
 				row += fmt.Sprintf("`%v` |", value.Interface())
 			}
 			if !strings.Contains(page, row) {
-				t.Errorf("no row %q", row)
+				t.Errorf("the page has no row %q", row)
 			}
 		}
 	}
 	walk("", reflect.ValueOf(*Default()))
 	if got := strings.Count(page, "\n| `"); got != rows {
-		t.Errorf("the page has %d rows, the settings %d fields", got, rows)
+		t.Errorf("the page has %d rows, but there are %d settings", got, rows)
 	}
 	_, example, _ := strings.Cut(page, "```json\n")
 	example, _, _ = strings.Cut(example, "```")
 	if _, err := Decode("example", []byte(example)); err != nil {
-		t.Errorf("the example is faulty: %v", err)
+		t.Errorf("the example is invalid: %v", err)
 	}
 }
--- a/internal/settings/flags.go
+++ b/internal/settings/flags.go
@@ -9,14 +9,14 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// EnvPrefix starts the names of environment variables that stand for flags,
-// such as SKYLARKLOCK_SETTINGS.
+// EnvPrefix is the prefix of environment variables that set flags, such as
+// SKYLARKLOCK_SETTINGS.
 const EnvPrefix = "SKYLARKLOCK"
 
-// Parse reads the command line of an entry VM: -settings names the JSON file,
-// the other flags override single settings. Flags may be given by environment
-// variables too. It returns the errors of Load, flag.ErrHelp, or those of the
-// command line itself.
+// Parse reads the settings from the command line of an entry VM: -settings names
+// the JSON file, the other flags override individual settings. Flags can also be
+// set by environment variables. The error is that of Load, flag.ErrHelp, or an
+// error in the command line.
 func Parse(args []string) (*Settings, error) {
 	fs := flag.NewFlagSet("skylarklock", flag.ContinueOnError)
 	path := fs.String("settings", "", "JSON `file` with the settings")
@@ -31,8 +31,8 @@
 	return load(*path, overrides{node: api.NodeID(*node), level: *level})
 }
 
-// overrides are single settings given on the command line; empty ones leave
-// the setting as it is.
+// overrides holds settings given on the command line. Empty fields override
+// nothing.
 type overrides struct {
 	node  api.NodeID
 	level string
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the JSON settings of an entry VM, fills in defaults
-// and checks them, reporting every fault together.
+// Package settings reads the JSON settings of an entry VM, fills in defaults and
+// validates them, reporting all errors together.
 package settings
 
 import (
@@ -14,11 +14,12 @@
 	"github.com/skylarklock/skylarklock/internal/strictjson"
 )
 
-// Duration is a time.Duration that is written as text, such as "2s".
+// Duration is a time.Duration that is encoded as text in JSON, such as "2s".
 type Duration time.Duration
 
-// errDuration says what a duration looks like; it is shown in findings.
-var errDuration = errors.New(`a duration such as "2s" or "150ms"`)
+// errInvalidDuration describes the format of a duration; its text is shown in
+// findings.
+var errInvalidDuration = errors.New(`a duration such as "2s" or "150ms"`)
 
 // Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
@@ -35,23 +36,23 @@
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
-		return errDuration
+		return errInvalidDuration
 	}
 	parsed, err := time.ParseDuration(text)
 	if err != nil {
-		return errDuration
+		return errInvalidDuration
 	}
 	*d = Duration(parsed)
 	return nil
 }
 
-// Settings are the settings of one entry VM.
+// Settings holds the settings of one entry VM.
 type Settings struct {
 	NodeID        api.NodeID       `json:"node_id"`         // unique among entry VMs
 	DataCentre    api.DataCentre   `json:"data_centre"`     // of this VM
-	DataCentres   []api.DataCentre `json:"data_centres"`    // all of the cell
+	DataCentres   []api.DataCentre `json:"data_centres"`    // all data centres of the cell
 	Listen        Listen           `json:"listen"`          // addresses to listen on
-	AdvertisePeer string           `json:"advertise_peer"`  // IP:port told to peers; default listen.peers
+	AdvertisePeer string           `json:"advertise_peer"`  // IP:port announced to peers; defaults to listen.peers
 	Peers         []string         `json:"peers,omitempty"` // seed IP:ports of peers, in any data centre
 	Log           Log              `json:"log"`             // the platform's log service
 	VMList        VMList           `json:"vm_list"`         // the platform's VM list
@@ -59,83 +60,83 @@
 	Hold          Hold             `json:"hold"`            // ownership and leases
 	Limits        Limits           `json:"limits"`          // of requests and memory
 	LogLevel      string           `json:"log_level"`
-	DrainDeadline Duration         `json:"drain_deadline"` // longest graceful shutdown
-	// ReadinessDelay is how long a leaving VM still takes requests after it
-	// told the balancer that it isn't ready.
+	DrainDeadline Duration         `json:"drain_deadline"` // maximum duration of a graceful shutdown
+	// ReadinessDelay is how long an entry VM that shuts down keeps accepting
+	// requests after it has reported itself not ready to the load balancer.
 	ReadinessDelay Duration `json:"readiness_delay"`
 	// RequestRetention is how long the id of a non-idempotent request is
-	// remembered.
+	// remembered to recognise repeats.
 	RequestRetention Duration `json:"request_retention"`
 }
 
-// Listen holds the IP:port of each listener.
+// Listen holds the IP:port addresses of the listeners.
 type Listen struct {
 	Callers   string `json:"callers"`
 	Operators string `json:"operators"`
 	Peers     string `json:"peers"`
 }
 
-// Log says how to reach the platform's log service.
+// Log configures the client of the platform's log service.
 type Log struct {
 	URLs          []string `json:"urls"`           // http://IP:port, tried in order
-	AppendTimeout Duration `json:"append_timeout"` // of one append
-	ReadTimeout   Duration `json:"read_timeout"`   // of one read, beyond read_wait
-	ReadWait      Duration `json:"read_wait"`      // a read with nothing new waits so long
-	ReadRecords   int      `json:"read_records"`   // most records in one read
-	RetryMin      Duration `json:"retry_min"`      // first wait after a failure
-	RetryMax      Duration `json:"retry_max"`      // longest wait between tries
+	AppendTimeout Duration `json:"append_timeout"` // per append
+	ReadTimeout   Duration `json:"read_timeout"`   // per read, in addition to read_wait
+	ReadWait      Duration `json:"read_wait"`      // how long a read waits for new records
+	ReadRecords   int      `json:"read_records"`   // maximum number of records per read
+	RetryMin      Duration `json:"retry_min"`      // first retry delay after a failure
+	RetryMax      Duration `json:"retry_max"`      // maximum retry delay
 }
 
-// VMList says how to read the platform's list of VMs.
+// VMList configures reading of the platform's VM list.
 type VMList struct {
 	URL      string   `json:"url"`
-	Interval Duration `json:"interval"` // between reads
-	Timeout  Duration `json:"timeout"`  // of one read
+	Interval Duration `json:"interval"` // time between reads
+	Timeout  Duration `json:"timeout"`  // per read
 }
 
-// Journal tunes the batches and snapshots of streams.
+// Journal configures the batches and snapshots of log streams.
 type Journal struct {
-	BatchBytes       int      `json:"batch_bytes"`        // most bytes in one record
-	BatchDelay       Duration `json:"batch_delay"`        // longest wait for company
-	AppendsPerSecond float64  `json:"appends_per_second"` // budget of the whole cell
-	BacklogBytes     int      `json:"backlog_bytes"`      // of entries that wait to be read back; more are refused
-	SnapshotInterval Duration `json:"snapshot_interval"`  // between snapshots of a stream
-	SnapshotRecords  int      `json:"snapshot_records"`   // or after so many records
+	BatchBytes       int      `json:"batch_bytes"`        // maximum bytes per record
+	BatchDelay       Duration `json:"batch_delay"`        // maximum wait for further entries of a batch
+	AppendsPerSecond float64  `json:"appends_per_second"` // budget for the whole cell
+	BacklogBytes     int      `json:"backlog_bytes"`      // maximum bytes of entries not yet read back from the log; further entries are refused
+	SnapshotInterval Duration `json:"snapshot_interval"`  // time between snapshots of a stream
+	SnapshotRecords  int      `json:"snapshot_records"`   // records after which a snapshot is written earlier
 }
 
-// Hold holds the times of ownership and leases.
+// Hold configures shard ownership and task leases.
 type Hold struct {
-	Hold      Duration `json:"hold"`      // a confirmation of ownership lasts so long
-	Lease     Duration `json:"lease"`     // of the tasks on a worker
-	Heartbeat Duration `json:"heartbeat"` // between exchanges with peers and workers
-	Drift     float64  `json:"drift"`     // bound on the difference of clock rates, as a fraction
+	Hold      Duration `json:"hold"`      // how long a confirmation of ownership is valid
+	Lease     Duration `json:"lease"`     // duration of the lease for the tasks on a worker
+	Heartbeat Duration `json:"heartbeat"` // interval of exchanges with peers and workers
+	Drift     float64  `json:"drift"`     // maximum difference between clock rates, as a fraction
 }
 
-// Limits bounds what one entry VM takes on.
+// Limits bounds the load and resource use of one entry VM.
 type Limits struct {
-	MaxBodyBytes      int64    `json:"max_body_bytes"`      // of a caller's request
-	MaxHeaderBytes    int      `json:"max_header_bytes"`    // of a request
-	MaxOperatorBytes  int64    `json:"max_operator_bytes"`  // of an operator's request
-	MaxPeerBytes      int64    `json:"max_peer_bytes"`      // of one message between peers
-	MaxConnections    int      `json:"max_connections"`     // of callers
+	MaxBodyBytes      int64    `json:"max_body_bytes"`      // per request of a caller
+	MaxHeaderBytes    int      `json:"max_header_bytes"`    // per request
+	MaxOperatorBytes  int64    `json:"max_operator_bytes"`  // per request of an operator
+	MaxPeerBytes      int64    `json:"max_peer_bytes"`      // per message between peers
+	MaxConnections    int      `json:"max_connections"`     // from callers
 	MaxRequests       int      `json:"max_requests"`        // in progress
-	MemoryBytes       int64    `json:"memory_bytes"`        // soft limit of the process; 0: none
-	ReadHeaderTimeout Duration `json:"read_header_timeout"` // of a request's header
-	ReadTimeout       Duration `json:"read_timeout"`        // of a whole request
-	WriteTimeout      Duration `json:"write_timeout"`       // of a whole answer
-	IdleTimeout       Duration `json:"idle_timeout"`        // of a connection without requests
-	MaxRequestTimeout Duration `json:"max_request_timeout"` // most that a caller may ask for
-	PeerTimeout       Duration `json:"peer_timeout"`        // of one call to a peer
+	MemoryBytes       int64    `json:"memory_bytes"`        // soft memory limit of the process; 0: none
+	ReadHeaderTimeout Duration `json:"read_header_timeout"` // for reading the header of a request
+	ReadTimeout       Duration `json:"read_timeout"`        // for reading a whole request
+	WriteTimeout      Duration `json:"write_timeout"`       // for writing a whole answer
+	IdleTimeout       Duration `json:"idle_timeout"`        // for a connection without requests
+	MaxRequestTimeout Duration `json:"max_request_timeout"` // maximum timeout that a caller may request
+	PeerTimeout       Duration `json:"peer_timeout"`        // per call to a peer
 }
 
-// Decode reads settings from JSON over the defaults and checks them. The
-// error is a *finding.List with every fault; file names the source in it.
+// Decode decodes settings from JSON over the defaults and validates them. The
+// error is a *finding.List with all findings, in which file names the source.
 func Decode(file string, data []byte) (*Settings, error) {
 	return decode(file, data, overrides{})
 }
 
-// Load reads settings from the JSON file at path. The error is that of
-// reading the file or a *finding.List.
+// Load reads settings from the JSON file at path. The error is that of reading
+// the file or the *finding.List of Decode.
 func Load(path string) (*Settings, error) {
 	return load(path, overrides{})
 }
@@ -156,7 +157,7 @@
 	}
 	strictjson.Decode(data, s, "", l)
 	o.apply(s)
-	s.derive()
+	s.setDerivedDefaults()
 	s.check(l)
 	if err := l.Err(); err != nil {
 		return nil, err
@@ -164,16 +165,16 @@
 	return s, nil
 }
 
-// Validate checks settings that were made without Decode. The error is a
-// *finding.List with every fault.
+// Validate checks settings that were not created by Decode. The error is a
+// *finding.List with all findings.
 func (s *Settings) Validate() error {
 	l := &finding.List{}
 	s.check(l)
 	return l.Err()
 }
 
-// derive fills fields whose default is another field.
-func (s *Settings) derive() {
+// setDerivedDefaults sets empty fields that default to the value of another field.
+func (s *Settings) setDerivedDefaults() {
 	if s.AdvertisePeer == "" {
 		s.AdvertisePeer = s.Listen.Peers
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -30,12 +30,14 @@
 		t.Fatal(err)
 	}
 	if _, err := Decode("again", data); err != nil {
-		t.Fatalf("settings don't read back: %v", err)
+		t.Fatalf("marshalled settings do not decode: %v", err)
 	}
 }
 
+// TestAllFindingsAreReportedWithPaths checks that all invalid settings of a file
+// are reported together, each with its path, the file and the allowed values.
 func TestAllFindingsAreReportedWithPaths(t *testing.T) {
-	faulty := `{
+	invalid := `{
 	  "node_id": "bad id", "data_centre": "bne1", "data_centres": ["bne1", "bne1"],
 	  "listen": {"callers": "localhost:80", "operators": "10.0.0.1:1", "peers": "0.0.0.0:2", "admins": "x"},
 	  "peers": ["10.0.0.2:8002", "10.0.0.3:0"],
@@ -44,7 +46,7 @@
 	  "hold": {"hold": "100ms", "hold": "3s", "drift": "low"},
 	  "limits": {"max_body_bytes": 1}, "log_level": "loud"
 	}`
-	_, err := Decode("s.json", []byte(faulty))
+	_, err := Decode("s.json", []byte(invalid))
 	var l *finding.List
 	if !errors.As(err, &l) {
 		t.Fatalf("got %v", err)
@@ -63,11 +65,11 @@
 	}
 	for _, path := range want {
 		if !got[path] {
-			t.Errorf("no finding at %s in:\n%v", path, err)
+			t.Errorf("no finding for %s in:\n%v", path, err)
 		}
 	}
 	if len(got) != len(want) {
-		t.Errorf("%d places reported, want %d:\n%v", len(got), len(want), err)
+		t.Errorf("findings for %d paths, want %d:\n%v", len(got), len(want), err)
 	}
 }
 
@@ -91,6 +93,8 @@
 	}
 }
 
+// FuzzDecode decodes arbitrary data. Accepted settings must pass Validate, and
+// rejected ones must have findings.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(minimal))
 	f.Add([]byte(`{"hold":{"hold":"9999999h"},"peers":[null],"x":{}}`))
@@ -100,7 +104,7 @@
 		var l *finding.List
 		switch {
 		case err == nil && s.Validate() != nil:
-			t.Fatal("accepted settings fail their own check")
+			t.Fatal("accepted settings fail Validate")
 		case err != nil && (!errors.As(err, &l) || len(l.Findings) == 0):
 			t.Fatalf("rejected without findings: %v", err)
 		}
