--- a/internal/strictjson/decode.go
+++ b/internal/strictjson/decode.go
@@ -1,6 +1,6 @@
-// Package strictjson reads JSON into typed values and reports every fault
-// with its path: unknown and doubled fields, nulls and wrong types. It works
-// over encoding/json, which by itself stops at the first fault.
+// Package strictjson decodes JSON into typed values and reports every error with
+// its path: unknown and duplicate fields, nulls and wrong types. It is built on
+// encoding/json, which by itself stops at the first error.
 package strictjson
 
 import (
@@ -15,12 +15,12 @@
 	"github.com/skylarklock/skylarklock/internal/finding"
 )
 
-const maxValueShown = 80 // bytes of a faulty value in a finding
+const maxShownValueBytes = 80 // a longer invalid value is truncated in its finding
 
-// Decode reads data into the value that into points at. Fields missing from
-// data, and those with a fault, keep the value they had, so defaults are set
-// before the call. Faults are added to l with paths that start with path. It reports whether there
-// was none.
+// Decode decodes data into the value that into points to. Fields that are missing
+// from data or invalid keep their value, so that defaults can be set before the
+// call. Errors are added to l, with paths that start with path. Decode reports
+// whether data was valid.
 func Decode(data []byte, into any, path string, l *finding.List) bool {
 	before := len(l.Findings)
 	if !Valid(data, path, l) {
@@ -30,13 +30,13 @@
 	return len(l.Findings) == before
 }
 
-// Valid reports whether data is JSON, and adds the place of a syntax error to
-// l otherwise.
+// Valid reports whether data is valid JSON. If not, it adds a finding with the
+// position of the syntax error to l.
 func Valid(data []byte, path string, l *finding.List) bool {
-	var syntax json.RawMessage
-	err := json.Unmarshal(data, &syntax)
+	var raw json.RawMessage
+	err := json.Unmarshal(data, &raw)
 	if err != nil {
-		l.Add(rooted(path), describe(data, err), "valid JSON")
+		l.Add(displayPath(path), describeSyntaxError(data, err), "valid JSON")
 	}
 	return err == nil
 }
@@ -44,12 +44,12 @@
 func decodeValue(raw []byte, v reflect.Value, path string, l *finding.List) {
 	raw = bytes.TrimSpace(raw)
 	if bytes.Equal(raw, []byte("null")) {
-		l.Add(rooted(path), "null", "a value, or no such field")
+		l.Add(displayPath(path), "null", "a value, or no such field")
 		return
 	}
 	if u, ok := v.Addr().Interface().(json.Unmarshaler); ok {
 		if err := u.UnmarshalJSON(raw); err != nil {
-			l.Add(rooted(path), shown(raw), err.Error())
+			l.Add(displayPath(path), truncateValue(raw), err.Error())
 		}
 		return
 	}
@@ -64,20 +64,20 @@
 	case reflect.Slice:
 		decodeSlice(raw, v, path, l)
 	default:
-		decodeLeaf(raw, v, path, l)
+		decodeScalar(raw, v, path, l)
 	}
 }
 
-func decodeLeaf(raw []byte, v reflect.Value, path string, l *finding.List) {
+func decodeScalar(raw []byte, v reflect.Value, path string, l *finding.List) {
 	if err := json.Unmarshal(raw, v.Addr().Interface()); err != nil {
-		l.Add(rooted(path), shown(raw), typeName(v.Type()))
+		l.Add(displayPath(path), truncateValue(raw), typeName(v.Type()))
 	}
 }
 
 func decodeSlice(raw []byte, v reflect.Value, path string, l *finding.List) {
 	var items []json.RawMessage
 	if err := json.Unmarshal(raw, &items); err != nil {
-		l.Add(rooted(path), shown(raw), "an array")
+		l.Add(displayPath(path), truncateValue(raw), "an array")
 		return
 	}
 	out := reflect.MakeSlice(v.Type(), len(items), len(items))
@@ -90,32 +90,34 @@
 func decodeStruct(raw []byte, v reflect.Value, path string, l *finding.List) {
 	members, ok := objectMembers(raw)
 	if !ok {
-		l.Add(rooted(path), shown(raw), "an object")
+		l.Add(displayPath(path), truncateValue(raw), "an object")
 		return
 	}
-	fields := fieldsOf(v.Type())
+	fields := fieldIndexes(v.Type())
 	seen := make(map[string]bool, len(members))
 	for _, m := range members {
-		at := join(path, m.name)
+		memberPath := joinPath(path, m.name)
 		index, known := fields[m.name]
 		switch {
 		case !known:
-			l.Add(at, "unknown field", "one of "+names(fields))
+			l.Add(memberPath, "unknown field", "one of "+sortedFieldNames(fields))
 		case seen[m.name]:
-			l.Add(at, "field given twice", "one value")
+			l.Add(memberPath, "field given twice", "one value")
 		default:
-			decodeValue(m.raw, v.Field(index), at, l)
+			decodeValue(m.raw, v.Field(index), memberPath, l)
 		}
 		seen[m.name] = true
 	}
 }
 
+// member is a name/value pair of a JSON object.
 type member struct {
 	name string
 	raw  json.RawMessage
 }
 
-// objectMembers lists the members of an object in order, doubled ones too.
+// objectMembers returns the members of an object in order, including duplicates.
+// It returns false if raw is not an object.
 func objectMembers(raw []byte) ([]member, bool) {
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	if open, err := dec.Token(); err != nil || open != json.Delim('{') {
@@ -136,8 +138,9 @@
 	return members, true
 }
 
-// fieldsOf maps the JSON names of a struct's fields to their indexes.
-func fieldsOf(t reflect.Type) map[string]int {
+// fieldIndexes maps the JSON names of the fields of a struct type to their
+// indexes.
+func fieldIndexes(t reflect.Type) map[string]int {
 	fields := make(map[string]int, t.NumField())
 	for i := range t.NumField() {
 		f := t.Field(i)
@@ -153,7 +156,7 @@
 	return fields
 }
 
-func names(fields map[string]int) string {
+func sortedFieldNames(fields map[string]int) string {
 	list := make([]string, 0, len(fields))
 	for name := range fields {
 		list = append(list, name)
@@ -178,34 +181,36 @@
 	return "a " + t.Kind().String()
 }
 
-// describe names the line and column of a syntax error.
-func describe(data []byte, err error) string {
+// describeSyntaxError returns the text of err, with line and column if it is a
+// syntax error.
+func describeSyntaxError(data []byte, err error) string {
 	var syntax *json.SyntaxError
 	if !errors.As(err, &syntax) {
 		return err.Error()
 	}
-	upTo := data[:min(int(syntax.Offset), len(data))]
-	line := 1 + bytes.Count(upTo, []byte("\n"))
-	column := len(upTo) - (bytes.LastIndexByte(upTo, '\n') + 1)
+	consumed := data[:min(int(syntax.Offset), len(data))]
+	line := 1 + bytes.Count(consumed, []byte("\n"))
+	column := len(consumed) - (bytes.LastIndexByte(consumed, '\n') + 1)
 	return fmt.Sprintf("line %d, column %d: %v", line, column, err)
 }
 
-func shown(raw []byte) string {
-	if len(raw) <= maxValueShown {
+func truncateValue(raw []byte) string {
+	if len(raw) <= maxShownValueBytes {
 		return string(raw)
 	}
-	return strings.ToValidUTF8(string(raw[:maxValueShown]), "") + "..."
+	return strings.ToValidUTF8(string(raw[:maxShownValueBytes]), "") + "..."
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
 	return path + "." + name
 }
 
-// rooted names the whole document, which has no path of its own.
-func rooted(path string) string {
+// displayPath returns path as shown in findings; the empty path is that of the
+// whole document.
+func displayPath(path string) string {
 	if path == "" {
 		return "(document)"
 	}
