--- a/internal/finding/finding.go
+++ b/internal/finding/finding.go
@@ -1,5 +1,5 @@
-// Package finding collects every fault of an input with its place, so that
-// all are reported together.
+// Package finding collects validation errors with their positions in the input,
+// so that all errors are reported together.
 package finding
 
 import (
@@ -7,12 +7,12 @@
 	"strings"
 )
 
-// Finding is one fault of an input.
+// Finding is one validation error.
 type Finding struct {
 	File    string `json:"file,omitempty"`
 	Path    string `json:"path"`            // of the field, such as "listen.callers"
 	Value   string `json:"value,omitempty"` // as found
-	Allowed string `json:"allowed"`         // what would be accepted
+	Allowed string `json:"allowed"`         // description of the accepted values
 }
 
 // String formats the finding on one line.
@@ -27,13 +27,15 @@
 	return fmt.Sprintf("%s: found %s, want %s", place, f.Value, f.Allowed)
 }
 
-// List is a set of findings. The zero value is empty and ready for use.
+// List is a list of findings. The zero value is empty and ready for use. A
+// non-empty list is an error.
 type List struct {
 	File     string // set on each finding that is added
 	Findings []Finding
 }
 
-// Add records a fault at path.
+// Add adds a finding for the field at path. A nil value means that the field is
+// missing.
 func (l *List) Add(path string, value any, allowed string) {
 	text := ""
 	if value != nil {
@@ -42,14 +44,14 @@
 	l.Findings = append(l.Findings, Finding{File: l.File, Path: path, Value: text, Allowed: allowed})
 }
 
-// Check records a fault at path unless ok holds.
+// Check adds a finding for the field at path unless ok is true.
 func (l *List) Check(ok bool, path string, value any, allowed string) {
 	if !ok {
 		l.Add(path, value, allowed)
 	}
 }
 
-// Err returns nil when there is no finding, and otherwise l itself.
+// Err returns l, or nil if l has no findings.
 func (l *List) Err() error {
 	if len(l.Findings) == 0 {
 		return nil
@@ -57,7 +59,7 @@
 	return l
 }
 
-// Error implements error, one finding to a line.
+// Error implements error. It formats each finding on its own line.
 func (l *List) Error() string {
 	lines := make([]string, len(l.Findings))
 	for i, f := range l.Findings {
