--- a/internal/ctl/capacity.go
+++ b/internal/ctl/capacity.go
@@ -18,10 +18,10 @@
 	"github.com/skylarklock/skylarklock/internal/capacity"
 )
 
-// capacityLimit bounds one run of all measurements.
-const capacityLimit = 3 * time.Minute
+// capacityTimeout is the maximum duration of a run of all measurements.
+const capacityTimeout = 3 * time.Minute
 
-// capacityResult is one measurement as written to the file of raw points.
+// capacityResult is the result of one measurement, as written to points.json.
 type capacityResult struct {
 	Series      capacity.Series `json:"series"`
 	Fit         capacity.Fit    `json:"fit"`
@@ -29,7 +29,7 @@
 	Took        time.Duration   `json:"took_ns"`
 }
 
-// Capacity returns the subcommand that measures the slopes of
+// Capacity returns the capacity subcommand, which measures the slopes given in
 // docs/CAPACITY.md.
 func Capacity(stdout io.Writer) *ffcli.Command {
 	fs := flag.NewFlagSet("capacity", flag.ContinueOnError)
@@ -42,7 +42,7 @@
 		FlagSet:    fs,
 		Options:    []ff.Option{ff.WithEnvVarPrefix(EnvPrefix)},
 		Exec: func(ctx context.Context, _ []string) error {
-			ctx, cancel := context.WithTimeout(ctx, capacityLimit)
+			ctx, cancel := context.WithTimeout(ctx, capacityTimeout)
 			defer cancel()
 			if *out != "" {
 				if err := os.MkdirAll(*out, 0o755); err != nil {
@@ -58,12 +58,14 @@
 	}
 }
 
-// runCapacity runs the chosen measurements and prints each.
+// runCapacity runs the measurements whose names start with an element of only and
+// prints their results. Unless out is empty, it also writes plots to that
+// directory.
 func runCapacity(ctx context.Context, stdout io.Writer, only []string, out string) ([]capacityResult, error) {
 	fmt.Fprintf(stdout, "machine=%q load_average=%s\n", capacity.Machine(), capacity.LoadAverage())
 	var results []capacityResult
 	for _, m := range capacity.All() {
-		if !chosen(m.Name, only) {
+		if !isSelected(m.Name, only) {
 			continue
 		}
 		r, err := measure(ctx, m)
@@ -85,7 +87,8 @@
 	return results, nil
 }
 
-func chosen(name string, only []string) bool {
+// isSelected reports whether name starts with an element of only.
+func isSelected(name string, only []string) bool {
 	for _, prefix := range only {
 		if strings.HasPrefix(name, prefix) {
 			return true
@@ -95,13 +98,13 @@
 }
 
 func measure(ctx context.Context, m capacity.Measurement) (capacityResult, error) {
-	load, began := capacity.LoadAverage(), time.Now()
+	load, start := capacity.LoadAverage(), time.Now()
 	series, err := m.Measure(ctx)
 	if err != nil {
 		return capacityResult{}, err
 	}
 	fit, err := capacity.NewFit(series)
-	return capacityResult{Series: series, Fit: fit, LoadAverage: load, Took: time.Since(began)}, err
+	return capacityResult{Series: series, Fit: fit, LoadAverage: load, Took: time.Since(start)}, err
 }
 
 // print writes the points and the fit as key=value lines.
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -18,19 +18,19 @@
 )
 
 const (
-	maxAnswerBytes    = 256 << 20 // of all records of a large cell
-	maxProblemBytes   = 4 << 10   // of an unexpected answer shown to the operator
+	maxAnswerBytes    = 256 << 20 // enough for all records of a large cell
+	maxProblemBytes   = 4 << 10   // part of an unexpected answer that is shown to the operator
 	defaultRetryAfter = 2 * time.Second
 )
 
-// Client talks to the operator services of entry VMs.
+// Client calls the operator services of entry VMs.
 type Client struct {
 	entries []string
 	http    *http.Client
 }
 
-// NewClient returns a client that tries entries, URLs such as
-// http://10.0.0.1:8001, in order. timeout bounds one request.
+// NewClient returns a Client for the given entry VMs, which are URLs such as
+// http://10.0.0.1:8001 and are tried in order. timeout applies to each request.
 func NewClient(entries []string, timeout time.Duration) (*Client, error) {
 	c := &Client{http: &http.Client{Timeout: timeout}}
 	for _, e := range entries {
@@ -43,57 +43,61 @@
 	return c, nil
 }
 
-// Get reads path from the first entry VM that answers into out.
+// Get reads path from the first entry VM that answers, and decodes the JSON body
+// into out.
 func (c *Client) Get(ctx context.Context, path string, out any) error {
-	var failures []error
+	var errs []error
 	for _, entry := range c.entries {
 		status, _, body, err := c.do(ctx, http.MethodGet, entry+path, "", nil)
 		switch {
 		case err != nil:
-			failures = append(failures, err)
+			errs = append(errs, err)
 		case status == http.StatusOK:
 			return json.Unmarshal(body, out)
 		default:
-			return errors.Newf("%s%s: %s", entry, path, problem(status, body))
+			return errors.Newf("%s%s: %s", entry, path, formatProblem(status, body))
 		}
 	}
-	return errors.Join(failures...)
+	return errors.Join(errs...)
 }
 
-// published is the answer of one attempt to publish.
-type published struct {
+// publishResponse is the answer to one attempt to publish a record.
+type publishResponse struct {
 	answer     api.PublishAnswer
-	retryAfter time.Duration // zero: asking again won't help
+	retryAfter time.Duration // zero: a retry would not succeed
 }
 
-// Publish sends rec once to the given entry VM. Publishing the identical
-// record again is safe, through the same entry VM or another.
-func (c *Client) Publish(ctx context.Context, entry, id string, rec api.Record) (published, error) {
+// Publish sends rec once to the given entry VM. It is safe to publish the
+// identical record again, through the same or another entry VM.
+func (c *Client) Publish(ctx context.Context, entry, id string, rec api.Record) (publishResponse, error) {
 	body, err := json.Marshal(rec)
 	if err != nil {
-		return published{}, err
+		return publishResponse{}, err
 	}
 	status, header, data, err := c.do(ctx, http.MethodPost, entry+"/v1/records", id, body)
 	if err != nil {
-		return published{}, err
+		return publishResponse{}, err
 	}
-	var out published
+	var out publishResponse
 	if err := json.Unmarshal(data, &out.answer); err != nil || out.answer.Outcome == "" {
-		return published{}, refused(status, errors.Newf("%s: %s", entry, problem(status, data)))
+		return publishResponse{}, markRejection(status, errors.Newf("%s: %s", entry, formatProblem(status, data)))
 	}
-	out.retryAfter = retryAfter(header)
+	out.retryAfter = parseRetryAfter(header)
 	return out, nil
 }
 
-// refused marks an answer that a repeat won't change as bad input.
-func refused(status int, err error) error {
+// markRejection marks err as bad input if status is a client error, which a
+// retry would not change.
+func markRejection(status int, err error) error {
 	if status < http.StatusBadRequest || status >= http.StatusInternalServerError {
 		return err
 	}
 	return &ExitError{Code: ExitBadInput, Err: err}
 }
 
-func retryAfter(h http.Header) time.Duration {
+// parseRetryAfter returns the delay of the Retry-After header, or zero if there is
+// none.
+func parseRetryAfter(h http.Header) time.Duration {
 	text := h.Get("Retry-After")
 	if text == "" {
 		return 0
@@ -105,6 +109,7 @@
 	return time.Duration(n) * time.Second
 }
 
+// do sends one request and returns the status, header and body of the answer.
 func (c *Client) do(ctx context.Context, method, target, id string, body []byte) (int, http.Header, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
 	if err != nil {
@@ -120,7 +125,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	if err != nil {
-		return 0, nil, nil, errors.Wrapf(err, "%s: answer broke off", target)
+		return 0, nil, nil, errors.Wrapf(err, "%s: reading the answer failed", target)
 	}
 	if len(data) > maxAnswerBytes {
 		return 0, nil, nil, errors.Newf("%s: answer larger than %d bytes", target, maxAnswerBytes)
@@ -128,8 +133,8 @@
 	return resp.StatusCode, resp.Header, data, nil
 }
 
-// problem words an unexpected answer.
-func problem(status int, body []byte) string {
+// formatProblem formats an unexpected answer for an error message.
+func formatProblem(status int, body []byte) string {
 	var p api.Problem
 	if json.Unmarshal(body, &p) == nil && p.Error != "" {
 		return fmt.Sprintf("%d %s", status, p.Error)
--- a/internal/ctl/command.go
+++ b/internal/ctl/command.go
@@ -18,23 +18,23 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// EnvPrefix starts the names of environment variables that stand for flags,
-// such as SKYLARKCTL_ENTRY.
+// EnvPrefix is the prefix of environment variables that set flags, such as
+// SKYLARKCTL_ENTRY.
 const EnvPrefix = "SKYLARKCTL"
 
-// command carries what the subcommands share.
+// command holds the dependencies of the subcommands.
 type command struct {
 	stdout io.Writer
-	wait   func(ctx context.Context, d time.Duration) error
+	sleep  func(ctx context.Context, d time.Duration) error
 }
 
-// New returns the root command. Results go to stdout, help to stderr;
-// further subcommands may be given.
-func New(stdout, stderr io.Writer, further ...*ffcli.Command) *ffcli.Command {
-	return newRoot(&command{stdout: stdout, wait: wait}, stderr, further)
+// New returns the root command with its subcommands and the extra ones. Results
+// are written to stdout, usage texts to stderr.
+func New(stdout, stderr io.Writer, extra ...*ffcli.Command) *ffcli.Command {
+	return newRoot(&command{stdout: stdout, sleep: sleep}, stderr, extra)
 }
 
-func newRoot(c *command, stderr io.Writer, further []*ffcli.Command) *ffcli.Command {
+func newRoot(c *command, stderr io.Writer, extra []*ffcli.Command) *ffcli.Command {
 	fs := flag.NewFlagSet("skylarkctl", flag.ContinueOnError)
 	root := &ffcli.Command{
 		ShortUsage: "skylarkctl <subcommand> [flags] [arguments]",
@@ -43,13 +43,13 @@
 		Exec:       func(context.Context, []string) error { return flag.ErrHelp },
 		Subcommands: append([]*ffcli.Command{
 			c.validate(), c.publish(), c.get(), c.unreadable(), c.status(), c.explain(),
-		}, further...),
+		}, extra...),
 	}
 	setOutput(root, stderr)
 	return root
 }
 
-// setOutput sends the usage texts of a command and those below it to w.
+// setOutput makes a command and its subcommands write their usage texts to w.
 func setOutput(c *ffcli.Command, w io.Writer) {
 	if c.FlagSet != nil {
 		c.FlagSet.SetOutput(w)
@@ -59,8 +59,9 @@
 	}
 }
 
-// remote makes a subcommand that talks to an entry VM.
-func (c *command) remote(name, usage, help string, exec func(context.Context, *Client, []string) error) *ffcli.Command {
+// entryCommand returns a subcommand that calls the operator service of an entry
+// VM.
+func (c *command) entryCommand(name, usage, help string, exec func(context.Context, *Client, []string) error) *ffcli.Command {
 	fs := flag.NewFlagSet(name, flag.ContinueOnError)
 	entries := fs.String("entry", "", "`URLs` of operators' listeners, http://IP:port, separated by commas")
 	timeout := fs.Duration("timeout", 15*time.Second, "of one request")
@@ -81,7 +82,7 @@
 }
 
 func (c *command) status() *ffcli.Command {
-	return c.remote("status", "status -entry URL", "shows what an entry VM reports of itself",
+	return c.entryCommand("status", "status -entry URL", "shows what an entry VM reports of itself",
 		func(ctx context.Context, client *Client, _ []string) error {
 			var out api.Status
 			return c.show(ctx, client, "/v1/status", &out)
@@ -89,7 +90,7 @@
 }
 
 func (c *command) unreadable() *ffcli.Command {
-	return c.remote("unreadable", "unreadable -entry URL", "lists records that the entry VM doesn't understand",
+	return c.entryCommand("unreadable", "unreadable -entry URL", "lists records that the entry VM doesn't understand",
 		func(ctx context.Context, client *Client, _ []string) error {
 			var out []api.RecordState
 			return c.show(ctx, client, "/v1/unreadable", &out)
@@ -97,7 +98,7 @@
 }
 
 func (c *command) get() *ffcli.Command {
-	return c.remote("get", "get -entry URL [kind/name]", "shows one record with the revision in force, or all",
+	return c.entryCommand("get", "get -entry URL [kind/name]", "shows one record with the revision in force, or all",
 		func(ctx context.Context, client *Client, args []string) error {
 			if len(args) == 0 {
 				var all []api.RecordState
@@ -113,7 +114,7 @@
 }
 
 func (c *command) explain() *ffcli.Command {
-	return c.remote("explain", "explain -entry URL job ID | task JOB INDEX", "says where a job or task stands, and why",
+	return c.entryCommand("explain", "explain -entry URL job ID | task JOB INDEX", "says where a job or task stands, and why",
 		func(ctx context.Context, client *Client, args []string) error {
 			path, err := explainPath(args)
 			if err != nil {
@@ -124,6 +125,7 @@
 		})
 }
 
+// explainPath returns the URL path for the arguments of the explain subcommand.
 func explainPath(args []string) (string, error) {
 	switch {
 	case len(args) == 2 && args[0] == "job":
@@ -137,7 +139,7 @@
 	return "", badInput("explain: want job ID or task JOB INDEX, got %q", args)
 }
 
-// show reads path into out and prints it, indented.
+// show reads path into out and prints it as indented JSON.
 func (c *command) show(ctx context.Context, client *Client, path string, out any) error {
 	if err := client.Get(ctx, path, out); err != nil {
 		return err
@@ -150,8 +152,8 @@
 	return err
 }
 
-// wait waits for d or until ctx ends.
-func wait(ctx context.Context, d time.Duration) error {
+// sleep waits for d or until ctx is done.
+func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/ctl/demo.go
+++ b/internal/ctl/demo.go
@@ -11,7 +11,7 @@
 	"github.com/skylarklock/skylarklock/internal/demo"
 )
 
-// Demo returns the subcommand that runs the main job end to end.
+// Demo returns the demo subcommand, which runs jobs end to end in one process.
 func Demo(stdout io.Writer) *ffcli.Command {
 	fs := flag.NewFlagSet("demo", flag.ContinueOnError)
 	logs := fs.String("logs", "", "`file` that the entry nodes log to; empty: nowhere")
--- a/internal/ctl/exit.go
+++ b/internal/ctl/exit.go
@@ -1,5 +1,6 @@
-// Package ctl is the operators' command: it validates and publishes records
-// and reads status, records and explanations from an entry VM.
+// Package ctl implements the skylarkctl command. It validates and publishes
+// records, reads status, records and explanations from entry VMs, and provides
+// tools for load, capacity and log analysis.
 package ctl
 
 import (
@@ -17,12 +18,12 @@
 // Exit codes of the command.
 const (
 	ExitOK       = 0
-	ExitFailed   = 1 // not done, or not certain; may be tried again
-	ExitBadInput = 2 // a fault in flags, files or records
+	ExitFailed   = 1 // failed, or the outcome is unknown; can be retried
+	ExitBadInput = 2 // an error in flags, files or records
 	ExitConflict = 3 // another revision is in force
 )
 
-// ExitError is an error with the exit code that it stands for.
+// ExitError is an error with the exit code that it causes.
 type ExitError struct {
 	Code int
 	Err  error
@@ -31,15 +32,16 @@
 // Error implements error.
 func (e *ExitError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (e *ExitError) Unwrap() error { return e.Err }
 
+// badInput returns a formatted error with ExitBadInput.
 func badInput(format string, args ...any) error {
 	return &ExitError{Code: ExitBadInput, Err: fmt.Errorf(format, args...)}
 }
 
-// Run parses and runs one command line and returns the exit code. Errors are
-// written to stderr.
+// Run parses args, runs the command and returns the exit code. Errors are written
+// to stderr.
 func Run(ctx context.Context, root *ffcli.Command, args []string, stderr io.Writer) int {
 	if err := root.Parse(args); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
@@ -49,7 +51,7 @@
 		return ExitBadInput
 	}
 	err := root.Run(ctx)
-	if errors.Is(err, flag.ErrHelp) { // a command without a subcommand
+	if errors.Is(err, flag.ErrHelp) { // no subcommand was given
 		return ExitBadInput
 	}
 	if err != nil {
--- a/internal/ctl/lines.go
+++ b/internal/ctl/lines.go
@@ -16,10 +16,10 @@
 	"github.com/skylarklock/skylarklock/internal/work"
 )
 
-// Story returns the subcommand that tells from the lines of all machines what became of a
-// job, and which line decided it.
+// Story returns the story subcommand, which reconstructs the history and outcome of a job from
+// the log lines of all machines, and marks the line that decided the outcome.
 func Story(stdin io.Reader, stdout io.Writer) *ffcli.Command {
-	return overLines("story", "story [-lines FILE] JOB", "tells from the lines of all machines what became of a job", stdin,
+	return logLinesCommand("story", "story [-lines FILE] JOB", "tells from the lines of all machines what became of a job", stdin,
 		func(lines *logread.Lines, args []string) error {
 			if len(args) != 1 {
 				return badInput("story: want the ID of one job, got %q", args)
@@ -31,10 +31,10 @@
 		})
 }
 
-// Tally returns the subcommand that counts, from the lines of all machines, the outcomes of
-// all jobs by their causes.
+// Tally returns the tally subcommand, which counts the outcomes of all jobs by cause, from the
+// log lines of all machines.
 func Tally(stdin io.Reader, stdout io.Writer) *ffcli.Command {
-	return overLines("tally", "tally [-lines FILE]", "counts from the lines of all machines what became of jobs, by cause", stdin,
+	return logLinesCommand("tally", "tally [-lines FILE]", "counts from the lines of all machines what became of jobs, by cause", stdin,
 		func(lines *logread.Lines, args []string) error {
 			if len(args) != 0 {
 				return badInput("tally: takes no arguments, got %q", args)
@@ -51,8 +51,8 @@
 		})
 }
 
-// overLines makes a subcommand that reads lines from a file, or from stdin.
-func overLines(name, usage, help string, stdin io.Reader, exec func(*logread.Lines, []string) error) *ffcli.Command {
+// logLinesCommand returns a subcommand that reads log lines from a file or from stdin.
+func logLinesCommand(name, usage, help string, stdin io.Reader, exec func(*logread.Lines, []string) error) *ffcli.Command {
 	fs := flag.NewFlagSet(name, flag.ContinueOnError)
 	path := fs.String("lines", "-", "`file` with the lines of all machines; -: standard input")
 	return &ffcli.Command{
@@ -62,16 +62,16 @@
 		FlagSet:    fs,
 		Options:    []ff.Option{ff.WithEnvVarPrefix(EnvPrefix)},
 		Exec: func(_ context.Context, args []string) error {
-			in := stdin
+			input := stdin
 			if *path != "-" {
 				file, err := os.Open(*path)
 				if err != nil {
 					return badInput("%s: %w", name, err)
 				}
 				defer file.Close()
-				in = file
+				input = file
 			}
-			lines, err := logread.Read(in)
+			lines, err := logread.Read(input)
 			if err != nil {
 				return err
 			}
@@ -80,7 +80,7 @@
 	}
 }
 
-// writeStory prints a story: its events, and what they come to.
+// writeStory prints the events of a job, its latencies and its outcome.
 func writeStory(out io.Writer, s logread.JobTrace) error {
 	for _, e := range s.Events {
 		mark := " "
@@ -92,7 +92,7 @@
 		}
 	}
 	if s.TimeToEnd >= 0 {
-		if _, err := fmt.Fprintf(out, "advised after %s, started after %s, ended after %s\n", elapsed(s.TimeToAdvice), elapsed(s.TimeToStart), elapsed(s.TimeToEnd)); err != nil {
+		if _, err := fmt.Fprintf(out, "advised after %s, started after %s, ended after %s\n", formatElapsed(s.TimeToAdvice), formatElapsed(s.TimeToStart), formatElapsed(s.TimeToEnd)); err != nil {
 			return err
 		}
 	}
@@ -100,8 +100,8 @@
 	return err
 }
 
-// elapsed formats a time that may not have been reached.
-func elapsed(d time.Duration) string {
+// formatElapsed formats d. A negative d means that the event did not occur.
+func formatElapsed(d time.Duration) string {
 	if d < 0 {
 		return "(not reached)"
 	}
--- a/internal/ctl/lines_test.go
+++ b/internal/ctl/lines_test.go
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-const storyLines = `time="2026-09-06T15:00:01Z" level=info msg="request not confirmed" answered=503 data_centre=z1 error="the store has been silent for a while" job=00000000000000a1 node=n1 queue=q
+const sampleLogLines = `time="2026-09-06T15:00:01Z" level=info msg="request not confirmed" answered=503 data_centre=z1 error="the store has been silent for a while" job=00000000000000a1 node=n1 queue=q
 no event
 time="2026-09-06T15:00:02Z" level=info msg="job ended" advised_ms=20 data_centre=z1 ended_ms=900 epoch=3 job=00000000000000b2 node=n2 queue=q started_ms=40 state=completed
 `
 
 func TestStoryAndTally(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "lines")
-	if err := os.WriteFile(file, []byte(storyLines), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(sampleLogLines), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
@@ -26,13 +26,13 @@
 		output string
 	}{
 		{"refused", []string{"story", "-lines", file, "00000000000000a1"}, "", ExitOK, "00000000000000a1 refused: the store took nothing\n"},
-		{"in time", []string{"story", "00000000000000b2"}, storyLines, ExitOK, "advised after 20ms, started after 40ms, ended after 900ms\n"},
-		{"nothing said of it", []string{"story", "00000000000000c3"}, storyLines, ExitOK, "00000000000000c3 not seen: the lines don't tell\n"},
-		{"no ID", []string{"story", "a1"}, storyLines, ExitBadInput, "16 hexadecimal"},
-		{"no job", []string{"story"}, storyLines, ExitBadInput, "one job"},
+		{"completed", []string{"story", "00000000000000b2"}, sampleLogLines, ExitOK, "advised after 20ms, started after 40ms, ended after 900ms\n"},
+		{"not in the lines", []string{"story", "00000000000000c3"}, sampleLogLines, ExitOK, "00000000000000c3 not seen: the lines don't tell\n"},
+		{"invalid ID", []string{"story", "a1"}, sampleLogLines, ExitBadInput, "16 hexadecimal"},
+		{"no job", []string{"story"}, sampleLogLines, ExitBadInput, "one job"},
 		{"no such file", []string{"tally", "-lines", file + "x"}, "", ExitBadInput, "no such file"},
-		{"tally", []string{"tally"}, storyLines, ExitOK, "1     q      refused    the store took nothing\n"},
-		{"skipped lines", []string{"tally"}, storyLines, ExitOK, "1 lines hold no event"},
+		{"tally", []string{"tally"}, sampleLogLines, ExitOK, "1     q      refused    the store took nothing\n"},
+		{"skipped lines", []string{"tally"}, sampleLogLines, ExitOK, "1 lines hold no event"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
@@ -42,7 +42,7 @@
 				t.Errorf("exit code %d, want %d", code, c.code)
 			}
 			if !strings.Contains(out.String(), c.output) {
-				t.Errorf("printed %q, want %q in it", out.String(), c.output)
+				t.Errorf("output %q does not contain %q", out.String(), c.output)
 			}
 		})
 	}
--- a/internal/ctl/load.go
+++ b/internal/ctl/load.go
@@ -16,8 +16,8 @@
 	"github.com/skylarklock/skylarklock/internal/load"
 )
 
-// Load returns the subcommand that drives entry VMs on loopback with an open
-// load and prints what came back.
+// Load returns the load subcommand, which sends an open-loop load to entry VMs on
+// loopback and prints the results.
 func Load(stdout io.Writer) *ffcli.Command {
 	fs := flag.NewFlagSet("load", flag.ContinueOnError)
 	entries := fs.String("entries", "", "callers' `addresses` of entry VMs, 127.0.0.1:port, separated by commas")
@@ -57,13 +57,13 @@
 
 const streamKeys = "service, rate (a second), caller, class, path, idempotent, timeout, repeat (share sent twice), bytes (of the body)"
 
-// streamList is the value of the flag for streams.
+// streamList is the value of the -stream flag.
 type streamList []load.Stream
 
 // String implements flag.Value.
 func (l *streamList) String() string { return fmt.Sprint(len(*l), " streams") }
 
-// Set implements flag.Value: it adds one stream.
+// Set implements flag.Value. It adds one stream.
 func (l *streamList) Set(text string) error {
 	s := load.Stream{Caller: "load", Class: string(api.ClassInteractive), Path: "/", Rate: 10, Timeout: time.Second}
 	for _, pair := range strings.Split(text, ",") {
@@ -79,6 +79,7 @@
 	return nil
 }
 
+// setStream sets the field of s that key names.
 func setStream(s *load.Stream, key, value string) (err error) {
 	switch key {
 	case "service":
--- a/internal/ctl/publish.go
+++ b/internal/ctl/publish.go
@@ -16,20 +16,20 @@
 	"github.com/skylarklock/skylarklock/internal/settings"
 )
 
-// placedRecord is a record with the place it was read from.
-type placedRecord struct {
-	place  string
-	record api.Record
+// fileRecord is a record with its location, such as file.json[0].
+type fileRecord struct {
+	location string
+	record   api.Record
 }
 
-// readFiles reads and checks the records of all files. The error is a
-// *finding.List with every fault of every file.
-func readFiles(files []string) ([]placedRecord, error) {
+// readFiles reads and checks the records of all files. If records are invalid, the
+// error is a *finding.List with the findings of all files.
+func readFiles(files []string) ([]fileRecord, error) {
 	if len(files) == 0 {
 		return nil, badInput("no files given")
 	}
 	all := &finding.List{}
-	var out []placedRecord
+	var out []fileRecord
 	for _, file := range files {
 		data, err := os.ReadFile(file)
 		if err != nil {
@@ -38,7 +38,7 @@
 		records, l := schema.CheckFile(file, data, schema.RejectUnknownSchema)
 		all.Findings = append(all.Findings, l.Findings...)
 		for i, rec := range records {
-			out = append(out, placedRecord{place: fmt.Sprintf("%s[%d]", file, i), record: rec})
+			out = append(out, fileRecord{location: fmt.Sprintf("%s[%d]", file, i), record: rec})
 		}
 	}
 	return out, all.Err()
@@ -88,7 +88,7 @@
 func (c *command) publish() *ffcli.Command {
 	var id string
 	var attempts int
-	cmd := c.remote("publish", "publish -entry URL FILE...", "publishes records, in order, until one isn't accepted",
+	cmd := c.entryCommand("publish", "publish -entry URL FILE...", "publishes records, in order, until one isn't accepted",
 		func(ctx context.Context, client *Client, files []string) error {
 			records, err := readFiles(files)
 			if err != nil {
@@ -106,87 +106,92 @@
 	return cmd
 }
 
-// publishOne repeats the publication, on the next entry VM each time, until
-// its outcome is known or the attempts are used up.
-func (c *command) publishOne(ctx context.Context, client *Client, id string, attempts int, r placedRecord) error {
+// publishOne publishes a record and retries, each time through the next entry VM,
+// until the outcome is known or the attempts are exhausted.
+func (c *command) publishOne(ctx context.Context, client *Client, id string, attempts int, r fileRecord) error {
 	attempts = max(attempts, 1)
-	var last error
-	open := false // an earlier attempt may still come to be accepted
+	var lastErr error
+	mayBeAccepted := false // an earlier attempt may still be accepted
 	for i := range attempts {
 		entry := client.entries[i%len(client.entries)]
-		result, err := c.attempt(ctx, client, entry, id, r)
-		if err == nil || result.final && !(open && result.aboutThisOnly) {
+		result, err := c.attemptPublish(ctx, client, entry, id, r)
+		if err == nil || result.final && !(mayBeAccepted && result.coversThisAttemptOnly) {
 			return err
 		}
-		open = open || result.open
+		mayBeAccepted = mayBeAccepted || result.mayBeAccepted
 		if !result.final {
-			last = err
+			lastErr = err
 		}
 		if i+1 == attempts {
 			break
 		}
-		if err := c.wait(ctx, result.pause); err != nil {
-			return errors.Join(err, last)
+		if err := c.sleep(ctx, result.retryDelay); err != nil {
+			return errors.Join(err, lastErr)
 		}
 	}
-	return fmt.Errorf("%s: gave up after %d attempts: %w; publishing the same file again settles it", r.place, attempts, last)
+	return fmt.Errorf("%s: gave up after %d attempts: %w; publish the same file again to learn the outcome", r.location, attempts, lastErr)
 }
 
-// attemptResult is what one failed attempt says of the record's outcome.
+// attemptResult describes what one attempt reveals about the outcome of a
+// publication.
 type attemptResult struct {
-	final bool // nothing more is to be learned by repeating
-	open  bool // it may have been written, and may land late
-	// aboutThisOnly: the refusal is certain of this attempt's copy, not of an
-	// earlier one. A conflict is certain of all copies only when a later
-	// revision than the base is in force.
-	aboutThisOnly bool
-	pause         time.Duration // before the next attempt
+	final         bool // a retry would give no new information
+	mayBeAccepted bool // the record may have been written, and may be accepted later
+	// coversThisAttemptOnly is true if the refusal is certain for the copy of
+	// this attempt, but not for copies of earlier attempts. A conflict holds
+	// for all copies only if the revision in force is later than the one that
+	// the record is based on.
+	coversThisAttemptOnly bool
+	retryDelay            time.Duration // delay before the next attempt
 }
 
-// attempt publishes once.
-func (c *command) attempt(ctx context.Context, client *Client, entry, id string, r placedRecord) (attemptResult, error) {
+// attemptPublish publishes the record once and reports the outcome.
+func (c *command) attemptPublish(ctx context.Context, client *Client, entry, id string, r fileRecord) (attemptResult, error) {
 	p, err := client.Publish(ctx, entry, id, r.record)
 	var final *ExitError
 	if errors.As(err, &final) {
 		return attemptResult{final: true}, err
 	}
 	if err != nil {
-		return attemptResult{open: true, pause: defaultRetryAfter}, err
+		return attemptResult{mayBeAccepted: true, retryDelay: defaultRetryAfter}, err
 	}
 	a := p.answer
 	result := attemptResult{
-		final:         p.retryAfter == 0,
-		open:          a.Outcome == api.PublishUnsettled,
-		aboutThisOnly: a.Outcome == api.PublishConflict && a.InForce <= r.record.BasedOn,
-		pause:         p.retryAfter,
+		final:                 p.retryAfter == 0,
+		mayBeAccepted:         a.Outcome == api.PublishUnsettled,
+		coversThisAttemptOnly: a.Outcome == api.PublishConflict && a.InForce <= r.record.BasedOn,
+		retryDelay:            p.retryAfter,
 	}
-	if result.pause == 0 {
-		result.pause = defaultRetryAfter
+	if result.retryDelay == 0 {
+		result.retryDelay = defaultRetryAfter
 	}
-	return result, c.report(r, a)
+	return result, c.reportOutcome(r, a)
 }
 
-// report prints the outcome on one line and returns the error it stands for.
-func (c *command) report(r placedRecord, a api.PublishAnswer) error {
+// reportOutcome prints the outcome on one line and returns the corresponding
+// error, or nil if the record was accepted.
+func (c *command) reportOutcome(r fileRecord, a api.PublishAnswer) error {
 	if _, err := fmt.Fprintf(c.stdout, "place=%s key=%s/%s outcome=%s revision=%d in_force=%d\n",
-		r.place, r.record.Kind, r.record.Name, a.Outcome, a.Revision, a.InForce); err != nil {
+		r.location, r.record.Kind, r.record.Name, a.Outcome, a.Revision, a.InForce); err != nil {
 		return err
 	}
 	switch a.Outcome {
 	case api.PublishAccepted:
 		return nil
 	case api.PublishConflict:
-		return &ExitError{Code: ExitConflict, Err: fmt.Errorf("%s: %s", r.place, a.Detail)}
+		return &ExitError{Code: ExitConflict, Err: fmt.Errorf("%s: %s", r.location, a.Detail)}
 	case api.PublishInvalid:
-		return invalid(r, a.Findings)
+		return invalidRecordError(r, a.Findings)
 	}
-	return fmt.Errorf("%s: %s: %s", r.place, a.Outcome, a.Detail)
+	return fmt.Errorf("%s: %s: %s", r.location, a.Outcome, a.Detail)
 }
 
-func invalid(r placedRecord, found []api.Finding) error {
+// invalidRecordError returns the findings of an entry VM as an error with
+// ExitBadInput.
+func invalidRecordError(r fileRecord, findings []api.Finding) error {
 	l := &finding.List{}
-	for _, f := range found {
-		f.File = r.place
+	for _, f := range findings {
+		f.File = r.location
 		l.Findings = append(l.Findings, finding.Finding(f))
 	}
 	return &ExitError{Code: ExitBadInput, Err: l}
--- a/internal/ctl/standin.go
+++ b/internal/ctl/standin.go
@@ -18,11 +18,11 @@
 	"github.com/skylarklock/skylarklock/internal/standin/site"
 )
 
-// standinLimit bounds how long stand-ins run.
-const standinLimit = time.Hour
+// maxStandinDuration is the maximum time for which stand-ins run.
+const maxStandinDuration = time.Hour
 
-// Standin returns the subcommand that starts the stand-ins of the outside and
-// writes settings of entry VMs that use them.
+// Standin returns the standin subcommand, which starts stand-ins for the platform's
+// services and writes settings for entry VMs that use them.
 func Standin(stdout io.Writer) *ffcli.Command {
 	fs := flag.NewFlagSet("standin", flag.ContinueOnError)
 	dir := fs.String("dir", "", "`directory` that the settings are written to")
@@ -30,7 +30,7 @@
 	entries := fs.Int("entries", 2, "entry VMs of each data centre")
 	vms := fs.Int("vms", 12, "worker VMs of each data centre")
 	executors := fs.Int("executors", 12, "executors of torquebench in each data centre")
-	lasting := fs.Duration("for", 10*time.Minute, "how long to run, at most 1h")
+	duration := fs.Duration("for", 10*time.Minute, "how long to run, at most 1h")
 	return &ffcli.Command{
 		Name:       "standin",
 		ShortUsage: "skylarkctl standin -dir DIRECTORY [flags]",
@@ -38,7 +38,7 @@
 		FlagSet:    fs,
 		Options:    []ff.Option{ff.WithEnvVarPrefix(EnvPrefix)},
 		Exec: func(ctx context.Context, _ []string) error {
-			if *dir == "" || *lasting > standinLimit {
+			if *dir == "" || *duration > maxStandinDuration {
 				return flag.ErrHelp
 			}
 			cfg := site.Config{
@@ -52,12 +52,12 @@
 			for _, name := range strings.Split(*dcs, ",") {
 				cfg.DataCentres = append(cfg.DataCentres, api.DataCentre(name))
 			}
-			return runStandin(ctx, stdout, cfg, *dir, *entries, *lasting)
+			return runStandin(ctx, stdout, cfg, *dir, *entries, *duration)
 		},
 	}
 }
 
-func runStandin(ctx context.Context, stdout io.Writer, cfg site.Config, dir string, entries int, lasting time.Duration) error {
+func runStandin(ctx context.Context, stdout io.Writer, cfg site.Config, dir string, entries int, duration time.Duration) error {
 	s, err := site.Start(cfg)
 	if err != nil {
 		return err
@@ -79,7 +79,7 @@
 		fmt.Fprintf(stdout, "settings=%s callers=%s operators=%s\n", path, e.Listen.Callers, e.Listen.Operators)
 	}
 	fmt.Fprintf(stdout, "log=%s vm_list=%s workers=%s\n", s.LogAddress, s.ListAddress, s.WorkerAddress)
-	ctx, cancel := context.WithTimeout(ctx, lasting)
+	ctx, cancel := context.WithTimeout(ctx, duration)
 	defer cancel()
 	<-ctx.Done()
 	return nil
