--- a/internal/operator/publish.go
+++ b/internal/operator/publish.go
@@ -18,33 +18,34 @@
 	"github.com/skylarklock/skylarklock/internal/schema"
 )
 
-// retryAfter is told to operators whose record was not written or unsettled.
+// retryAfter is the Retry-After delay for records that were not written or whose
+// outcome is unsettled.
 const retryAfter = 2 * time.Second
 
-// maxPublishID bounds api.HeaderPublishID, in bytes.
+// maxPublishID is the maximum length of api.HeaderPublishID in bytes.
 const maxPublishID = 128
 
 func (s *service) publish(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.options.MaxBodyBytes))
 	if err != nil {
-		s.refuseBody(w, err)
+		s.rejectBody(w, err)
 		return
 	}
-	rec, l := onlyRecord(body)
+	rec, l := decodeSingleRecord(body)
 	id := r.Header.Get(api.HeaderPublishID)
 	l.Check(len(id) <= maxPublishID, api.HeaderPublishID, len(id), fmt.Sprintf("at most %d bytes", maxPublishID))
 	if err := l.Err(); err != nil {
-		s.answer(w, rec, 0, err)
+		s.writePublishOutcome(w, rec, 0, err)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), s.options.PublishTimeout)
 	defer cancel()
 	rev, err := s.Publisher.PublishWithID(ctx, id, rec)
-	s.answer(w, rec, rev, err)
+	s.writePublishOutcome(w, rec, rev, err)
 }
 
-// onlyRecord reads the one record of a request's body.
-func onlyRecord(body []byte) (api.Record, *finding.List) {
+// decodeSingleRecord decodes a request body, which must hold exactly one record.
+func decodeSingleRecord(body []byte) (api.Record, *finding.List) {
 	records, l := schema.CheckFile("", body, schema.AllowUnknownSchema)
 	if len(records) == 1 {
 		return records[0], l
@@ -55,7 +56,8 @@
 	return api.Record{}, l
 }
 
-func (s *service) refuseBody(w http.ResponseWriter, err error) {
+// rejectBody answers a request whose body could not be read.
+func (s *service) rejectBody(w http.ResponseWriter, err error) {
 	var tooLarge *http.MaxBytesError
 	if !errors.As(err, &tooLarge) {
 		s.Counters.Inc(CounterGroup, api.ReasonMalformed)
@@ -66,72 +68,74 @@
 	writeJSON(w, http.StatusRequestEntityTooLarge, api.Problem{Error: fmt.Sprintf("body larger than %d bytes", tooLarge.Limit)})
 }
 
-// answer tells the operator what became of the record.
-func (s *service) answer(w http.ResponseWriter, rec api.Record, rev api.Revision, err error) {
-	v := judge(rev, err)
-	if v.reason != "" {
-		s.Counters.Inc(CounterGroup, v.reason)
+// writePublishOutcome counts and logs the outcome of a publication and answers the
+// request.
+func (s *service) writePublishOutcome(w http.ResponseWriter, rec api.Record, rev api.Revision, err error) {
+	outcome := classifyPublishResult(rev, err)
+	if outcome.reason != "" {
+		s.Counters.Inc(CounterGroup, outcome.reason)
 	}
 	s.Logger.WithFields(logrus.Fields{
 		"kind":     rec.Kind,
 		"name":     rec.Name,
 		"based_on": rec.BasedOn,
-		"outcome":  v.answer.Outcome,
-		"revision": v.answer.Revision,
-		"in_force": v.answer.InForce,
-		"detail":   v.answer.Detail,
+		"outcome":  outcome.answer.Outcome,
+		"revision": outcome.answer.Revision,
+		"in_force": outcome.answer.InForce,
+		"detail":   outcome.answer.Detail,
 	}).Info("record published")
-	if v.retry {
+	if outcome.shouldRetry {
 		w.Header().Set("Retry-After", strconv.Itoa(int(retryAfter.Seconds())))
 	}
-	writeJSON(w, v.status, v.answer)
+	writeJSON(w, outcome.status, outcome.answer)
 }
 
-// verdict is the outcome of a publication in terms of HTTP and counters.
-type verdict struct {
-	status int
-	reason api.Reason // empty: accepted
-	retry  bool       // publishing the same again makes sense
-	answer api.PublishAnswer
+// publishOutcome is the outcome of a publication as HTTP status, counter and
+// answer.
+type publishOutcome struct {
+	status      int
+	reason      api.Reason // counted reason; empty if accepted
+	shouldRetry bool       // publishing the identical record again may succeed
+	answer      api.PublishAnswer
 }
 
-// judge turns the result of PublishAs into a verdict. An error that it
-// doesn't know counts as unsettled, since nothing rules the record out.
-func judge(rev api.Revision, err error) verdict {
+// classifyPublishResult converts the result of PublishWithID. Unknown errors count
+// as unsettled, since the record may have been accepted.
+func classifyPublishResult(rev api.Revision, err error) publishOutcome {
 	var invalid *finding.List
 	var conflict *config.ConflictError
 	switch {
 	case err == nil:
-		return verdict{status: http.StatusOK, answer: api.PublishAnswer{Outcome: api.PublishAccepted, Revision: rev}}
+		return publishOutcome{status: http.StatusOK, answer: api.PublishAnswer{Outcome: api.PublishAccepted, Revision: rev}}
 	case errors.As(err, &invalid):
-		return verdict{
+		return publishOutcome{
 			status: http.StatusBadRequest,
 			reason: api.ReasonMalformed,
-			answer: api.PublishAnswer{Outcome: api.PublishInvalid, Findings: findings(invalid)},
+			answer: api.PublishAnswer{Outcome: api.PublishInvalid, Findings: toAPIFindings(invalid)},
 		}
 	case errors.As(err, &conflict):
-		return verdict{
+		return publishOutcome{
 			status: http.StatusConflict,
 			reason: api.ReasonConflict,
 			answer: api.PublishAnswer{Outcome: api.PublishConflict, InForce: conflict.InForce, Detail: conflict.Error()},
 		}
 	case errors.Is(err, journal.ErrNotWritten):
-		return verdict{
-			status: http.StatusServiceUnavailable,
-			reason: api.ReasonJournalUnavailable,
-			retry:  true,
-			answer: api.PublishAnswer{Outcome: api.PublishNotWritten, Detail: err.Error()},
+		return publishOutcome{
+			status:      http.StatusServiceUnavailable,
+			reason:      api.ReasonJournalUnavailable,
+			shouldRetry: true,
+			answer:      api.PublishAnswer{Outcome: api.PublishNotWritten, Detail: err.Error()},
 		}
 	}
-	return verdict{
-		status: http.StatusAccepted,
-		reason: api.ReasonJournalUnsettled,
-		retry:  true,
-		answer: api.PublishAnswer{Outcome: api.PublishUnsettled, Detail: err.Error()},
+	return publishOutcome{
+		status:      http.StatusAccepted,
+		reason:      api.ReasonJournalUnsettled,
+		shouldRetry: true,
+		answer:      api.PublishAnswer{Outcome: api.PublishUnsettled, Detail: err.Error()},
 	}
 }
 
-func findings(l *finding.List) []api.Finding {
+func toAPIFindings(l *finding.List) []api.Finding {
 	out := make([]api.Finding, len(l.Findings))
 	for i, f := range l.Findings {
 		out[i] = api.Finding(f)
--- a/internal/operator/read.go
+++ b/internal/operator/read.go
@@ -13,15 +13,16 @@
 
 func (s *service) records(w http.ResponseWriter, r *http.Request) {
 	kind := api.Kind(r.URL.Query().Get("kind"))
-	writeJSON(w, http.StatusOK, listed(s.Config.Records(kind)))
+	writeJSON(w, http.StatusOK, emptyIfNil(s.Config.Records(kind)))
 }
 
 func (s *service) unreadable(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, listed(s.Config.UnreadableRecords()))
+	writeJSON(w, http.StatusOK, emptyIfNil(s.Config.UnreadableRecords()))
 }
 
-// listed makes an empty list read [] and not null.
-func listed(states []api.RecordState) []api.RecordState {
+// emptyIfNil returns an empty slice for nil, so that it is encoded as [] instead of
+// null.
+func emptyIfNil(states []api.RecordState) []api.RecordState {
 	if states == nil {
 		return []api.RecordState{}
 	}
@@ -67,8 +68,8 @@
 	writeJSON(w, http.StatusOK, e)
 }
 
-// vars writes the process's expvars and those of this node, which need no
-// registration of their own.
+// vars writes the expvar variables of the process and those of this node, which
+// are not registered with expvar.
 func (s *service) vars(w http.ResponseWriter, _ *http.Request) {
 	all := map[string]json.RawMessage{}
 	expvar.Do(func(kv expvar.KeyValue) {
@@ -81,13 +82,13 @@
 	writeJSON(w, http.StatusOK, all)
 }
 
-// healthz says that the process serves.
+// healthz reports that the process is running.
 func (s *service) healthz(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	_, _ = w.Write([]byte("ok\n"))
 }
 
-// readyz says whether the entry VM may be sent callers.
+// readyz reports whether the entry VM accepts callers.
 func (s *service) readyz(w http.ResponseWriter, _ *http.Request) {
 	status := s.Reporter.Status()
 	if !status.Ready || status.Draining {
--- a/internal/operator/service.go
+++ b/internal/operator/service.go
@@ -1,6 +1,6 @@
-// Package operator is the HTTP service for operators: it publishes records,
-// reads the configuration in force, and explains what the system did. It
-// listens apart from the callers.
+// Package operator implements the HTTP service for operators: it publishes
+// records, shows the configuration in force and explains the state of jobs. It
+// has a listener of its own, separate from that for callers.
 package operator
 
 import (
@@ -17,28 +17,27 @@
 	"github.com/skylarklock/skylarklock/internal/settings"
 )
 
-// CounterGroup is the group of the service's counters.
+// CounterGroup is the name of the service's counter group.
 const CounterGroup = "operator"
 
-// DefaultPublishTimeout is how long one publication may take before it is answered
-// as unsettled, unless Options say otherwise.
+// DefaultPublishTimeout is the default of Options.PublishTimeout.
 const DefaultPublishTimeout = 10 * time.Second
 
-// Config reads the records in force; *config.StateMachine is one.
+// Config provides the configuration records. *config.StateMachine implements it.
 type Config interface {
 	Record(k config.Key) (api.RecordState, bool)
 	Records(kind api.Kind) []api.RecordState
 	UnreadableRecords() []api.RecordState
 }
 
-// Publisher publishes records; *config.Publisher is one, and says what its
-// errors mean.
+// Publisher publishes records. *config.Publisher implements it and documents the
+// errors.
 type Publisher interface {
 	PublishWithID(ctx context.Context, id string, rec api.Record) (api.Revision, error)
 }
 
-// Explainer explains jobs and tasks. It returns false for those it doesn't
-// know.
+// Explainer explains the state of jobs and tasks. Its methods return false for
+// unknown jobs and tasks.
 type Explainer interface {
 	ExplainJob(id api.JobID) (api.Explanation, bool)
 	ExplainTask(id api.TaskID) (api.Explanation, bool)
@@ -49,21 +48,22 @@
 	Status() api.Status
 }
 
-// Dependencies are what the service reads from and writes to. All are needed.
+// Dependencies holds what the service reads from and writes to. All fields except
+// Vars are required.
 type Dependencies struct {
 	Config    Config
 	Publisher Publisher
 	Explainer Explainer
 	Reporter  Reporter
 	Counters  *counter.Set
-	Vars      map[string]expvar.Var // further variables of this node, by name; may be nil
+	Vars      map[string]expvar.Var // expvar variables of this node, by name; may be nil
 	Logger    *logrus.Entry
 }
 
-// Options bound the service. Zero values take the defaults.
+// Options sets limits of the service. Zero values are replaced by defaults.
 type Options struct {
-	MaxBodyBytes   int64         // of a published record with its envelope
-	PublishTimeout time.Duration // see PublishTimeout
+	MaxBodyBytes   int64         // maximum size of the body of a publish request
+	PublishTimeout time.Duration // longer publications are answered as unsettled; default DefaultPublishTimeout
 }
 
 type service struct {
@@ -71,15 +71,15 @@
 	options Options
 }
 
-// NewHandler returns the service's handler.
-func NewHandler(p Dependencies, o Options) http.Handler {
+// NewHandler returns the HTTP handler of the service.
+func NewHandler(deps Dependencies, o Options) http.Handler {
 	if o.MaxBodyBytes == 0 {
 		o.MaxBodyBytes = settings.Default().Limits.MaxOperatorBytes
 	}
 	if o.PublishTimeout == 0 {
 		o.PublishTimeout = DefaultPublishTimeout
 	}
-	s := &service{Dependencies: p, options: o}
+	s := &service{Dependencies: deps, options: o}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/records", s.publish)
 	mux.HandleFunc("GET /v1/config", s.records)
@@ -94,8 +94,8 @@
 	return mux
 }
 
-// NewServer returns a server for the service's listener, with the timeouts
-// and bounds of limits.
+// NewServer returns an HTTP server for h with the timeouts and header limit of
+// limits.
 func NewServer(h http.Handler, limits settings.Limits) *http.Server {
 	return &http.Server{
 		Handler:           h,
--- a/internal/operator/service_test.go
+++ b/internal/operator/service_test.go
@@ -21,17 +21,17 @@
 	"github.com/skylarklock/skylarklock/internal/settings"
 )
 
-// fakeNode stands for the rest of an entry VM. Its journal applies each entry
-// and then fails with err.
+// fakeNode replaces the other parts of an entry VM. As a journal it applies each
+// entry, unless dropEntries is set, and then returns err.
 type fakeNode struct {
-	machine *config.StateMachine
-	lose    bool // don't apply
-	err     error
-	ready   bool
+	machine     *config.StateMachine
+	dropEntries bool // don't apply
+	err         error
+	ready       bool
 }
 
 func (f *fakeNode) Propose(_ context.Context, e journal.Entry) error {
-	if f.lose {
+	if f.dropEntries {
 		return f.err
 	}
 	return errors.Join(f.machine.Apply(journal.Position{}, e), f.err)
@@ -48,7 +48,7 @@
 }
 
 func TestOperatorService(t *testing.T) {
-	Convey("An operator's service over a node", t, func() {
+	Convey("The operator service of an entry VM", t, func() {
 		m := config.NewStateMachine()
 		node := &fakeNode{machine: m}
 		counters := counter.NewSet()
@@ -71,7 +71,7 @@
 			return w, a
 		}
 
-		Convey("answers each outcome of publishing by its status", func() {
+		Convey("answers each outcome of publishing with its own status", func() {
 			w, a := publish(5, 0)
 			So(w.Code, ShouldEqual, http.StatusOK)
 			So(a, ShouldResemble, api.PublishAnswer{Outcome: api.PublishAccepted, Revision: 1})
@@ -85,7 +85,7 @@
 			So(w.Code, ShouldEqual, http.StatusBadRequest)
 			So(a.Findings[0].Path, ShouldEqual, "spec.timeout_ms")
 
-			node.lose, node.err = true, journal.ErrNotWritten
+			node.dropEntries, node.err = true, journal.ErrNotWritten
 			w, _ = publish(7, 1)
 			So(w.Code, ShouldEqual, http.StatusServiceUnavailable)
 			So(w.Header().Get("Retry-After"), ShouldEqual, "2")
@@ -95,20 +95,20 @@
 			So(w.Code, ShouldEqual, http.StatusAccepted)
 			So(a.Outcome, ShouldEqual, api.PublishUnsettled)
 
-			node.lose = false // written, but the answer is lost
+			node.dropEntries = false // written, but the answer is lost
 			w, a = publish(7, 1)
 			So(w.Code, ShouldEqual, http.StatusOK)
 			So(a.Revision, ShouldEqual, 2)
 		})
 
-		Convey("refuses a body beyond its bound or of several records", func() {
+		Convey("refuses a body that is too large, is malformed or does not hold exactly one record", func() {
 			So(call("POST", "/v1/records", strings.Repeat(" ", 2001)).Code, ShouldEqual, http.StatusRequestEntityTooLarge)
 			So(call("POST", "/v1/records", "[]").Code, ShouldEqual, http.StatusBadRequest)
 			So(call("POST", "/v1/records", "{").Code, ShouldEqual, http.StatusBadRequest)
 			So(m.Revision(), ShouldEqual, 0)
 		})
 
-		Convey("reads records, explanations, counters and readiness", func() {
+		Convey("returns records, explanations, counters and readiness", func() {
 			publish(5, 0)
 			So(call("GET", "/v1/config/service/a", "").Body.String(), ShouldContainSubstring, `"in_force":1`)
 			So(call("GET", "/v1/config/service/b", "").Code, ShouldEqual, http.StatusNotFound)
@@ -128,7 +128,7 @@
 			So(vars["counters"], ShouldResemble, map[string]any{"router": map[string]any{"queue_full": 1.0}})
 		})
 
-		Convey("has timeouts on its listener", func() {
+		Convey("has timeouts on its server", func() {
 			srv := NewServer(h, settings.Default().Limits)
 			So(srv.ReadHeaderTimeout, ShouldBeGreaterThan, 0)
 			So(srv.WriteTimeout, ShouldBeGreaterThan, DefaultPublishTimeout)
