--- a/internal/capacity/journal.go
+++ b/internal/capacity/journal.go
@@ -49,13 +49,13 @@
 		return marking{}, err
 	}
 	defer rig.close()
-	machine := reqkey.NewMachine()
+	machine := reqkey.NewStateMachine()
 	entry, err := rig.follow("dc-a-entry0", appendBudget, machine)
 	if err != nil {
 		return marking{}, err
 	}
 	defer entry.close()
-	keys := reqkey.NewKeys(machine, entry, journal.Origin{Node: "dc-a-entry0", Incarnation: 1}, reqkey.DefaultMaxBody)
+	keys := reqkey.NewKeys(machine, entry, journal.Origin{Node: "dc-a-entry0", Incarnation: 1}, reqkey.DefaultMaxBodyBytes)
 	before := entry.Stats()
 	var requests sync.WaitGroup
 	errs := make([]error, atOnce)
@@ -85,7 +85,7 @@
 		return err
 	}
 	answer := &api.Answer{Status: 200, Body: make([]byte, 100), Endpoint: "dc-a-torquebench-001"}
-	return keys.Settle(ctx, mark, answer, nil)
+	return keys.RecordOutcome(ctx, mark, answer, nil)
 }
 
 func journalRequests() []Measurement {
--- a/internal/capacity/records.go
+++ b/internal/capacity/records.go
@@ -62,9 +62,9 @@
 }
 
 func markState(ids int) (state, error) {
-	m := reqkey.NewMachine()
-	keys := reqkey.NewKeys(m, direct{machine: m}, journal.Origin{Node: "dc-a-entry0", Incarnation: 1}, reqkey.DefaultMaxBody)
-	return growth(m, reqkey.NewMachine(), ids, func(i int) error {
+	m := reqkey.NewStateMachine()
+	keys := reqkey.NewKeys(m, direct{machine: m}, journal.Origin{Node: "dc-a-entry0", Incarnation: 1}, reqkey.DefaultMaxBodyBytes)
+	return growth(m, reqkey.NewStateMachine(), ids, func(i int) error {
 		_, err := keys.Mark(context.Background(), requestID(i), uint64(i))
 		return err
 	})
--- a/internal/capacity/request.go
+++ b/internal/capacity/request.go
@@ -30,8 +30,8 @@
 	served sync.WaitGroup // requests that open
 }
 
-// Room implements filter.Router.
-func (r *requestRig) Room(string) int { return r.room }
+// FreeSlots implements filter.Router.
+func (r *requestRig) FreeSlots(string) int { return r.room }
 
 // Acquire implements filter.Router.
 func (r *requestRig) Acquire(context.Context, string, api.Class, string, []api.EndpointID) (filter.Ticket, error) {
@@ -73,11 +73,11 @@
 	if r.client == nil {
 		return nil
 	}
-	return []filter.PeerLoad{{Node: "dc-a-entry1", Free: 8}}
+	return []filter.PeerLoad{{Node: "dc-a-entry1", FreeSlots: 8}}
 }
 
-// Home implements filter.Peers.
-func (r *requestRig) Home(api.DataCentre) []api.NodeID { return nil }
+// EntryVMs implements filter.Peers.
+func (r *requestRig) EntryVMs(api.DataCentre) []api.NodeID { return nil }
 
 // Forward implements filter.Peers.
 func (r *requestRig) Forward(ctx context.Context, node api.NodeID, req *filter.ForwardRequest) (*filter.ForwardReply, error) {
@@ -105,12 +105,12 @@
 func (r *requestRig) Inc(string, api.Reason) {}
 
 func (r *requestRig) chain(node api.NodeID) *filter.Chain {
-	marks := reqkey.NewMachine()
+	marks := reqkey.NewStateMachine()
 	self := journal.Origin{Node: node, Incarnation: 1}
-	settings := filter.Settings{Node: node, DataCentre: "dc-a", DataCentres: []api.DataCentre{"dc-a"}, MaxInFlight: 1 << 20, CallerShare: 1, KeptAnswers: 1024}
+	settings := filter.Settings{Node: node, DataCentre: "dc-a", DataCentres: []api.DataCentre{"dc-a"}, MaxInFlight: 1 << 20, CallerShare: 1, MaxKeptAnswers: 1024}
 	c := filter.New(settings, filter.Deps{
 		Router: r, Endpoint: r, Peers: r, Services: r, Limits: r, Counters: r, Now: time.Now, Log: quietLog(),
-		Keys: reqkey.NewKeys(marks, direct{machine: marks}, self, reqkey.DefaultMaxBody),
+		Keys: reqkey.NewKeys(marks, direct{machine: marks}, self, reqkey.DefaultMaxBodyBytes),
 	})
 	c.Gate().SetReady(true)
 	return c
--- a/internal/controller/endpoints/endpoints.go
+++ b/internal/controller/endpoints/endpoints.go
@@ -28,7 +28,7 @@
 
 // Router takes the endpoints held.
 type Router interface {
-	SetEndpoints(now time.Time, held []router.Held)
+	SetEndpoints(now time.Time, held []router.HeldEndpoint)
 }
 
 // Connections are closed to endpoints that are no longer held.
@@ -73,7 +73,7 @@
 	c.round.Lock()
 	defer c.round.Unlock()
 	now := c.now()
-	var held []router.Held
+	var held []router.HeldEndpoint
 	var ids []api.EndpointID
 	byShard := make(map[ownership.Shard][]api.EndpointID)
 	for _, vm := range c.dir.VMs() {
@@ -107,15 +107,15 @@
 // hold returns what this entry VM may do with an endpoint until the validity
 // of this round is over. A limit counts only if it stands at both ends of
 // that time, since a hold may run out or a takeover wait end in between.
-func (c *Controller) hold(ep api.Endpoint, now time.Time) (router.Held, bool) {
+func (c *Controller) hold(ep api.Endpoint, now time.Time) (router.HeldEndpoint, bool) {
 	limit, epoch := c.owner.SlotLimit(ep, now)
 	later, laterEpoch := c.owner.SlotLimit(ep, now.Add(Validity))
 	if epoch != laterEpoch {
-		return router.Held{}, false
+		return router.HeldEndpoint{}, false
 	}
 	limit = min(limit, later)
 	if epoch == 0 || limit <= 0 {
-		return router.Held{}, false
+		return router.HeldEndpoint{}, false
 	}
-	return router.Held{Endpoint: ep, SlotLimit: limit, Epoch: epoch, Until: now.Add(Validity)}, true
+	return router.HeldEndpoint{Endpoint: ep, SlotLimit: limit, Epoch: epoch, SlotLimitExpiry: now.Add(Validity)}, true
 }
--- a/internal/entry/cellparts.go
+++ b/internal/entry/cellparts.go
@@ -110,7 +110,7 @@
 // the lease. A node that leaves counts at least one until its callers have
 // their answers, so that it stays in the roster, where others ask it for them.
 func (n *Node) inFlight(shard ownership.Shard) int {
-	most := n.router.MostInFlight(n.cell.endpoints.Of(shard))
+	most := n.router.MaxInFlight(n.cell.endpoints.Of(shard))
 	if shard != ownership.Cell && n.owner.Draining() && !n.answered.Load() {
 		return max(most, 1)
 	}
--- a/internal/entry/faults_test.go
+++ b/internal/entry/faults_test.go
@@ -271,7 +271,7 @@
 		asked.Go(func() { _, _ = c.http.Do(c.hanging(ctx, victim)) }) // nobody waits for the answer
 		return slices.ContainsFunc(endpoints, func(vm api.VM) bool {
 			id := vm.Endpoints[0].ID
-			return victim.router.MostInFlight([]api.EndpointID{id}) > 0 && c.isRunning(id)
+			return victim.router.MaxInFlight([]api.EndpointID{id}) > 0 && c.isRunning(id)
 		})
 	})
 	c.faulty(endpoints, executor.Faults{})
--- a/internal/entry/fuzz_test.go
+++ b/internal/entry/fuzz_test.go
@@ -35,7 +35,7 @@
 // snapshots.
 func fuzzMachines(t *testing.T, e journal.Entry) [][]byte {
 	owners := ownership.NewMachine()
-	machines := []journal.Machine{owners, reqkey.NewMachine(), cell.New(epochSource{owners: owners}, counter.NewSet())}
+	machines := []journal.Machine{owners, reqkey.NewStateMachine(), cell.New(epochSource{owners: owners}, counter.NewSet())}
 	var snapshots [][]byte
 	for _, m := range machines {
 		for range 2 {
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -193,7 +193,7 @@
 	s := n.settings
 	n.router = router.New(router.Config{})
 	n.streams.configs.Subscribe(n.configChanged)
-	n.keys = reqkey.NewKeys(n.streams.marks, n.streams.cell, n.origin, reqkey.DefaultMaxBody)
+	n.keys = reqkey.NewKeys(n.streams.marks, n.streams.cell, n.origin, reqkey.DefaultMaxBodyBytes)
 	n.chain = filter.New(filter.Settings{
 		Node:           s.NodeID,
 		DataCentre:     s.DataCentre,
@@ -201,7 +201,7 @@
 		MaxInFlight:    s.Limits.MaxRequests,
 		MaxTimeout:     s.Limits.MaxRequestTimeout.Std(),
 		JournalTimeout: s.Log.AppendTimeout.Std(),
-		Retention:      s.RequestRetention.Std(),
+		MarkRetention:  s.RequestRetention.Std(),
 	}, filter.Deps{
 		Router:   slots{router: n.router},
 		Endpoint: n.outside.Endpoint,
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -37,13 +37,13 @@
 func (p peers) Candidates(service string) []filter.PeerLoad {
 	var loads []filter.PeerLoad
 	for _, c := range p.members.Candidates(service) {
-		loads = append(loads, filter.PeerLoad{Node: c.Node, Free: c.Free})
+		loads = append(loads, filter.PeerLoad{Node: c.Node, FreeSlots: c.Free})
 	}
 	return loads
 }
 
-// Home implements filter.Peers.
-func (p peers) Home(dc api.DataCentre) []api.NodeID {
+// EntryVMs implements filter.Peers.
+func (p peers) EntryVMs(dc api.DataCentre) []api.NodeID {
 	var nodes []api.NodeID
 	for _, address := range p.members.EntryAddresses(dc) {
 		if address != p.address {
--- a/internal/entry/requests.go
+++ b/internal/entry/requests.go
@@ -25,8 +25,8 @@
 	return ticket{t}, nil
 }
 
-// Room implements filter.Router.
-func (s slots) Room(service string) int {
+// FreeSlots implements filter.Router.
+func (s slots) FreeSlots(service string) int {
 	return s.router.Free(service)
 }
 
@@ -46,7 +46,7 @@
 		t.Release()
 		return
 	}
-	t.Ticket.Done(router.Result{Err: r.Err, Status: r.Status, Latency: r.Took, Feedback: r.Feedback})
+	t.Ticket.Done(router.Result{Err: r.Err, Status: r.Status, Latency: r.Latency, Feedback: r.Feedback})
 }
 
 // records lets the filter chain read the records in force.
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -98,8 +98,8 @@
 func (n *Node) rotateKeys(ctx context.Context) error {
 	limits := reqkey.DefaultLimits
 	rotation := &reqkey.Rotation{
-		Every:  n.settings.RequestRetention.Std() / time.Duration(limits.Generations-1),
-		Limits: limits,
+		Interval: n.settings.RequestRetention.Std() / time.Duration(limits.Generations-1),
+		Limits:   limits,
 	}
 	ticker := time.NewTicker(rotationInterval)
 	defer ticker.Stop()
--- a/internal/entry/streams.go
+++ b/internal/entry/streams.go
@@ -36,7 +36,7 @@
 type streams struct {
 	configs *config.StateMachine
 	owners  *ownership.Machine
-	marks   *reqkey.Machine
+	marks   *reqkey.StateMachine
 	tasks   *cell.Machine
 
 	config *journal.Replica
@@ -49,7 +49,7 @@
 	st := &streams{
 		configs: config.NewStateMachine(),
 		owners:  ownership.NewMachine(),
-		marks:   reqkey.NewMachine(),
+		marks:   reqkey.NewStateMachine(),
 	}
 	st.tasks = cell.New(epochSource{owners: st.owners}, counters)
 	replica := func(stream string, share float64, pollWait time.Duration, machines ...journal.Machine) (*journal.Replica, error) {
--- a/internal/experiment/phase.go
+++ b/internal/experiment/phase.go
@@ -154,7 +154,7 @@
 		}
 	}
 	answered := c.count("handover", "answered")
-	room, retried := c.count(filter.GroupForward, filter.CountRoom), c.retries()
+	room, retried := c.count(filter.GroupForward, filter.CountFreePeer), c.retries()
 	var beside sync.WaitGroup
 	if p.during != nil {
 		beside.Go(func() { p.during(ctx) })
@@ -167,7 +167,7 @@
 	for i, r := range results {
 		out.tallies[i].skipped = r.Skipped()
 	}
-	out.forwarded = c.count(filter.GroupForward, filter.CountRoom) - room
+	out.forwarded = c.count(filter.GroupForward, filter.CountFreePeer) - room
 	out.answered = c.count("handover", "answered") - answered
 	out.retried = c.retries() - retried
 	pause(ctx, settleTime)
--- a/internal/filter/attempt.go
+++ b/internal/filter/attempt.go
@@ -43,7 +43,7 @@
 // attempt sends the request until it has an answer or must not try again.
 func (c *Chain) attempt(ctx context.Context, x *Exchange) (*api.Answer, error) {
 	a := &attempts{chain: c, x: x}
-	if !x.Single {
+	if !x.SingleAttempt {
 		c.budget.Deposit(x.Request.Caller, x.Spec.RetryBudget)
 	}
 	for {
@@ -72,7 +72,7 @@
 		Attempts:   a.made,
 		Remaining:  a.x.remaining(c.deps.Now()),
 		CallerGone: errors.Is(ctx.Err(), context.Canceled),
-		Forwarded:  a.x.Single,
+		Forwarded:  a.x.SingleAttempt,
 	}
 	withdraw := func() bool { return c.budget.Withdraw(a.x.Request.Caller) }
 	d := retry.Decide(policyOf(a.x.Spec), state, failed.certainty, failed.refusal.Reason, withdraw)
@@ -109,7 +109,7 @@
 // once makes one attempt, here or at a peer with room.
 func (a *attempts) once(ctx context.Context) (*api.Answer, *failure) {
 	c, x := a.chain, a.x
-	if c.deps.Router.Room(x.Request.Service) == 0 {
+	if c.deps.Router.FreeSlots(x.Request.Service) == 0 {
 		if peer, ok := a.peerWithRoom(); ok {
 			return a.forward(ctx, peer)
 		}
@@ -134,16 +134,16 @@
 // peerWithRoom picks the peer with the most room that was not asked yet. A
 // request made for another entry VM goes no further.
 func (a *attempts) peerWithRoom() (api.NodeID, bool) {
-	if a.x.Single {
+	if a.x.SingleAttempt {
 		return "", false
 	}
 	var best PeerLoad
 	for _, peer := range a.chain.deps.Peers.Candidates(a.x.Request.Service) {
-		if peer.Free > best.Free && !slices.Contains(a.peers, peer.Node) {
+		if peer.FreeSlots > best.FreeSlots && !slices.Contains(a.peers, peer.Node) {
 			best = peer
 		}
 	}
-	return best.Node, best.Free > 0
+	return best.Node, best.FreeSlots > 0
 }
 
 // send makes one attempt at the ticket's endpoint.
@@ -166,7 +166,7 @@
 	res = Result{Sent: true, Err: errNoAnswer}
 	answer, feedback, err := c.deps.Endpoint.Attempt(ctx, endpoint, ticket.Epoch(), a.x.Request, maxAnswer(a.x.Spec))
 	res.Feedback = feedback
-	res.Took = c.deps.Now().Sub(start)
+	res.Latency = c.deps.Now().Sub(start)
 	if err == nil && answer != nil {
 		res.Err = nil
 		res.Status = answer.Status
@@ -182,11 +182,11 @@
 // before the request arrives: after that, a copy may be sent under a new mark.
 // It matters when the entry VM was paused.
 func (a *attempts) tooOld(now time.Time) bool {
-	return !a.x.Request.Idempotent && now.Sub(a.x.Received) >= a.chain.settings.Retention/2
+	return !a.x.Request.Idempotent && now.Sub(a.x.Received) >= a.chain.settings.MarkRetention/2
 }
 
 func (c *Chain) tooOld() *failure {
-	failed := c.notSent(api.ReasonDeadlinePassed, fmt.Sprintf("received more than %s ago, half the time that marks are kept", c.settings.Retention/2))
+	failed := c.notSent(api.ReasonDeadlinePassed, fmt.Sprintf("received more than %s ago, half the time that marks are kept", c.settings.MarkRetention/2))
 	failed.last = true
 	return failed
 }
@@ -246,7 +246,7 @@
 	if a.x.remaining(now) < time.Millisecond {
 		return nil, c.notSent(api.ReasonDeadlinePassed, "no time left to hand it over")
 	}
-	c.deps.Counters.Inc(GroupForward, CountRoom)
+	c.deps.Counters.Inc(GroupForward, CountFreePeer)
 	reply, err := c.deps.Peers.Forward(ctx, peer, c.forwardRequest(a.x, ForwardAttempt))
 	if err == nil && reply != nil {
 		return a.forwarded(reply)
--- a/internal/filter/bench_test.go
+++ b/internal/filter/bench_test.go
@@ -13,7 +13,7 @@
 // benchWorld is one entry VM whose executors answer at once.
 func benchWorld(limits api.LimitsSpec) *world {
 	w := newWorld()
-	w.delay, w.limits, w.settings = 0, limits, Settings{MaxInFlight: 1 << 20, CallerShare: 1, KeptAnswers: 1024}
+	w.delay, w.limits, w.settings = 0, limits, Settings{MaxInFlight: 1 << 20, CallerShare: 1, MaxKeptAnswers: 1024}
 	w.start("a", "east", []api.DataCentre{"east"})
 	return w
 }
--- a/internal/filter/chain_test.go
+++ b/internal/filter/chain_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// TestTruthTable gives, for each failure, the word to the caller at VM a, the
+// TestAnswersAfterFailures gives, for each failure, the word to the caller at VM a, the
 // word to its repeat at VM b when all is well again, and how often it ran.
-func TestTruthTable(t *testing.T) {
+func TestAnswersAfterFailures(t *testing.T) {
 	const well = "id=x"
 	table := []struct {
 		name          string
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestRepeatsWhileItRuns(t *testing.T) {
+func TestRepeatsWhileRequestRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld("a", "b")
 		w.hold = make(chan struct{})
@@ -143,9 +143,9 @@
 	})
 }
 
-// TestCallerLeaves: a leaving caller's non-idempotent request goes on, and a
+// TestCallerDisconnects: a leaving caller's non-idempotent request goes on, and a
 // drain waits for it; an idempotent one is cancelled.
-func TestCallerLeaves(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	for _, row := range []struct {
 		idempotent  bool
 		slots, runs int
@@ -179,7 +179,7 @@
 	}
 }
 
-func TestRepeatWhenTheWriterIsGone(t *testing.T) {
+func TestRepeatWhenWriterIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld("a", "b")
 		large := strings.Repeat("z", 2000) // its answer is not journaled
@@ -207,8 +207,8 @@
 	})
 }
 
-// TestWithoutTheLog: a VM that can't read or write the marks rules nothing out.
-func TestWithoutTheLog(t *testing.T) {
+// TestRequestsWhileLogIsUnavailable: a VM that can't read or write the marks rules nothing out.
+func TestRequestsWhileLogIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld("a", "b")
 		w.fault = failing(map[string][]string{"router": {"queue_full", "*"}, "peer": {"unreachable", "*"}, "log": {"", "slow"}})
@@ -238,12 +238,12 @@
 	})
 }
 
-// TestTooOldToSend: half of the retention after its receipt a request is no
+// TestRequestIsNotSentAfterHalfOfRetention: half of the retention after its receipt a request is no
 // longer sent, neither here nor by the peer that it was handed to.
-func TestTooOldToSend(t *testing.T) {
+func TestRequestIsNotSentAfterHalfOfRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld()
-		w.settings.Retention = 40 * time.Millisecond // the slow log takes 20 ms
+		w.settings.MarkRetention = 40 * time.Millisecond // the slow log takes 20 ms
 		a := w.start("a", "east", []api.DataCentre{"east"})
 		for _, room := range []string{"", "none"} {
 			k := call{node: "a", id: "old" + room, body: "x"}
@@ -262,9 +262,9 @@
 	})
 }
 
-// TestPanicInAHandOver: it ends the one request, not the entry VM, and leaves
+// TestPanicInForwardedRequest: it ends the one request, not the entry VM, and leaves
 // the request open and its slot free.
-func TestPanicInAHandOver(t *testing.T) {
+func TestPanicInForwardedRequest(t *testing.T) {
 	w := newWorld("a")
 	w.fault = failing(map[string][]string{"endpoint": {"panic"}})
 	reply := w.chains["a"].ServeForward(t.Context(), &ForwardRequest{
@@ -333,9 +333,9 @@
 	}
 }
 
-// TestFloodLeavesOthersRoom: one caller offers far more than its limits; the
+// TestFloodingCallerDoesNotBlockOthers: one caller offers far more than its limits; the
 // other is admitted, and every refusal is at once and names a time.
-func TestFloodLeavesOthersRoom(t *testing.T) {
+func TestFloodingCallerDoesNotBlockOthers(t *testing.T) {
 	for name, row := range map[string]struct {
 		limits   api.LimitsSpec
 		settings Settings
--- a/internal/filter/conclude.go
+++ b/internal/filter/conclude.go
@@ -53,7 +53,7 @@
 func (c *Chain) settle(mark reqkey.Mark, answer *api.Answer, refusal *api.Refusal) <-chan error {
 	settled := make(chan error, 1)
 	started := c.journal.start(func(ctx context.Context) {
-		err := c.deps.Keys.Settle(ctx, mark, answer, refusal)
+		err := c.deps.Keys.RecordOutcome(ctx, mark, answer, refusal)
 		if err != nil {
 			c.notJournaled(mark, api.ReasonJournalUnsettled, err)
 		}
--- a/internal/filter/copies_test.go
+++ b/internal/filter/copies_test.go
@@ -8,9 +8,9 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// TestConcurrentCopies: VM a is marking a request while VM b turns a copy of
+// TestConcurrentCopiesAreNotToldNotRun: VM a is marking a request while VM b turns a copy of
 // it away. The copy at a runs, so b must not have said not-run.
-func TestConcurrentCopies(t *testing.T) {
+func TestConcurrentCopiesAreNotToldNotRun(t *testing.T) {
 	for name, row := range map[string]struct {
 		want   string
 		before func(w *world)
--- a/internal/filter/deps.go
+++ b/internal/filter/deps.go
@@ -34,8 +34,8 @@
 	// Acquire waits in the router's bounded queue for a slot of service,
 	// not at an endpoint in exclude. The error is a *api.Refusal.
 	Acquire(ctx context.Context, service string, class api.Class, caller string, exclude []api.EndpointID) (Ticket, error)
-	// Room returns the slots of service that this entry VM could give now.
-	Room(service string) int
+	// FreeSlots returns the slots of service that this entry VM could give now.
+	FreeSlots(service string) int
 	// Check returns the refusal that Acquire would give at once, else nil.
 	Check(ctx context.Context, service string, class api.Class, caller string) *api.Refusal
 }
@@ -57,14 +57,14 @@
 	Err      *platform.AttemptError // nil: the endpoint answered in full
 	Status   int                    // of the answer; 0 without one
 	Feedback platform.Feedback
-	Took     time.Duration
+	Latency  time.Duration
 }
 
 // PeerLoad is what an entry VM of this data centre last said of its room for
 // a service.
 type PeerLoad struct {
-	Node api.NodeID
-	Free int // slots that are free in its part
+	Node      api.NodeID
+	FreeSlots int // slots that are free in its part
 }
 
 // Peers reaches other entry VMs. Nothing is repeated by it.
@@ -72,8 +72,8 @@
 	// Candidates lists the other entry VMs of this data centre that have
 	// room for service.
 	Candidates(service string) []PeerLoad
-	// Home lists the live entry VMs of another data centre, best first.
-	Home(dc api.DataCentre) []api.NodeID
+	// EntryVMs lists the live entry VMs of another data centre, best first.
+	EntryVMs(dc api.DataCentre) []api.NodeID
 	// Forward hands a request over. Errors are of type *PeerError.
 	Forward(ctx context.Context, node api.NodeID, req *ForwardRequest) (*ForwardReply, error)
 	// AnswerOf asks the writer of a mark what became of the request, waiting
@@ -101,7 +101,7 @@
 	Self() journal.Origin
 	Lookup(id string) (reqkey.State, bool)
 	Mark(ctx context.Context, id string, digest uint64) (reqkey.Mark, error)
-	Settle(ctx context.Context, mark reqkey.Mark, answer *api.Answer, refusal *api.Refusal) error
+	RecordOutcome(ctx context.Context, mark reqkey.Mark, answer *api.Answer, refusal *api.Refusal) error
 	Release(ctx context.Context, mark reqkey.Mark) error
 }
 
@@ -143,7 +143,7 @@
 	CountFromPeer  api.Reason = "from_peer" // GroupRepeat: got the answer of the mark's writer
 	CountJournaled api.Reason = "journaled" // GroupRepeat: got the journaled answer
 	CountHome      api.Reason = "home"      // GroupForward: to the home data centre
-	CountRoom      api.Reason = "room"      // GroupForward: to a peer with room
+	CountFreePeer  api.Reason = "room"      // GroupForward: to a peer with room
 	CountRan       api.Reason = "ran"       // GroupAnswered
 	CountPanic     api.Reason = "panic"     // GroupUnknown: the handler panicked
 )
--- a/internal/filter/fakes_test.go
+++ b/internal/filter/fakes_test.go
@@ -58,7 +58,7 @@
 func (w *world) start(node api.NodeID, dc api.DataCentre, dcs []api.DataCentre) *Chain {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	l := &nodeLog{w: w, machine: reqkey.NewMachine()}
+	l := &nodeLog{w: w, machine: reqkey.NewStateMachine()}
 	_ = l.read()
 	w.logs = append(w.logs, l)
 	self := journal.Origin{Node: node, Incarnation: api.Incarnation(len(w.logs))}
@@ -66,7 +66,7 @@
 	settings.Node, settings.DataCentre, settings.DataCentres = node, dc, dcs
 	c := New(settings, Deps{
 		Router: w, Endpoint: w, Peers: &fakePeers{w, node}, Services: w, Limits: w, Counters: w,
-		Keys: reqkey.NewKeys(l.machine, l, self, reqkey.DefaultMaxBody), Now: time.Now, Log: &logrus.Logger{Out: io.Discard, Formatter: &logrus.TextFormatter{}},
+		Keys: reqkey.NewKeys(l.machine, l, self, reqkey.DefaultMaxBodyBytes), Now: time.Now, Log: &logrus.Logger{Out: io.Discard, Formatter: &logrus.TextFormatter{}},
 	})
 	c.Gate().SetReady(true)
 	w.chains[node] = c
@@ -85,7 +85,7 @@
 // write, as the fault "lag" has it, and always while deaf.
 type nodeLog struct {
 	w       *world
-	machine *reqkey.Machine
+	machine *reqkey.StateMachine
 	applied int
 	deaf    bool
 }
@@ -163,8 +163,8 @@
 
 func answerBody(req *api.Request) []byte { return []byte(req.ID + "=" + string(req.Body)) }
 
-// Room, Check and Acquire implement Router.
-func (w *world) Room(string) int {
+// FreeSlots, Check and Acquire implement Router.
+func (w *world) FreeSlots(string) int {
 	if w.fault("room") != "" {
 		return 0
 	}
@@ -208,14 +208,14 @@
 	for _, node := range slices.Sorted(maps.Keys(p.w.chains)) {
 		if c := p.w.chains[node]; node != p.self && c.settings.DataCentre == p.w.chains[p.self].settings.DataCentre {
 			if p.w.fault("peer-room") == "" {
-				loads = append(loads, PeerLoad{Node: node, Free: 1})
+				loads = append(loads, PeerLoad{Node: node, FreeSlots: 1})
 			}
 		}
 	}
 	return loads
 }
 
-func (p *fakePeers) Home(dc api.DataCentre) []api.NodeID { return []api.NodeID{api.NodeID(dc)} }
+func (p *fakePeers) EntryVMs(dc api.DataCentre) []api.NodeID { return []api.NodeID{api.NodeID(dc)} }
 
 // reach returns the peer and whether its reply will be lost.
 func (p *fakePeers) reach(node api.NodeID) (c *Chain, lost, err error) {
--- a/internal/filter/filter.go
+++ b/internal/filter/filter.go
@@ -31,68 +31,68 @@
 // Exchange is one request on its way through the chain. It belongs to one
 // goroutine at a time.
 type Exchange struct {
-	Request  *api.Request
-	Header   http.Header // of the caller; read by identify only
-	Spec     api.ServiceSpec
-	Digest   uint64
-	Received time.Time    // by the first entry VM, on the local clock
-	Deadline time.Time    // on the local clock
-	Hops     int          // between entry VMs so far
-	Mark     *reqkey.Mark // under which a non-idempotent request is sent
-	Single   bool         // one attempt for another entry VM, which owns the retries
+	Request       *api.Request
+	Header        http.Header // of the caller; read by identify only
+	Spec          api.ServiceSpec
+	Digest        uint64
+	Received      time.Time    // by the first entry VM, on the local clock
+	Deadline      time.Time    // on the local clock
+	Hops          int          // between entry VMs so far
+	Mark          *reqkey.Mark // under which a non-idempotent request is sent
+	SingleAttempt bool         // one attempt for another entry VM, which owns the retries
 }
 
 // Settings bounds the chain. Zero fields take the defaults.
 type Settings struct {
-	Node           api.NodeID
-	DataCentre     api.DataCentre
-	DataCentres    []api.DataCentre // of the whole cell; the same on all entry VMs
-	MaxInFlight    int              // requests on this entry VM
-	CallerShare    float64          // most of MaxInFlight for one caller under contention
-	BatchShare     float64          // most of MaxInFlight for batch requests
-	KeptAnswers    int              // finished requests remembered
-	KeptBytes      int64            // of their answers
-	DefaultTimeout time.Duration    // when neither caller nor service names one
-	MaxTimeout     time.Duration    // longest that a caller may ask for
-	RetryAfter     time.Duration    // named in refusals that compute no better one
-	AnswerGrace    time.Duration    // for which a caller waits past the deadline for the final word
-	JournalTimeout time.Duration    // of outcomes and releases, which no caller waits for
-	JournalBacklog int              // outcomes and releases under way at once
-	ReleaseTimeout time.Duration    // for which a peer that asks for an unused mark waits for its release
-	Retention      time.Duration    // of marks; half of it after its receipt a non-idempotent request is no longer sent
+	Node              api.NodeID
+	DataCentre        api.DataCentre
+	DataCentres       []api.DataCentre // of the whole cell; the same on all entry VMs
+	MaxInFlight       int              // requests on this entry VM
+	CallerShare       float64          // most of MaxInFlight for one caller under contention
+	BatchShare        float64          // most of MaxInFlight for batch requests
+	MaxKeptAnswers    int              // finished requests remembered
+	MaxKeptBytes      int64            // of their answers
+	DefaultTimeout    time.Duration    // when neither caller nor service names one
+	MaxTimeout        time.Duration    // longest that a caller may ask for
+	RetryAfter        time.Duration    // named in refusals that compute no better one
+	AnswerGrace       time.Duration    // for which a caller waits past the deadline for the final word
+	JournalTimeout    time.Duration    // of outcomes and releases, which no caller waits for
+	MaxJournalAppends int              // outcomes and releases under way at once
+	ReleaseTimeout    time.Duration    // for which a peer that asks for an unused mark waits for its release
+	MarkRetention     time.Duration    // of marks; half of it after its receipt a non-idempotent request is no longer sent
 }
 
 // Defaults of Settings.
 const (
-	DefaultMaxInFlight    = 4096
-	DefaultCallerShare    = 0.25
-	DefaultBatchShare     = 0.5
-	DefaultKeptAnswers    = 16384
-	DefaultKeptBytes      = 16 << 20
-	DefaultTimeout        = 30 * time.Second
-	DefaultMaxTimeout     = 10 * time.Minute
-	DefaultRetryAfter     = time.Second
-	DefaultAnswerGrace    = 50 * time.Millisecond
-	DefaultJournalTimeout = 10 * time.Second
-	DefaultJournalBacklog = 4096
-	DefaultReleaseTimeout = 200 * time.Millisecond
-	DefaultRetention      = time.Hour
+	DefaultMaxInFlight       = 4096
+	DefaultCallerShare       = 0.25
+	DefaultBatchShare        = 0.5
+	DefaultMaxKeptAnswers    = 16384
+	DefaultMaxKeptBytes      = 16 << 20
+	DefaultTimeout           = 30 * time.Second
+	DefaultMaxTimeout        = 10 * time.Minute
+	DefaultRetryAfter        = time.Second
+	DefaultAnswerGrace       = 50 * time.Millisecond
+	DefaultJournalTimeout    = 10 * time.Second
+	DefaultMaxJournalAppends = 4096
+	DefaultReleaseTimeout    = 200 * time.Millisecond
+	DefaultMarkRetention     = time.Hour
 )
 
 func (s Settings) withDefaults() Settings {
 	defaults.Set(&s.MaxInFlight, DefaultMaxInFlight)
 	defaults.Set(&s.CallerShare, DefaultCallerShare)
 	defaults.Set(&s.BatchShare, DefaultBatchShare)
-	defaults.Set(&s.KeptAnswers, DefaultKeptAnswers)
-	defaults.Set(&s.KeptBytes, DefaultKeptBytes)
+	defaults.Set(&s.MaxKeptAnswers, DefaultMaxKeptAnswers)
+	defaults.Set(&s.MaxKeptBytes, DefaultMaxKeptBytes)
 	defaults.Set(&s.DefaultTimeout, DefaultTimeout)
 	defaults.Set(&s.MaxTimeout, DefaultMaxTimeout)
 	defaults.Set(&s.RetryAfter, DefaultRetryAfter)
 	defaults.Set(&s.AnswerGrace, DefaultAnswerGrace)
 	defaults.Set(&s.JournalTimeout, DefaultJournalTimeout)
-	defaults.Set(&s.JournalBacklog, DefaultJournalBacklog)
+	defaults.Set(&s.MaxJournalAppends, DefaultMaxJournalAppends)
 	defaults.Set(&s.ReleaseTimeout, DefaultReleaseTimeout)
-	defaults.Set(&s.Retention, DefaultRetention)
+	defaults.Set(&s.MarkRetention, DefaultMarkRetention)
 	return s
 }
 
@@ -121,10 +121,10 @@
 		settings: settings,
 		deps:     deps,
 		gate:     NewGate(settings.MaxInFlight),
-		runs:     newRuns(settings.KeptAnswers, settings.KeptBytes),
+		runs:     newRuns(settings.MaxKeptAnswers, settings.MaxKeptBytes),
 		limits:   newLimiter(settings, deps.Limits),
 		budget:   retry.NewBudget(),
-		journal:  newBackground(settings.JournalBacklog, settings.JournalTimeout),
+		journal:  newBackground(settings.MaxJournalAppends, settings.JournalTimeout),
 	}
 	c.whole = assemble(c.attempt,
 		c.answer,
--- a/internal/filter/home.go
+++ b/internal/filter/home.go
@@ -63,7 +63,7 @@
 
 // handOver passes x to an entry VM of home, which then owns it.
 func (c *Chain) handOver(ctx context.Context, x *Exchange, home api.DataCentre) (*api.Answer, error) {
-	for i, node := range c.deps.Peers.Home(home) {
+	for i, node := range c.deps.Peers.EntryVMs(home) {
 		if i == maxHomeTries || ctx.Err() != nil {
 			break
 		}
@@ -127,7 +127,7 @@
 	if req.Kind == ForwardAttempt {
 		handle = c.once
 		x.Mark = req.Mark
-		x.Single = true
+		x.SingleAttempt = true
 	}
 	if refusal := c.checkForward(req); refusal != nil {
 		return &ForwardReply{Refusal: c.turnedAway(x, refusal)}
--- a/internal/filter/mark.go
+++ b/internal/filter/mark.go
@@ -49,7 +49,7 @@
 		return nil
 	}
 	for _, peer := range c.deps.Peers.Candidates(r.Service) {
-		if peer.Free > 0 {
+		if peer.FreeSlots > 0 {
 			return nil
 		}
 	}
@@ -64,9 +64,9 @@
 		x.Mark = &mark
 		return nil, nil
 	}
-	var marked *reqkey.MarkedError
-	var other *reqkey.ReusedError
-	var full *reqkey.FullError
+	var marked *reqkey.AlreadyMarkedError
+	var other *reqkey.IDReusedError
+	var full *reqkey.TooManyMarksError
 	switch {
 	case errors.As(err, &marked):
 		return c.markedBefore(ctx, x, mark, marked.Mark)
--- a/internal/filter/overload_test.go
+++ b/internal/filter/overload_test.go
@@ -27,7 +27,7 @@
 	return slot{t}, nil
 }
 
-func (r routed) Room(service string) int { return r.Free(service) }
+func (r routed) FreeSlots(service string) int { return r.Free(service) }
 
 func (r routed) Check(ctx context.Context, service string, class api.Class, caller string) *api.Refusal {
 	if r.blind {
@@ -39,12 +39,12 @@
 type slot struct{ *router.Ticket }
 
 func (s slot) Done(r Result) {
-	s.Ticket.Done(router.Result{Err: r.Err, Status: r.Status, Latency: r.Took, Feedback: platform.Feedback{SlotsBusy: -1}})
+	s.Ticket.Done(router.Result{Err: r.Err, Status: r.Status, Latency: r.Latency, Feedback: platform.Feedback{SlotsBusy: -1}})
 }
 
-// TestOverloadSparesAppends: of requests at five times the rate that the slots
+// TestOverloadAvoidsAppends: of requests at five times the rate that the slots
 // serve, most are refused before an append is spent on their mark.
-func TestOverloadSparesAppends(t *testing.T) {
+func TestOverloadAvoidsAppends(t *testing.T) {
 	appends := make(map[bool]int)
 	for _, blind := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -54,8 +54,8 @@
 			c := w.start("a", "east", []api.DataCentre{"east"})
 			r := router.New(router.Config{Rand: rand.NewPCG(1, 2)})
 			r.SetService("svc", api.ServiceSpec{QueueLength: 8})
-			held := router.Held{Endpoint: api.Endpoint{ID: "e", Service: "svc", Slots: 8, Connections: 60}, SlotLimit: 8, Epoch: 1}
-			r.SetEndpoints(time.Now(), []router.Held{held})
+			held := router.HeldEndpoint{Endpoint: api.Endpoint{ID: "e", Service: "svc", Slots: 8, Connections: 60}, SlotLimit: 8, Epoch: 1}
+			r.SetEndpoints(time.Now(), []router.HeldEndpoint{held})
 			c.deps.Router = routed{r, blind}
 			for i := range 2000 { // 400 a second; the slots serve 80
 				go w.do(t.Context(), call{node: "a", id: fmt.Sprint(i), body: "x"})
--- a/internal/filter/property_test.go
+++ b/internal/filter/property_test.go
@@ -34,7 +34,7 @@
 type scenario struct {
 	seed     uint64
 	rate     float64 // of failures
-	kept     int64   // Settings.KeptBytes
+	kept     int64   // Settings.MaxKeptBytes
 	limit    int     // requests of the caller in flight on one VM, 0 for any
 	batches  [][]call
 	restarts []api.NodeID // before the batch of the same index; "" for none
@@ -66,7 +66,7 @@
 // play runs s and returns what broke the rules.
 func play(s scenario, plant func(*Chain)) (broken []string) {
 	w := newWorld()
-	w.settings.KeptBytes = s.kept
+	w.settings.MaxKeptBytes = s.kept
 	w.limits.Concurrency = s.limit
 	for _, node := range []api.NodeID{"a", "b", "c"} {
 		plant(w.start(node, "east", []api.DataCentre{"east"}))
@@ -129,7 +129,7 @@
 // init fixes the seed of the property tests.
 func init() { _ = flag.Set("rapid.seed", "20260101") }
 
-func TestNothingTwiceNothingUntrue(t *testing.T) {
+func TestRequestsRunAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := drawScenario.Draw(rt, "scenario")
 		synctest.Test(t, func(*testing.T) { same(rt, fmt.Sprint(play(s, func(*Chain) {})), "[]") })
@@ -159,11 +159,11 @@
 // reviving frees the id of a request that was not run instead of closing it.
 type reviving struct{ Keys }
 
-func (k reviving) Settle(ctx context.Context, mark reqkey.Mark, answer *api.Answer, refusal *api.Refusal) error {
+func (k reviving) RecordOutcome(ctx context.Context, mark reqkey.Mark, answer *api.Answer, refusal *api.Refusal) error {
 	if refusal != nil && refusal.Outcome == api.OutcomeNotRun {
 		return k.Release(ctx, mark)
 	}
-	return k.Keys.Settle(ctx, mark, answer, refusal)
+	return k.Keys.RecordOutcome(ctx, mark, answer, refusal)
 }
 
 // ownCopyOnly says not-run of a copy that was turned away.
@@ -188,7 +188,7 @@
 	return answer, feedback, err
 }
 
-func TestPlantedFaultsAreFound(t *testing.T) {
+func TestPropertyDetectsInjectedFaults(t *testing.T) {
 	plants := map[string]func(*Chain){
 		"second mark accepted":      func(c *Chain) { c.deps.Keys = trusting{c.deps.Keys} },
 		"unsettled mark accepted":   func(c *Chain) { c.deps.Keys = eager{c.deps.Keys} },
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -129,8 +129,8 @@
 	}
 }
 
-func TestRequestsPassUnchanged(t *testing.T) {
-	_, b, address := start(t, Settings{MaxBodyBytes: 10, MaxBytes: 15})
+func TestRequestsArePassedOnUnchanged(t *testing.T) {
+	_, b, address := start(t, Settings{MaxBodyBytes: 10, MaxTotalBodyBytes: 15})
 	c := dial(t, address)
 	resp, body := c.ask("POST /v1/services/svc/a//b%2Fc/../d?q=1&r HTTP/1.1\r\nHost: x\r\nX-Own: 1\r\nX-Own: 2\r\nHolder-Epoch: 5\r\n" +
 		"Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n")
@@ -156,10 +156,10 @@
 	same(t, word(resp), "413 not-run too_large retry= close=true")
 }
 
-// TestSlowBodyTakesNoMemoryForLong: a body that never ends is refused when
+// TestSlowBodyReleasesMemoryAtTimeout: a body that never ends is refused when
 // its time is over and its memory is given back.
-func TestSlowBodyTakesNoMemoryForLong(t *testing.T) {
-	server, _, address := start(t, Settings{MaxBodyBytes: 10, MaxBytes: 15, ReadBodyTimeout: 100 * time.Millisecond})
+func TestSlowBodyReleasesMemoryAtTimeout(t *testing.T) {
+	server, _, address := start(t, Settings{MaxBodyBytes: 10, MaxTotalBodyBytes: 15, ReadBodyTimeout: 100 * time.Millisecond})
 	slow := dial(t, address)
 	resp, _ := slow.ask(post(9, "1234"))
 	same(t, word(resp), "503 unknown deadline_passed retry=1 close=true")
@@ -172,7 +172,7 @@
 	same(t, word(resp), "503 not-run queue_full retry=1 close=false")
 }
 
-func TestCallerLeavingIsSeen(t *testing.T) {
+func TestCallerDisconnectCancelsRequest(t *testing.T) {
 	_, b, address := start(t, Settings{})
 	left := make(chan error, 1)
 	b.handle = func(ctx context.Context, _ *filter.Exchange) (*api.Answer, error) {
@@ -186,10 +186,10 @@
 	same(t, <-left, context.Canceled)
 }
 
-// TestDrainCutsNothing: readiness goes first, a request in flight finishes on
+// TestDrainAbortsNoRequest: readiness goes first, a request in flight finishes on
 // its connection, and a keep-alive connection in use gets a refusal that says
 // close instead of a cut.
-func TestDrainCutsNothing(t *testing.T) {
+func TestDrainAbortsNoRequest(t *testing.T) {
 	server, b, address := start(t, Settings{ReadinessDelay: time.Millisecond, CloseDelay: time.Millisecond})
 	release, entered := make(chan struct{}), make(chan struct{})
 	b.handle = func(ctx context.Context, x *filter.Exchange) (*api.Answer, error) {
--- a/internal/front/handler.go
+++ b/internal/front/handler.go
@@ -127,9 +127,9 @@
 	}
 }
 
-// turnedAway is filter.TurnedAway for a request that the chain has not seen.
+// turnedAway is filter.RefuseUnmarked for a request that the chain has not seen.
 func (s *Server) turnedAway(r *http.Request, refusal *api.Refusal) *api.Refusal {
-	return filter.TurnedAway(refusal, r.Header.Get(api.HeaderIdempotent) == "true", s.settings.RetryAfter)
+	return filter.RefuseUnmarked(refusal, r.Header.Get(api.HeaderIdempotent) == "true", s.settings.RetryAfter)
 }
 
 func (s *Server) tooLarge(w http.ResponseWriter) *api.Refusal {
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -46,7 +46,7 @@
 type Settings struct {
 	MaxHeaderBytes    int
 	MaxBodyBytes      int64         // of one request
-	MaxBytes          int64         // of the bodies of all requests at once
+	MaxTotalBodyBytes int64         // of the bodies of all requests at once
 	ReadHeaderTimeout time.Duration // for the whole header
 	ReadBodyTimeout   time.Duration // for the whole body
 	WriteTimeout      time.Duration // for the whole answer
@@ -60,7 +60,7 @@
 const (
 	DefaultMaxHeaderBytes    = 16 << 10
 	DefaultMaxBodyBytes      = 8 << 20
-	DefaultMaxBytes          = 256 << 20
+	DefaultMaxTotalBodyBytes = 256 << 20
 	DefaultReadHeaderTimeout = 5 * time.Second
 	DefaultReadBodyTimeout   = 20 * time.Second
 	DefaultWriteTimeout      = 30 * time.Second
@@ -73,7 +73,7 @@
 func (s Settings) withDefaults() Settings {
 	defaults.Set(&s.MaxHeaderBytes, DefaultMaxHeaderBytes)
 	defaults.Set(&s.MaxBodyBytes, DefaultMaxBodyBytes)
-	defaults.Set(&s.MaxBytes, DefaultMaxBytes)
+	defaults.Set(&s.MaxTotalBodyBytes, DefaultMaxTotalBodyBytes)
 	defaults.Set(&s.ReadHeaderTimeout, DefaultReadHeaderTimeout)
 	defaults.Set(&s.ReadBodyTimeout, DefaultReadBodyTimeout)
 	defaults.Set(&s.WriteTimeout, DefaultWriteTimeout)
@@ -107,7 +107,7 @@
 		jobs:     jobs,
 		gate:     gate,
 		counters: counters,
-		bytes:    byteBudget{max: settings.MaxBytes},
+		bytes:    byteBudget{max: settings.MaxTotalBodyBytes},
 		log:      log,
 	}
 	s.http = &http.Server{
--- a/internal/platform/httpendpoint/outcomes_test.go
+++ b/internal/platform/httpendpoint/outcomes_test.go
@@ -21,7 +21,7 @@
 func TestAttemptOutcomesMatchExecutorRecords(t *testing.T) {
 	faults := []executor.Faults{{}, {CloseAfterRead: true}, {BreakHalfway: true}, {Leaving: true}, {FailRate: 0.5}, {}}
 	standins := make(map[api.EndpointID]*executor.Executor)
-	var held []router.Held
+	var held []router.HeldEndpoint
 	for i, f := range faults {
 		l := listenLoopback(t)
 		id := api.EndpointID(fmt.Sprint("e", i))
@@ -30,7 +30,7 @@
 		server := standins[id].Serve(l)
 		defer server.Close()
 		ep := api.Endpoint{ID: id, Service: "s", Address: l.Addr().String(), Slots: 8, Connections: 60}
-		held = append(held, router.Held{Endpoint: ep, SlotLimit: 8, Epoch: 1})
+		held = append(held, router.HeldEndpoint{Endpoint: ep, SlotLimit: 8, Epoch: 1})
 	}
 	r := router.New(router.Config{Rand: rand.NewPCG(1, 2), QueueTime: time.Minute})
 	r.SetEndpoints(time.Now(), held)
--- a/internal/reqkey/entry.go
+++ b/internal/reqkey/entry.go
@@ -69,28 +69,28 @@
 // DefaultLimits are in force before the first generation entry.
 var DefaultLimits = Limits{Marks: 1 << 20, AnswerBytes: 32 << 20, Generations: 4}
 
-// MarkedError rejects a second mark of an id.
-type MarkedError struct{ Mark Mark }
+// AlreadyMarkedError rejects a second mark of an id.
+type AlreadyMarkedError struct{ Mark Mark }
 
 // Error implements error.
-func (e *MarkedError) Error() string {
+func (e *AlreadyMarkedError) Error() string {
 	return fmt.Sprintf("request %q is marked by %s/%x", e.Mark.ID, e.Mark.Writer.Node, e.Mark.Writer.Incarnation)
 }
 
-// ReusedError rejects a mark whose id was used for another request.
-type ReusedError struct{ ID string }
+// IDReusedError rejects a mark whose id was used for another request.
+type IDReusedError struct{ ID string }
 
 // Error implements error.
-func (e *ReusedError) Error() string {
+func (e *IDReusedError) Error() string {
 	return fmt.Sprintf("request id %q was used for another request", e.ID)
 }
 
-// FullError rejects a mark because Limits.Marks are remembered: refusing is
+// TooManyMarksError rejects a mark because Limits.Marks are remembered: refusing is
 // preferred to forgetting a request that may have run.
-type FullError struct{ Marks uint32 }
+type TooManyMarksError struct{ Marks uint32 }
 
 // Error implements error.
-func (e *FullError) Error() string {
+func (e *TooManyMarksError) Error() string {
 	return fmt.Sprintf("%d request marks are remembered, no room for another", e.Marks)
 }
 
--- a/internal/reqkey/keys.go
+++ b/internal/reqkey/keys.go
@@ -12,20 +12,20 @@
 
 // Keys writes and reads the marks of this process.
 type Keys struct {
-	machine  *Machine
+	machine  *StateMachine
 	proposer journal.Proposer
 	self     journal.Origin
 	maxBody  int
 	serial   atomic.Uint32
 }
 
-// DefaultMaxBody is the largest answer body that is journaled, bytes.
-const DefaultMaxBody = 1 << 10
+// DefaultMaxBodyBytes is the largest answer body that is journaled, bytes.
+const DefaultMaxBodyBytes = 1 << 10
 
 // NewKeys returns the keys of the process self, whose machine is fed by the
 // stream that p appends to. Answers with a body of more than maxBody bytes
 // are journaled without the answer.
-func NewKeys(m *Machine, p journal.Proposer, self journal.Origin, maxBody int) *Keys {
+func NewKeys(m *StateMachine, p journal.Proposer, self journal.Origin, maxBody int) *Keys {
 	return &Keys{machine: m, proposer: p, self: self, maxBody: maxBody}
 }
 
@@ -44,10 +44,10 @@
 	return mark, k.propose(ctx, TypeMark, mark)
 }
 
-// Settle journals that a marked request ran with answer, or, when refusal is
+// RecordOutcome journals that a marked request ran with answer, or, when refusal is
 // set, that it was not run and never will be, or that its outcome is unknown.
 // After nil the outcome stands until the mark is forgotten.
-func (k *Keys) Settle(ctx context.Context, mark Mark, answer *api.Answer, refusal *api.Refusal) error {
+func (k *Keys) RecordOutcome(ctx context.Context, mark Mark, answer *api.Answer, refusal *api.Refusal) error {
 	o := Outcome{ID: mark.ID, Writer: mark.Writer, Serial: mark.Serial, Outcome: api.OutcomeRan}
 	switch {
 	case refusal != nil:
@@ -72,8 +72,8 @@
 // one; the first entry in log order wins and the rest are rejected. It is not
 // safe for concurrent use.
 type Rotation struct {
-	Every  time.Duration // a mark is remembered for at least (Limits.Generations-1) times this
-	Limits Limits
+	Interval time.Duration // a mark is remembered for at least (Limits.Generations-1) times this
+	Limits   Limits
 
 	seen  uint32
 	since time.Time
@@ -86,7 +86,7 @@
 		r.seen, r.since = generation, now
 		return Generation{}, false
 	}
-	if now.Sub(r.since) < r.Every {
+	if now.Sub(r.since) < r.Interval {
 		return Generation{}, false
 	}
 	return Generation{Number: generation + 1, Limits: r.Limits}, true
@@ -118,7 +118,7 @@
 }
 
 // Report returns the state of the machine.
-func (m *Machine) Report() Report {
+func (m *StateMachine) Report() Report {
 	m.apply.Lock()
 	defer m.apply.Unlock()
 	m.writersMu.RLock()
--- a/internal/reqkey/machine.go
+++ b/internal/reqkey/machine.go
@@ -46,8 +46,8 @@
 	answers map[key]*Outcome // what is kept of outcomes, in ID-less form
 }
 
-// Machine is the deterministic memory of marks and outcomes of one stream.
-type Machine struct {
+// StateMachine is the deterministic memory of marks and outcomes of one stream.
+type StateMachine struct {
 	shards [shardCount]shard
 
 	apply       sync.Mutex // serialises Apply, Snapshot and Restore; guards the fields below
@@ -62,16 +62,16 @@
 	writerIndex map[journal.Origin]uint32
 }
 
-var _ journal.Machine = (*Machine)(nil)
+var _ journal.Machine = (*StateMachine)(nil)
 
-// NewMachine returns an empty Machine under DefaultLimits.
-func NewMachine() *Machine {
-	m := &Machine{}
+// NewStateMachine returns an empty Machine under DefaultLimits.
+func NewStateMachine() *StateMachine {
+	m := &StateMachine{}
 	m.reset()
 	return m
 }
 
-func (m *Machine) reset() {
+func (m *StateMachine) reset() {
 	for i := range m.shards {
 		s := &m.shards[i]
 		s.mu.Lock()
@@ -87,13 +87,13 @@
 }
 
 // Types implements journal.Machine.
-func (m *Machine) Types() []journal.EntryType {
+func (m *StateMachine) Types() []journal.EntryType {
 	return []journal.EntryType{TypeMark, TypeOutcome, TypeRelease, TypeGeneration}
 }
 
 // Apply implements journal.Machine. Rejections are of the error types of this
 // package.
-func (m *Machine) Apply(_ journal.Position, e journal.Entry) error {
+func (m *StateMachine) Apply(_ journal.Position, e journal.Entry) error {
 	m.apply.Lock()
 	defer m.apply.Unlock()
 	switch e.Type {
@@ -118,23 +118,23 @@
 	return apply(&body)
 }
 
-func (m *Machine) shardOf(k key) *shard {
+func (m *StateMachine) shardOf(k key) *shard {
 	return &m.shards[k[0]%shardCount]
 }
 
-func (m *Machine) applyMark(mark *Mark) error {
+func (m *StateMachine) applyMark(mark *Mark) error {
 	k := keyOf(mark.ID)
 	s := m.shardOf(k)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if old, ok := s.records[k]; ok {
 		if old.digest != mark.Digest {
-			return &ReusedError{ID: mark.ID}
+			return &IDReusedError{ID: mark.ID}
 		}
-		return &MarkedError{Mark: m.markOf(mark.ID, old)}
+		return &AlreadyMarkedError{Mark: m.markOf(mark.ID, old)}
 	}
 	if m.marks >= m.limits.Marks {
-		return &FullError{Marks: m.marks}
+		return &TooManyMarksError{Marks: m.marks}
 	}
 	m.marks++
 	s.records[k] = record{
@@ -146,7 +146,7 @@
 	return nil
 }
 
-func (m *Machine) applyOutcome(o *Outcome) error {
+func (m *StateMachine) applyOutcome(o *Outcome) error {
 	k := keyOf(o.ID)
 	s := m.shardOf(k)
 	s.mu.Lock()
@@ -162,7 +162,7 @@
 	return nil
 }
 
-func (m *Machine) applyRelease(r *Release) error {
+func (m *StateMachine) applyRelease(r *Release) error {
 	k := keyOf(r.ID)
 	s := m.shardOf(k)
 	s.mu.Lock()
@@ -176,7 +176,7 @@
 	return nil
 }
 
-func (m *Machine) applyGeneration(g *Generation) error {
+func (m *StateMachine) applyGeneration(g *Generation) error {
 	if g.Number != m.generation+1 {
 		return &GenerationError{Found: g.Number, Current: m.generation}
 	}
@@ -188,7 +188,7 @@
 }
 
 // forgetOld drops the marks of generations that are too old.
-func (m *Machine) forgetOld() {
+func (m *StateMachine) forgetOld() {
 	for i := range m.shards {
 		s := &m.shards[i]
 		s.mu.Lock()
@@ -205,7 +205,7 @@
 }
 
 // compactOrder removes from answerOrder the keys without an answer.
-func (m *Machine) compactOrder() {
+func (m *StateMachine) compactOrder() {
 	kept := make([]key, 0, len(m.answerOrder))
 	for _, k := range m.answerOrder {
 		s := m.shardOf(k)
@@ -219,7 +219,7 @@
 	m.answerOrder = kept
 }
 
-func (m *Machine) keepAnswer(k key, o *Outcome) {
+func (m *StateMachine) keepAnswer(k key, o *Outcome) {
 	s := m.shardOf(k)
 	s.mu.Lock()
 	s.answers[k] = &Outcome{Outcome: o.Outcome, Reason: o.Reason, Answer: o.Answer}
@@ -230,7 +230,7 @@
 }
 
 // trimAnswers drops the oldest answers over the limit.
-func (m *Machine) trimAnswers() {
+func (m *StateMachine) trimAnswers() {
 	for m.answerBytes > m.limits.AnswerBytes && len(m.answerOrder) > 0 {
 		k := m.answerOrder[0]
 		m.answerOrder = m.answerOrder[1:]
@@ -242,7 +242,7 @@
 }
 
 // dropAnswer needs s.mu.
-func (m *Machine) dropAnswer(s *shard, k key) {
+func (m *StateMachine) dropAnswer(s *shard, k key) {
 	o, ok := s.answers[k]
 	if !ok {
 		return
@@ -270,21 +270,21 @@
 }
 
 // isOpen reports whether r is the mark of writer and serial, without outcome.
-func (m *Machine) isOpen(r record, writer journal.Origin, serial uint32) bool {
+func (m *StateMachine) isOpen(r record, writer journal.Origin, serial uint32) bool {
 	return r.state == stateOpen && r.serial == serial && m.writerAt(r.writer) == writer
 }
 
-func (m *Machine) markOf(id string, r record) Mark {
+func (m *StateMachine) markOf(id string, r record) Mark {
 	return Mark{ID: id, Digest: r.digest, Writer: m.writerAt(r.writer), Serial: r.serial}
 }
 
-func (m *Machine) writerAt(i uint32) journal.Origin {
+func (m *StateMachine) writerAt(i uint32) journal.Origin {
 	m.writersMu.RLock()
 	defer m.writersMu.RUnlock()
 	return m.writers[i]
 }
 
-func (m *Machine) internWriter(o journal.Origin) uint32 {
+func (m *StateMachine) internWriter(o journal.Origin) uint32 {
 	m.writersMu.Lock()
 	defer m.writersMu.Unlock()
 	if i, ok := m.writerIndex[o]; ok {
@@ -305,7 +305,7 @@
 }
 
 // Lookup returns what is remembered of id, and false when it has no mark.
-func (m *Machine) Lookup(id string) (State, bool) {
+func (m *StateMachine) Lookup(id string) (State, bool) {
 	k := keyOf(id)
 	s := m.shardOf(k)
 	s.mu.RLock()
@@ -349,14 +349,14 @@
 }
 
 // Marks returns the number of marks remembered.
-func (m *Machine) Marks() int {
+func (m *StateMachine) Marks() int {
 	m.apply.Lock()
 	defer m.apply.Unlock()
 	return int(m.marks)
 }
 
 // Generation returns the current generation.
-func (m *Machine) Generation() uint32 {
+func (m *StateMachine) Generation() uint32 {
 	m.apply.Lock()
 	defer m.apply.Unlock()
 	return m.generation
--- a/internal/reqkey/machine_test.go
+++ b/internal/reqkey/machine_test.go
@@ -20,7 +20,7 @@
 }
 
 // log applies entries to every machine; it is a journal.Proposer.
-type log []*Machine
+type log []*StateMachine
 
 func (l log) Propose(_ context.Context, e journal.Entry) (err error) {
 	for _, m := range l {
@@ -48,17 +48,17 @@
 	return as
 }
 
-func TestFirstMarkWins(t *testing.T) {
+func TestOnlyFirstMarkIsAccepted(t *testing.T) {
 	ctx := t.Context()
-	m := NewMachine()
-	a := NewKeys(m, log{m}, origin("a", 1), DefaultMaxBody)
-	b := NewKeys(m, log{m}, origin("b", 1), DefaultMaxBody)
+	m := NewStateMachine()
+	a := NewKeys(m, log{m}, origin("a", 1), DefaultMaxBodyBytes)
+	b := NewKeys(m, log{m}, origin("b", 1), DefaultMaxBodyBytes)
 	mark, err := a.Mark(ctx, "id", 7)
 	same(t, err, nil)
 	_, err = b.Mark(ctx, "id", 7)
-	same(t, fails[*MarkedError](t, err).Mark, mark)
+	same(t, fails[*AlreadyMarkedError](t, err).Mark, mark)
 	_, err = b.Mark(ctx, "id", 8)
-	fails[*ReusedError](t, err)
+	fails[*IDReusedError](t, err)
 	stale := mark
 	stale.Serial++
 	for _, wrong := range []Mark{stale, {ID: "id", Writer: b.Self(), Serial: mark.Serial}, {ID: "other"}} {
@@ -69,7 +69,7 @@
 	same(t, err, nil)
 	fails[*NoMarkError](t, a.Release(ctx, mark)) // late, the id is another's by now
 	answer := &api.Answer{Status: 200, Body: []byte("yes"), Header: map[string]string{"A": "b"}}
-	same(t, b.Settle(ctx, again, answer, nil), nil)
+	same(t, b.RecordOutcome(ctx, again, answer, nil), nil)
 	fails[*NoMarkError](t, b.Release(ctx, again)) // it ran
 	state, _ := a.Lookup("id")
 	same(t, state.Mark, again)
@@ -77,26 +77,26 @@
 
 	dead, err := a.Mark(ctx, "dead", 7)
 	same(t, err, nil)
-	same(t, a.Settle(ctx, dead, nil, api.NotRun(api.ReasonConnectFailed, 0, "")), nil)
+	same(t, a.RecordOutcome(ctx, dead, nil, api.NotRun(api.ReasonConnectFailed, 0, "")), nil)
 	fails[*NoMarkError](t, a.Release(ctx, dead))
-	fails[*NoMarkError](t, a.Settle(ctx, dead, answer, nil))
+	fails[*NoMarkError](t, a.RecordOutcome(ctx, dead, answer, nil))
 	_, err = b.Mark(ctx, "dead", 7)
-	same(t, fails[*MarkedError](t, err).Mark, dead)
+	same(t, fails[*AlreadyMarkedError](t, err).Mark, dead)
 	state, _ = b.Lookup("dead")
 	same(t, fmt.Sprint(state.Outcome, " ", state.Reason), "not-run connect_failed")
 }
 
-// TestReadersAgree feeds random entries to two machines, of which one is
+// TestSnapshotRestoreKeepsState feeds random entries to two machines, of which one is
 // restored from a snapshot midway.
-func TestReadersAgree(t *testing.T) {
+func TestSnapshotRestoreKeepsState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		straight, restored := NewMachine(), NewMachine()
+		straight, restored := NewStateMachine(), NewStateMachine()
 		steps := rapid.IntRange(1, 60).Draw(t, "steps")
 		cut := rapid.IntRange(0, steps).Draw(t, "cut")
 		for i := range steps {
 			if i == cut {
 				data, _ := restored.Snapshot()
-				restored = NewMachine()
+				restored = NewStateMachine()
 				same(t, restored.Restore(data), nil)
 			}
 			e := drawEntry(t, straight.Generation())
@@ -136,15 +136,15 @@
 	return journal.Entry{Type: t, Body: journal.Encode(body)}
 }
 
-func TestRetention(t *testing.T) {
+func TestMarksExpireAfterRetainedGenerations(t *testing.T) {
 	ctx := t.Context()
-	m := NewMachine()
-	k := NewKeys(m, log{m}, origin("a", 1), DefaultMaxBody)
-	rotation := Rotation{Every: time.Minute, Limits: Limits{Marks: 2, AnswerBytes: 1 << 10, Generations: 2}}
+	m := NewStateMachine()
+	k := NewKeys(m, log{m}, origin("a", 1), DefaultMaxBodyBytes)
+	rotation := Rotation{Interval: time.Minute, Limits: Limits{Marks: 2, AnswerBytes: 1 << 10, Generations: 2}}
 	now := time.Unix(0, 0)
 	rotate := func(want uint32) {
 		t.Helper()
-		for _, after := range []time.Duration{time.Second, rotation.Every - 1, 1} {
+		for _, after := range []time.Duration{time.Second, rotation.Interval - 1, 1} {
 			same(t, m.Generation(), want-1)
 			now = now.Add(after)
 			same(t, k.Rotate(ctx, &rotation, now), nil)
@@ -157,7 +157,7 @@
 		same(t, err, nil)
 	}
 	_, err := k.Mark(ctx, "3", 0)
-	fails[*FullError](t, err)
+	fails[*TooManyMarksError](t, err)
 	rotate(2)
 	same(t, m.Marks(), 2)
 	rotate(3)
@@ -167,7 +167,7 @@
 // BenchmarkMark applies marks of 36-byte ids and reports the bytes that each
 // keeps in memory and in a snapshot. Run it with -benchtime 1000000x.
 func BenchmarkMark(b *testing.B) {
-	m := NewMachine()
+	m := NewStateMachine()
 	before := heap()
 	b.ReportAllocs()
 	for i := range b.N {
--- a/internal/reqkey/snapshot.go
+++ b/internal/reqkey/snapshot.go
@@ -35,7 +35,7 @@
 
 // Snapshot implements journal.Machine. Equal states give equal snapshots when
 // they came from the same entries.
-func (m *Machine) Snapshot() ([]byte, error) {
+func (m *StateMachine) Snapshot() ([]byte, error) {
 	m.apply.Lock()
 	out := snapshot{Limits: m.limits, Generation: m.generation, Answers: m.copyAnswers()}
 	records := m.copyRecords()
@@ -52,7 +52,7 @@
 	return journal.Encode(out), nil
 }
 
-func (m *Machine) copyRecords() []keyedRecord {
+func (m *StateMachine) copyRecords() []keyedRecord {
 	records := make([]keyedRecord, 0, m.marks)
 	for i := range m.shards {
 		s := &m.shards[i]
@@ -65,7 +65,7 @@
 	return records
 }
 
-func (m *Machine) copyAnswers() []keptAnswer {
+func (m *StateMachine) copyAnswers() []keptAnswer {
 	answers := make([]keptAnswer, 0, len(m.answerOrder))
 	for _, k := range m.answerOrder {
 		s := m.shardOf(k)
@@ -78,7 +78,7 @@
 
 // Restore implements journal.Machine. A snapshot that can't be read leaves
 // the state as it was.
-func (m *Machine) Restore(data []byte) error {
+func (m *StateMachine) Restore(data []byte) error {
 	var in snapshot
 	if err := journal.Decode(data, &in); err != nil {
 		return fmt.Errorf("reqkey: snapshot: %w", err)
@@ -119,7 +119,7 @@
 	return nil
 }
 
-func (m *Machine) restoreRecord(r keyedRecord) {
+func (m *StateMachine) restoreRecord(r keyedRecord) {
 	s := m.shardOf(r.key)
 	s.mu.Lock()
 	s.records[r.key] = r.record
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -18,7 +18,7 @@
 			b.Run(fmt.Sprintf("endpoints=%d/%s", n, load), func(b *testing.B) {
 				endpoints := make([]*endpoint, n)
 				for i := range endpoints {
-					endpoints[i] = &endpoint{Held: heldEndpoint(api.EndpointID(fmt.Sprint(i)), "s", 8), until: noExpiry, inFlight: 8}
+					endpoints[i] = &endpoint{HeldEndpoint: heldEndpoint(api.EndpointID(fmt.Sprint(i)), "s", 8), until: noExpiry, inFlight: 8}
 					endpoints[i].health.latency = 0.1
 					if load == "half" {
 						endpoints[i].inFlight = i % 8
@@ -38,7 +38,7 @@
 }
 
 func benchRouter(n, slots int) *Router {
-	held := make([]Held, n)
+	held := make([]HeldEndpoint, n)
 	for i := range held {
 		held[i] = heldEndpoint(api.EndpointID(fmt.Sprint(i)), "s", slots)
 	}
--- a/internal/router/endpoint.go
+++ b/internal/router/endpoint.go
@@ -8,7 +8,7 @@
 
 // endpoint is the state of one endpoint, guarded by its shard's lock.
 type endpoint struct {
-	Held
+	HeldEndpoint
 	until    time.Duration // SlotLimit holds before it; noExpiry: until the next refresh
 	inFlight int
 	health   health
@@ -31,7 +31,7 @@
 func (e *endpoint) limit(now time.Duration) int {
 	slots := e.SlotLimit
 	if now >= e.until {
-		slots = e.Floor
+		slots = e.ExpiredSlotLimit
 	}
 	if e.Endpoint.Connections > 0 {
 		slots = min(slots, e.Endpoint.Connections)
--- a/internal/router/event.go
+++ b/internal/router/event.go
@@ -15,9 +15,9 @@
 
 // Event is a change of an endpoint's standing.
 type Event struct {
-	Type     EventType
-	Service  string
-	Endpoint api.EndpointID
-	Failures float64 // share of its recent requests, 0 to 1
-	Fleet    float64 // the same of the service's other endpoints
+	Type              EventType
+	Service           string
+	Endpoint          api.EndpointID
+	FailureRate       float64 // share of its recent requests, 0 to 1
+	OthersFailureRate float64 // the same of the service's other endpoints
 }
--- a/internal/router/experiment_test.go
+++ b/internal/router/experiment_test.go
@@ -126,7 +126,7 @@
 	router := New(Config{Rand: rand.NewPCG(1, 2)})
 	router.SetService("s", api.ServiceSpec{RoutingPolicy: x.policy, QueueTimeoutMs: 500, QueueLength: 2000})
 	models := make([]*modelEndpoint, x.endpoints)
-	held := make([]Held, x.endpoints)
+	held := make([]HeldEndpoint, x.endpoints)
 	byID := make(map[api.EndpointID]*modelEndpoint)
 	for i := range models {
 		id := api.EndpointID(fmt.Sprintf("e%02d", i))
@@ -222,14 +222,14 @@
 	return sum
 }
 
-func heldEndpoint(id api.EndpointID, service string, slots int) Held {
+func heldEndpoint(id api.EndpointID, service string, slots int) HeldEndpoint {
 	ep := api.Endpoint{ID: id, Service: service, Slots: slots, Connections: 60}
-	return Held{Endpoint: ep, SlotLimit: slots, Epoch: 1}
+	return HeldEndpoint{Endpoint: ep, SlotLimit: slots, Epoch: 1}
 }
 
 // Goodput stays near capacity under overload, while the baseline, which
 // retries at will, is measured in the same run.
-func TestExperimentGoodput(t *testing.T) {
+func TestSimulatedGoodputUnderOverload(t *testing.T) {
 	const length = 3 * time.Second
 	const endpoints = 20
 	capacity := endpoints * modelSlots / modelMean.Seconds() * length.Seconds()
@@ -247,7 +247,7 @@
 }
 
 // Faults of single endpoints cost few requests against a run without faults.
-func TestExperimentFaults(t *testing.T) {
+func TestSimulatedEndpointFaults(t *testing.T) {
 	cases := []struct {
 		name  string
 		fault func([]*modelEndpoint)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -9,13 +9,13 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// Held is an endpoint whose shard this entry VM holds.
-type Held struct {
-	Endpoint  api.Endpoint
-	SlotLimit int       // requests in flight that the hold allows now
-	Epoch     api.Epoch // of the hold
-	Until     time.Time // SlotLimit holds before it, by the router's clock; zero: until the next SetEndpoints
-	Floor     int       // limit from Until on
+// HeldEndpoint is an endpoint whose shard this entry VM holds.
+type HeldEndpoint struct {
+	Endpoint         api.Endpoint
+	SlotLimit        int       // requests in flight that the hold allows now
+	Epoch            api.Epoch // of the hold
+	SlotLimitExpiry  time.Time // SlotLimit holds before it, by the router's clock; zero: until the next SetEndpoints
+	ExpiredSlotLimit int       // limit from Until on
 }
 
 // Router chooses endpoints. It is safe for concurrent use.
@@ -71,8 +71,8 @@
 // SetEndpoints replaces the endpoints that this entry VM holds. An endpoint
 // that is missing is given up: it gets nothing new, and what is in flight to
 // it finishes; WaitIdle tells when it has.
-func (r *Router) SetEndpoints(now time.Time, held []Held) {
-	byService := make(map[string][]Held)
+func (r *Router) SetEndpoints(now time.Time, held []HeldEndpoint) {
+	byService := make(map[string][]HeldEndpoint)
 	for _, h := range held {
 		byService[h.Endpoint.Service] = append(byService[h.Endpoint.Service], h)
 	}
@@ -120,9 +120,9 @@
 	return total
 }
 
-// MostInFlight returns the most tickets not yet done at any one of the
+// MaxInFlight returns the most tickets not yet done at any one of the
 // endpoints.
-func (r *Router) MostInFlight(ids []api.EndpointID) int {
+func (r *Router) MaxInFlight(ids []api.EndpointID) int {
 	most := 0
 	for _, s := range r.allShards() {
 		s.mu.Lock()
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -15,7 +15,7 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-func testRouter(held ...Held) *Router {
+func testRouter(held ...HeldEndpoint) *Router {
 	r := New(Config{Rand: rand.NewPCG(1, 2)})
 	r.SetEndpoints(time.Now(), held)
 	return r
@@ -140,7 +140,7 @@
 			t.Errorf("dropped after %v", took)
 		}
 		// Sweeps among checks: a check's caller names its own time.
-		r.SetEndpoints(time.Now(), []Held{heldEndpoint("e1", "s", 1), heldEndpoint("e2", "s", 15)})
+		r.SetEndpoints(time.Now(), []HeldEndpoint{heldEndpoint("e1", "s", 1), heldEndpoint("e2", "s", 15)})
 		for i := range 200 {
 			took := []time.Duration{20 * time.Millisecond, 2 * time.Second}[i%2]
 			mustAcquire(t, r, "a").Done(Result{Status: 200, Latency: took, Feedback: platform.Feedback{SlotsBusy: -1}})
@@ -163,7 +163,7 @@
 // one probe at a time, in growing intervals, and comes back when it works.
 func TestEjectionIsBoundedAndProbed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var held []Held
+		var held []HeldEndpoint
 		for i := range 10 {
 			held = append(held, heldEndpoint(api.EndpointID(fmt.Sprint("e", i)), "s", 8))
 		}
@@ -245,9 +245,9 @@
 
 // Words that an endpoint leaves and refusals are believed at once; a lagging
 // list doesn't undo the former.
-func TestLeavingAndRefusalsCountAtOnce(t *testing.T) {
+func TestLeavingAndRefusalsApplyImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		held := []Held{heldEndpoint("e1", "s", 8), heldEndpoint("e2", "s", 8)}
+		held := []HeldEndpoint{heldEndpoint("e1", "s", 8), heldEndpoint("e2", "s", 8)}
 		r := testRouter(held...)
 		time.Sleep(time.Second)
 		mustAcquire(t, r, "a", "e2").Done(refusedResult("e1", true))
@@ -274,10 +274,10 @@
 
 // A hold that runs out by itself leaves its floor; tickets beyond it are no
 // longer valid, and an endpoint given up is idle when the last one is done.
-func TestHoldLapsesAndIsGivenUp(t *testing.T) {
+func TestHoldExpiresAndEndpointIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := heldEndpoint("e1", "s", 8)
-		h.Until, h.Floor = time.Now().Add(time.Second), 2
+		h.SlotLimitExpiry, h.ExpiredSlotLimit = time.Now().Add(time.Second), 2
 		r := testRouter(h)
 		tickets := make([]*Ticket, 3)
 		for i := range tickets {
@@ -291,8 +291,8 @@
 		if !tickets[0].Valid(time.Now()) {
 			t.Error("within the floor, want valid")
 		}
-		h.Until, h.Floor, h.SlotLimit = time.Time{}, 0, 0
-		r.SetEndpoints(time.Now(), []Held{h})
+		h.SlotLimitExpiry, h.ExpiredSlotLimit, h.SlotLimit = time.Time{}, 0, 0
+		r.SetEndpoints(time.Now(), []HeldEndpoint{h})
 		_, err := r.Acquire(t.Context(), "s", api.ClassInteractive, "a", nil)
 		wantRefusal(t, err, api.ReasonHoldUnconfirmed)
 		r.SetEndpoints(time.Now(), nil)
--- a/internal/router/shard.go
+++ b/internal/router/shard.go
@@ -97,7 +97,7 @@
 }
 
 // setHeld replaces the endpoints held.
-func (s *shard) setHeld(now time.Duration, list []Held) {
+func (s *shard) setHeld(now time.Duration, list []HeldEndpoint) {
 	listed := make(map[api.EndpointID]bool, len(list))
 	held := make([]*endpoint, 0, len(list))
 	for _, h := range list {
@@ -119,7 +119,7 @@
 }
 
 // refresh updates an endpoint or adds a new one.
-func (s *shard) refresh(h Held) *endpoint {
+func (s *shard) refresh(h HeldEndpoint) *endpoint {
 	e := s.byID[h.Endpoint.ID]
 	if e == nil {
 		e = &endpoint{}
@@ -128,11 +128,11 @@
 	if e.Endpoint.Address != h.Endpoint.Address {
 		e.renew()
 	}
-	e.Held = h
+	e.HeldEndpoint = h
 	e.given = false
 	e.until = noExpiry
-	if !h.Until.IsZero() {
-		e.until = s.router.instant(h.Until)
+	if !h.SlotLimitExpiry.IsZero() {
+		e.until = s.router.instant(h.SlotLimitExpiry)
 	}
 	return e
 }
@@ -251,10 +251,10 @@
 	}
 	others := s.results.without(e.health.rate)
 	s.events = append(s.events, Event{
-		Type:     kind,
-		Service:  s.service,
-		Endpoint: e.Endpoint.ID,
-		Failures: e.health.rate.share(),
-		Fleet:    others.share(),
+		Type:              kind,
+		Service:           s.service,
+		Endpoint:          e.Endpoint.ID,
+		FailureRate:       e.health.rate.share(),
+		OthersFailureRate: others.share(),
 	})
 }
