--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -10,15 +10,15 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// BenchmarkChoice measures the pure choice at half load and with a single
-// slot free, the dearest case.
+// BenchmarkChoice measures the choice alone, at half load and with a single
+// free slot, which is the most expensive case.
 func BenchmarkChoice(b *testing.B) {
 	for _, n := range []int{50, 500} {
 		for _, load := range []string{"half", "full but one"} {
 			b.Run(fmt.Sprintf("endpoints=%d/%s", n, load), func(b *testing.B) {
 				endpoints := make([]*endpoint, n)
 				for i := range endpoints {
-					endpoints[i] = &endpoint{HeldEndpoint: heldEndpoint(api.EndpointID(fmt.Sprint(i)), "s", 8), until: noExpiry, inFlight: 8}
+					endpoints[i] = &endpoint{HeldEndpoint: heldEndpoint(api.EndpointID(fmt.Sprint(i)), "s", 8), limitExpiry: noExpiry, inFlight: 8}
 					endpoints[i].health.latency = 0.1
 					if load == "half" {
 						endpoints[i].inFlight = i % 8
@@ -26,9 +26,9 @@
 				}
 				endpoints[n/2].inFlight = 7
 				c := leastLoaded{rand: rand.New(rand.NewPCG(1, 2))}
-				f := fleet{latency: 0.1, halfLife: DefaultHealthHalfLife}
+				stats := serviceStats{latency: 0.1, halfLife: DefaultHealthHalfLife}
 				for b.Loop() {
-					if c.choose(time.Second, endpoints, f, demand{deadline: noExpiry}) == nil {
+					if c.choose(time.Second, endpoints, stats, constraints{deadline: noExpiry}) == nil {
 						b.Fatal("none chosen")
 					}
 				}
@@ -45,8 +45,8 @@
 	return testRouter(held...)
 }
 
-// BenchmarkRequest measures a request's way through the router, granted or
-// refused by a full service.
+// BenchmarkRequest measures the time of a request in the router, when it gets
+// a slot and when a full service refuses it.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{50, 500} {
 		b.Run(fmt.Sprintf("granted/endpoints=%d", n), func(b *testing.B) {
--- a/internal/router/check.go
+++ b/internal/router/check.go
@@ -7,10 +7,9 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// Check returns the refusal that Acquire would give at once, else nil. It
-// takes no slot and displaces no waiter, so that it only says whether a
-// request has a chance: what is free now may be taken, and the other way
-// round, before Acquire is called.
+// Check returns the refusal that Acquire would return immediately, or nil. It
+// neither takes a slot nor evicts a waiter, so the answer is only an estimate:
+// free capacity may change before Acquire is called.
 func (r *Router) Check(ctx context.Context, service string, class api.Class, caller string) *api.Refusal {
 	s, w, refusal := r.prepare(ctx, service, class, caller, nil)
 	if refusal != nil {
@@ -21,7 +20,7 @@
 	return s.check(r.now(), w)
 }
 
-// prepare finds the shard of service and makes the waiter of a request.
+// prepare finds the shard of service and creates the waiter of a request.
 func (r *Router) prepare(ctx context.Context, service string, class api.Class, caller string, exclude []api.EndpointID) (*shard, *waiter, *api.Refusal) {
 	s := r.find(service)
 	if s == nil {
@@ -31,10 +30,10 @@
 		return nil, nil, api.NotRun(abandonReason(ctx), 0, "given up before it was routed")
 	}
 	w := &waiter{
-		demand:  demand{exclude: exclude, deadline: noExpiry},
-		class:   class,
-		caller:  caller,
-		settled: make(chan settlement, 1),
+		constraints: constraints{exclude: exclude, deadline: noExpiry},
+		class:       class,
+		caller:      caller,
+		resultCh:    make(chan waitResult, 1),
 	}
 	if deadline, ok := ctx.Deadline(); ok {
 		w.deadline = r.instant(deadline)
@@ -42,19 +41,19 @@
 	return s, w, nil
 }
 
-// check returns the refusal that enter would give.
+// check returns the refusal that assignOrEnqueue would return.
 func (s *shard) check(now time.Duration, w *waiter) *api.Refusal {
-	if refusal := s.rejects(now, w); refusal != nil {
+	if refusal := s.refuseUnroutable(now, w); refusal != nil {
 		return refusal
 	}
-	s.meet(now, w)
-	if s.spec.policy == PolicyBaseline || s.queue.length == 0 && s.free(now) > 0 {
+	s.recordArrival(now, w)
+	if s.spec.policy == PolicyBaseline || s.queue.length == 0 && s.freeSlots(now) > 0 {
 		return nil
 	}
-	if refusal := s.hopeless(now, w); refusal != nil {
+	if refusal := s.refuseLongWait(now, w); refusal != nil {
 		return refusal
 	}
-	if s.queue.length >= s.spec.queueLength && s.queue.displace(w.class, w.caller) == nil {
+	if s.queue.length >= s.spec.queueLength && s.queue.findVictim(w.class, w.caller) == nil {
 		return s.refuse(now, api.ReasonQueueFull)
 	}
 	return nil
--- a/internal/router/choice.go
+++ b/internal/router/choice.go
@@ -9,73 +9,76 @@
 
 // Policies of ServiceSpec.RoutingPolicy.
 const (
-	// PolicyLeastLoaded is the default.
+	// PolicyLeastLoaded is the default: it selects the endpoint with the
+	// lowest cost.
 	PolicyLeastLoaded = "least-loaded"
-	// PolicyBaseline takes turns, without queue, limits or health. It is kept
-	// to measure against.
+	// PolicyBaseline selects endpoints round-robin, without queue, limits or
+	// health. It serves as the reference in measurements.
 	PolicyBaseline = "baseline"
 )
 
 const (
-	// fullScan is the number of endpoints up to which all are compared.
-	fullScan = 64
-	// sampleSize is the number compared in larger services.
+	// maxFullScan is the largest number of endpoints that are all compared.
+	maxFullScan = 64
+	// sampleSize is the number of random endpoints compared in larger
+	// services.
 	sampleSize = 8
-	// slowFactor: an endpoint that many times slower than the fleet is passed
-	// over by a request that it would finish too late.
+	// slowFactor is the multiple of the service's average latency from which
+	// an endpoint counts as slow. A request that would miss its deadline there
+	// does not use it.
 	slowFactor = 2
 )
 
-// fleet is what the choice knows beside the endpoints.
-type fleet struct {
-	latency  float64 // moving average of the service, seconds; 0 when unknown
+// serviceStats holds the averages of the whole service that the choice uses.
+type serviceStats struct {
+	latency  float64 // moving average over all endpoints of the service, seconds; 0 when unknown
 	halfLife time.Duration
 }
 
-// demand is what the choice knows of a request.
-type demand struct {
+// constraints are the requirements of one request on its endpoint.
+type constraints struct {
 	exclude  []api.EndpointID
-	deadline time.Duration // noExpiry when it has none
+	deadline time.Duration // noExpiry when the request has none
 }
 
-// chooser picks an endpoint for a demand, or nil.
+// chooser selects an endpoint for a request, or nil.
 type chooser interface {
-	choose(now time.Duration, endpoints []*endpoint, f fleet, d demand) *endpoint
+	choose(now time.Duration, endpoints []*endpoint, stats serviceStats, req constraints) *endpoint
 }
 
-// leastLoaded compares endpoints by their cost: all of them in small
-// services, a random sample in large ones.
+// leastLoaded selects the endpoint with the lowest cost. It compares all
+// endpoints of small services and a random sample of large ones.
 type leastLoaded struct {
 	rand *rand.Rand
 }
 
 // choose implements chooser.
-func (c leastLoaded) choose(now time.Duration, endpoints []*endpoint, f fleet, d demand) *endpoint {
+func (c leastLoaded) choose(now time.Duration, endpoints []*endpoint, stats serviceStats, req constraints) *endpoint {
 	n := len(endpoints)
 	if n == 0 {
 		return nil
 	}
 	start := c.rand.IntN(n)
-	if n > fullScan {
-		best := c.sample(now, endpoints, f, d)
+	if n > maxFullScan {
+		best := c.sample(now, endpoints, stats, req)
 		if best != nil {
 			return best
 		}
 	}
-	return scan(now, endpoints, start, f, d)
+	return scan(now, endpoints, start, stats, req)
 }
 
-// sample compares a few endpoints drawn at random.
-func (c leastLoaded) sample(now time.Duration, endpoints []*endpoint, f fleet, d demand) *endpoint {
+// sample compares sampleSize endpoints drawn at random.
+func (c leastLoaded) sample(now time.Duration, endpoints []*endpoint, stats serviceStats, req constraints) *endpoint {
 	var best *endpoint
 	var bestCost float64
 	for range sampleSize {
 		e := endpoints[c.rand.IntN(len(endpoints))]
-		free := usable(now, e, f, d)
+		free := usableSlots(now, e, stats, req)
 		if free == 0 {
 			continue
 		}
-		cost := e.cost(now, free, f)
+		cost := e.cost(now, free, stats)
 		if best == nil || cost < bestCost {
 			best, bestCost = e, cost
 		}
@@ -83,9 +86,10 @@
 	return best
 }
 
-// scan compares all endpoints, beginning at start so that equals take turns.
-// An endpoint that is due for its probe goes first.
-func scan(now time.Duration, endpoints []*endpoint, start int, f fleet, d demand) *endpoint {
+// scan compares all endpoints. It begins at start, so that endpoints of equal
+// cost are used in rotation. An endpoint that is due for a probe has cost zero
+// and is selected first.
+func scan(now time.Duration, endpoints []*endpoint, start int, stats serviceStats, req constraints) *endpoint {
 	var best *endpoint
 	var bestCost float64
 	n := len(endpoints)
@@ -95,11 +99,11 @@
 			at -= n
 		}
 		e := endpoints[at]
-		free := usable(now, e, f, d)
+		free := usableSlots(now, e, stats, req)
 		if free == 0 {
 			continue
 		}
-		cost := e.cost(now, free, f)
+		cost := e.cost(now, free, stats)
 		if best == nil || cost < bestCost {
 			best, bestCost = e, cost
 		}
@@ -107,54 +111,54 @@
 	return best
 }
 
-// usable returns the slots of e that a request of demand d may take one of.
-func usable(now time.Duration, e *endpoint, f fleet, d demand) int {
-	free := e.free(now)
-	if free == 0 || e.excluded(d.exclude) {
+// usableSlots returns the number of free slots of e that the request may use.
+func usableSlots(now time.Duration, e *endpoint, stats serviceStats, req constraints) int {
+	freeSlots := e.freeSlots(now)
+	if freeSlots == 0 || e.isExcluded(req.exclude) {
 		return 0
 	}
-	if d.deadline == noExpiry || f.latency == 0 {
-		return free
+	if req.deadline == noExpiry || stats.latency == 0 {
+		return freeSlots
 	}
-	expected := e.health.expectedLatency(now, f.halfLife, f.latency)
-	if expected >= slowFactor*f.latency && now+seconds(expected) > d.deadline {
+	expected := e.health.expectedLatency(now, stats.halfLife, stats.latency)
+	if expected >= slowFactor*stats.latency && now+seconds(expected) > req.deadline {
 		return 0
 	}
-	return free
+	return freeSlots
 }
 
-// cost is the load that e, with the given slots free, would have with one more
-// request, weighed by how long it takes and how often it fails. A probe costs
-// nothing.
-func (e *endpoint) cost(now time.Duration, free int, f fleet) float64 {
-	if e.health.standing == standingEjected {
+// cost returns the load that e, with the given number of free slots, would
+// have with one more request, multiplied by its expected latency and its
+// failure penalty. A probe has cost zero.
+func (e *endpoint) cost(now time.Duration, free int, stats serviceStats) float64 {
+	if e.health.state == stateEjected {
 		return 0
 	}
 	limit := e.limit(now)
 	load := float64(limit-free+1) / float64(limit)
-	latency := e.health.expectedLatency(now, f.halfLife, f.latency)
-	return load * (latency + minLatency) * e.health.penalty(now, f.halfLife)
+	latency := e.health.expectedLatency(now, stats.halfLife, stats.latency)
+	return load * (latency + minLatency) * e.health.penalty(now, stats.halfLife)
 }
 
 // minLatency keeps the cost above zero, in seconds.
 const minLatency = 1e-6
 
-// seconds converts to a duration.
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration {
 	return time.Duration(s * float64(time.Second))
 }
 
-// roundRobin takes turns among the endpoints that are held.
+// roundRobin selects the held endpoints in rotation.
 type roundRobin struct {
 	next int
 }
 
 // choose implements chooser.
-func (c *roundRobin) choose(now time.Duration, endpoints []*endpoint, _ fleet, d demand) *endpoint {
+func (c *roundRobin) choose(now time.Duration, endpoints []*endpoint, _ serviceStats, req constraints) *endpoint {
 	for range endpoints {
 		c.next++
 		e := endpoints[c.next%len(endpoints)]
-		if e.leaving(now) || e.limit(now) == 0 || e.excluded(d.exclude) {
+		if e.isLeaving(now) || e.limit(now) == 0 || e.isExcluded(req.exclude) {
 			continue
 		}
 		return e
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -29,28 +29,28 @@
 
 // Config holds the settings of a Router. Zero fields take their defaults.
 type Config struct {
-	EjectShare        float64       // most of a service's endpoints ejected at once, 0 to 1
-	EjectMargin       float64       // failure rate above that of the other endpoints, 0 to 1
-	EjectSamples      float64       // answers and failures before an endpoint is judged
-	HealthHalfLife    time.Duration // in which the weight of a result halves
-	ProbeInterval     time.Duration // from an ejection to the first probe; doubles
-	MaxProbeInterval  time.Duration // longest such interval
-	RefusalBackoff    time.Duration // nothing new after a refusal or a failed connect; doubles
-	MaxRefusalBackoff time.Duration // longest such pause
-	LeavingHold       time.Duration // how long an in-band word that an endpoint leaves is kept
-	BusyAge           time.Duration // how long an endpoint's count of busy slots is believed
-	InteractiveWeight int           // interactive requests granted for each batch request, both waiting
-	QueueLength       int           // of a service whose record names none
-	QueueTime         time.Duration // of a service whose record names none
-	CallerShare       float64       // of a service whose record names none, 0 to 1
-	NoEndpointRetry   time.Duration // told to a caller when a service has no endpoint here
+	EjectShare        float64       // maximum share of a service's endpoints ejected at once, 0 to 1
+	EjectMargin       float64       // minimum excess of an endpoint's failure rate over that of the others, 0 to 1
+	EjectSamples      float64       // minimum number of results before an endpoint may be ejected
+	HealthHalfLife    time.Duration // time in which the weight of a result halves
+	ProbeInterval     time.Duration // from an ejection to the first probe; doubles after each failed probe
+	MaxProbeInterval  time.Duration // maximum of the doubled interval
+	RefusalBackoff    time.Duration // pause in new requests after a refusal or a failed connection attempt; doubles
+	MaxRefusalBackoff time.Duration // maximum of the doubled pause
+	LeavingHold       time.Duration // how long an endpoint's own report that it is leaving is trusted
+	BusyAge           time.Duration // how long an endpoint's report of its busy slots is trusted
+	InteractiveWeight int           // interactive requests granted for each batch request while both wait
+	QueueLength       int           // default for services whose record sets none
+	QueueTime         time.Duration // default for services whose record sets none
+	CallerShare       float64       // default for services whose record sets none, 0 to 1
+	NoEndpointRetry   time.Duration // retry delay returned to a caller when a service has no endpoint here
 
-	Now     func() time.Time // advances as timers do; time.Now when nil
-	Rand    rand.Source      // seeds the choices; the runtime's when nil
-	OnEvent func(Event)      // told of each ejection, probe and return, outside locks; may be nil
+	Now     func() time.Time // must advance like timers do; time.Now when nil
+	Rand    rand.Source      // seeds the random choices; a random seed when nil
+	OnEvent func(Event)      // called without locks for each ejection, probe and recovery and each endpoint that reports that it leaves; may be nil
 }
 
-// withDefaults returns c with its zero fields filled in.
+// withDefaults returns c with its zero fields replaced by the defaults.
 func (c Config) withDefaults() Config {
 	defaults.Set(&c.EjectShare, DefaultEjectShare)
 	defaults.Set(&c.EjectMargin, DefaultEjectMargin)
@@ -76,8 +76,8 @@
 	return c
 }
 
-// Validate adds the faults of c to findings, with paths below path. Zero
-// fields are in order.
+// Validate adds the invalid fields of c to findings, with paths below path.
+// Zero fields are valid.
 func (c Config) Validate(path string, findings *finding.List) {
 	share := func(name string, value float64) {
 		findings.Check(value >= 0 && value <= 1, path+"."+name, value, "a share from 0 to 1")
--- a/internal/router/contact.go
+++ b/internal/router/contact.go
@@ -7,27 +7,29 @@
 	"github.com/skylarklock/skylarklock/internal/directory"
 )
 
-// contact is when an endpoint last answered and was last tried in vain; zero
-// is never.
+// contact holds the times of the last answer and the last failed attempt of an
+// endpoint; zero means never.
 type contact struct {
-	answered time.Duration
-	failed   time.Duration
+	lastAnswer  time.Duration
+	lastFailure time.Duration
 }
 
-// note takes a result into account. An answer that broke off tells neither.
-func (c *contact) note(now time.Duration, r Result) {
+// record updates the times from a result. A result that shows neither an
+// answer nor a failed attempt, such as an answer that was cut off, changes
+// nothing.
+func (c *contact) record(now time.Duration, r Result) {
 	if r.Err == nil || r.Err.Reason == api.ReasonEndpointRefused {
-		c.answered = now
+		c.lastAnswer = now
 		return
 	}
 	switch r.Err.Reason {
 	case api.ReasonConnectFailed, api.ReasonAnswerTimeout:
-		c.failed = now
+		c.lastFailure = now
 	}
 }
 
-// Contacts returns when each endpoint last answered and was last tried in
-// vain, as directory.View.ApplyContacts takes it.
+// Contacts returns the times of the last answer and the last failed attempt of
+// each endpoint, in the form that directory.View.ApplyContacts takes.
 func (r *Router) Contacts() []directory.Contact {
 	var contacts []directory.Contact
 	for _, s := range r.allShards() {
@@ -36,7 +38,7 @@
 	return contacts
 }
 
-// contacts returns the contacts with the endpoints of one service.
+// contacts returns the times of contact with the endpoints of one service.
 func (s *shard) contacts() []directory.Contact {
 	s.mu.Lock()
 	defer s.unlock()
@@ -52,8 +54,8 @@
 		})
 	}
 	for _, e := range s.byID {
-		add(e, e.contact.answered, true)
-		add(e, e.contact.failed, false)
+		add(e, e.contact.lastAnswer, true)
+		add(e, e.contact.lastFailure, false)
 	}
 	return list
 }
--- a/internal/router/doc.go
+++ b/internal/router/doc.go
@@ -1,9 +1,8 @@
-// Package router chooses the endpoint for each request of the services whose
+// Package router selects an endpoint for each request to the services whose
 // endpoints this entry VM holds.
 //
-// The state of each service is a shard under its own lock. The decisions are
-// pure and live in choice.go, health.go and fairqueue.go: state and time go
-// in, a decision comes out. Waiting, timers and locks live in shard.go and
-// wait.go. Instants inside the package are durations since the router was
-// made.
+// Each service has a shard with its own lock. choice.go, health.go and
+// fairqueue.go contain pure functions that decide from state and time only;
+// shard.go and wait.go contain locks, timers and waiting. Times inside the
+// package are durations since the router was created.
 package router
--- a/internal/router/endpoint.go
+++ b/internal/router/endpoint.go
@@ -9,28 +9,29 @@
 // endpoint is the state of one endpoint, guarded by its shard's lock.
 type endpoint struct {
 	HeldEndpoint
-	until    time.Duration // SlotLimit holds before it; noExpiry: until the next refresh
-	inFlight int
-	health   health
-	contact  contact
-
-	leavingUntil time.Duration // the endpoint said so itself
-	blockedUntil time.Duration // after a refusal or a failed connect
-	backoff      time.Duration // length of the last such pause
-	othersBusy   int           // slots busy beyond our own, as the endpoint told
-	busyUntil    time.Duration // othersBusy is believed before it
-	peak         peak          // of inFlight
-	given        bool          // given up: nothing new, what is in flight finishes
-	idle         chan struct{} // closed when nothing is in flight; nil when nobody waits
+	limitExpiry time.Duration // SlotLimit is valid before it; noExpiry: until the next update
+	inFlight    int
+	health      health
+	contact     contact
+
+	leavingUntil time.Duration // set when the endpoint itself reports that it is leaving
+	blockedUntil time.Duration // set after a refusal or a failed connection attempt
+	backoff      time.Duration // length of the last such block
+	othersBusy   int           // slots in use by other entry VMs, from the endpoint's report
+	busyUntil    time.Duration // othersBusy is used before it
+	peakInFlight windowedPeak  // recent maximum of inFlight
+	released     bool          // no longer held: gets no new request, requests in flight finish
+	idle         chan struct{} // closed when nothing is in flight; nil when nobody waits for that
 }
 
-// noExpiry is endpoint.until of a limit without an end.
+// noExpiry is the limitExpiry of a limit without an end and the deadline of a
+// request without one.
 const noExpiry = time.Duration(1<<63 - 1)
 
-// limit returns the number of requests that may be in flight at now.
+// limit returns the maximum number of requests in flight at now.
 func (e *endpoint) limit(now time.Duration) int {
 	slots := e.SlotLimit
-	if now >= e.until {
+	if now >= e.limitExpiry {
 		slots = e.ExpiredSlotLimit
 	}
 	if e.Endpoint.Connections > 0 {
@@ -39,49 +40,52 @@
 	return slots
 }
 
-// room returns the slots that are left at now, within the limit of this entry
-// VM and beside what others, such as a previous holder, still run there.
-func (e *endpoint) room(now time.Duration) int {
-	room := e.limit(now) - e.inFlight
+// remainingSlots returns the number of free slots at now, within the limit of
+// this entry VM and minus the slots in use by others, such as requests of a
+// previous holder that still run.
+func (e *endpoint) remainingSlots(now time.Duration) int {
+	remainingSlots := e.limit(now) - e.inFlight
 	if now < e.busyUntil && e.Endpoint.Slots > 0 {
-		room = min(room, e.Endpoint.Slots-e.othersBusy-e.inFlight)
+		remainingSlots = min(remainingSlots, e.Endpoint.Slots-e.othersBusy-e.inFlight)
 	}
-	return max(room, 0)
+	return max(remainingSlots, 0)
 }
 
-// noteBusy takes the endpoint's own count of busy slots, which includes ours.
-// It was taken at an unknown moment of the request, hence the comparison with
-// the most that we had there.
-func (e *endpoint) noteBusy(now, age time.Duration, busy int) {
+// updateBusy records the endpoint's own count of busy slots, which includes
+// the requests of this entry VM. The endpoint took the count at an unknown
+// time during the request, so the recent peak of own requests is subtracted
+// from it.
+func (e *endpoint) updateBusy(now, age time.Duration, busy int) {
 	if busy < 0 {
 		return
 	}
-	ours := max(e.peak.most(now, age), e.inFlight)
+	ours := max(e.peakInFlight.highest(now, age), e.inFlight)
 	e.othersBusy = max(busy-ours, 0)
 	e.busyUntil = now + age
 }
 
-// peak is the highest count in the present window of time and the one before.
-type peak struct {
+// windowedPeak is the maximum count in the current time window and the one
+// before.
+type windowedPeak struct {
 	current  int
 	previous int
-	window   time.Duration // number of the present window
+	window   time.Duration // number of the current window
 }
 
-// raise takes a count into account.
-func (p *peak) raise(now, length time.Duration, count int) {
-	p.roll(now / length)
+// observe adds a count.
+func (p *windowedPeak) observe(now, length time.Duration, count int) {
+	p.advance(now / length)
 	p.current = max(p.current, count)
 }
 
-// most returns the highest count in both windows.
-func (p *peak) most(now, length time.Duration) int {
-	p.roll(now / length)
+// highest returns the maximum count in both windows.
+func (p *windowedPeak) highest(now, length time.Duration) int {
+	p.advance(now / length)
 	return max(p.current, p.previous)
 }
 
-// roll starts the given window if it is a new one.
-func (p *peak) roll(window time.Duration) {
+// advance moves to the given window if it is not the current one.
+func (p *windowedPeak) advance(window time.Duration) {
 	switch {
 	case window == p.window:
 		return
@@ -94,42 +98,44 @@
 	p.window = window
 }
 
-// free returns the number of requests that may be sent at now.
-func (e *endpoint) free(now time.Duration) int {
-	if !e.takesNew(now) {
+// freeSlots returns the number of requests that may be sent at now.
+func (e *endpoint) freeSlots(now time.Duration) int {
+	if !e.acceptsRequests(now) {
 		return 0
 	}
-	return e.room(now)
+	return e.remainingSlots(now)
 }
 
-// takesNew reports whether the endpoint gets new requests at all.
-func (e *endpoint) takesNew(now time.Duration) bool {
-	if e.leaving(now) || now < e.blockedUntil {
+// acceptsRequests reports whether the endpoint may get new requests at now,
+// apart from its slots.
+func (e *endpoint) acceptsRequests(now time.Duration) bool {
+	if e.isLeaving(now) || now < e.blockedUntil {
 		return false
 	}
-	switch e.health.standing {
-	case standingEjected:
+	switch e.health.state {
+	case stateEjected:
 		return now >= e.health.probeAt && e.inFlight == 0
-	case standingProbing:
+	case stateProbing:
 		return false
 	default:
 		return true
 	}
 }
 
-// renew forgets what was learned of the process at the former address. What is
-// in flight still counts.
-func (e *endpoint) renew() {
-	*e = endpoint{inFlight: e.inFlight, peak: e.peak, idle: e.idle}
+// reset drops the health data when the endpoint's address changes, because
+// another process runs there. Requests in flight still count.
+func (e *endpoint) reset() {
+	*e = endpoint{inFlight: e.inFlight, peakInFlight: e.peakInFlight, idle: e.idle}
 }
 
-// leaving reports whether the list or the endpoint itself says so.
-func (e *endpoint) leaving(now time.Duration) bool {
-	return e.given || e.Endpoint.Leaving || now < e.leavingUntil
+// isLeaving reports whether the endpoint was released or is leaving, according
+// to the endpoint list or the endpoint itself.
+func (e *endpoint) isLeaving(now time.Duration) bool {
+	return e.released || e.Endpoint.Leaving || now < e.leavingUntil
 }
 
-// excluded reports whether e is one of the ids.
-func (e *endpoint) excluded(ids []api.EndpointID) bool {
+// isExcluded reports whether ids contains e.
+func (e *endpoint) isExcluded(ids []api.EndpointID) bool {
 	for _, id := range ids {
 		if id == e.Endpoint.ID {
 			return true
--- a/internal/router/event.go
+++ b/internal/router/event.go
@@ -2,7 +2,7 @@
 
 import "github.com/skylarklock/skylarklock/api"
 
-// EventType says what happened to an endpoint.
+// EventType is the kind of an endpoint event.
 type EventType string
 
 // Types of events.
@@ -10,14 +10,14 @@
 	EventEjected  EventType = "endpoint_ejected"
 	EventProbed   EventType = "endpoint_probed"
 	EventRestored EventType = "endpoint_restored"
-	EventLeaving  EventType = "endpoint_leaving" // the endpoint said so itself
+	EventLeaving  EventType = "endpoint_leaving" // reported by the endpoint itself
 )
 
-// Event is a change of an endpoint's standing.
+// Event is a state change of an endpoint.
 type Event struct {
 	Type              EventType
 	Service           string
 	Endpoint          api.EndpointID
-	FailureRate       float64 // share of its recent requests, 0 to 1
-	OthersFailureRate float64 // the same of the service's other endpoints
+	FailureRate       float64 // share of failures in its recent requests, 0 to 1
+	OthersFailureRate float64 // the same for the other endpoints of the service
 }
--- a/internal/router/fairqueue.go
+++ b/internal/router/fairqueue.go
@@ -6,32 +6,32 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// fairQueue holds the waiters of one service. Callers of a class take turns;
-// classes are served by weight, so that neither starves. It is pure: waiters
-// go in and out, and nothing waits in it.
+// fairQueue holds the waiters of one service. Callers of a class are served
+// round-robin and classes by weight, so that neither class starves. It is a
+// pure data structure: nothing blocks in it.
 type fairQueue struct {
-	weight      int // interactive grants for each batch grant
-	interactive ring
-	batch       ring
-	streak      int // interactive grants since the last batch grant
-	length      int
+	weight            int // interactive grants per batch grant
+	interactive       classQueue
+	batch             classQueue
+	interactiveStreak int // interactive grants since the last batch grant
+	length            int
 }
 
-// ring holds the flows of one class in the order of their turns.
-type ring struct {
-	flows map[string]*flow
-	turns list.List // of *flow; the front is next
+// classQueue holds the flows of one class in round-robin order.
+type classQueue struct {
+	flows   map[string]*flow
+	callers list.List // of *flow; the front is served next
 }
 
 // flow holds the waiters of one caller in one class, oldest first.
 type flow struct {
-	caller  string
-	waiters list.List // of *waiter
-	turn    *list.Element
+	caller        string
+	waiters       list.List // of *waiter
+	orderPosition *list.Element
 }
 
-// ringOf returns the ring of a class.
-func (q *fairQueue) ringOf(class api.Class) *ring {
+// classQueueOf returns the queue of a class.
+func (q *fairQueue) classQueueOf(class api.Class) *classQueue {
 	if class == api.ClassBatch {
 		return &q.batch
 	}
@@ -40,39 +40,39 @@
 
 // push appends w to its caller's flow.
 func (q *fairQueue) push(w *waiter) {
-	r := q.ringOf(w.class)
+	r := q.classQueueOf(w.class)
 	if r.flows == nil {
 		r.flows = make(map[string]*flow)
 	}
 	f := r.flows[w.caller]
 	if f == nil {
 		f = &flow{caller: w.caller}
-		f.turn = r.turns.PushBack(f)
+		f.orderPosition = r.callers.PushBack(f)
 		r.flows[w.caller] = f
 	}
 	w.flow = f
-	w.place = f.waiters.PushBack(w)
+	w.position = f.waiters.PushBack(w)
 	q.length++
 }
 
-// remove takes w out. It must be in the queue.
+// remove deletes w, which must be in the queue.
 func (q *fairQueue) remove(w *waiter) {
 	f := w.flow
-	f.waiters.Remove(w.place)
+	f.waiters.Remove(w.position)
 	w.flow = nil
 	q.length--
 	if f.waiters.Len() > 0 {
 		return
 	}
-	r := q.ringOf(w.class)
-	r.turns.Remove(f.turn)
+	r := q.classQueueOf(w.class)
+	r.callers.Remove(f.orderPosition)
 	delete(r.flows, f.caller)
 }
 
-// ahead returns how many waiters are served before a new one of the caller,
-// if none is skipped and callers take turns.
-func (q *fairQueue) ahead(class api.Class, caller string) int {
-	r := q.ringOf(class)
+// countAhead returns the number of waiters that would be served before a new
+// one of the caller if none were skipped and callers were served round-robin.
+func (q *fairQueue) countAhead(class api.Class, caller string) int {
+	r := q.classQueueOf(class)
 	own := 0
 	if f := r.flows[caller]; f != nil {
 		own = f.waiters.Len()
@@ -87,61 +87,61 @@
 	return min(ahead+ahead/q.weight, q.length)
 }
 
-// next takes out and returns the first waiter, in fair order, that accept
-// takes; nil when it takes none.
+// next removes and returns the first waiter, in fair order, that accept
+// returns true for, or nil.
 func (q *fairQueue) next(accept func(*waiter) bool) *waiter {
 	first, second := &q.interactive, &q.batch
-	if q.streak >= q.weight {
+	if q.interactiveStreak >= q.weight {
 		first, second = second, first
 	}
-	for _, r := range []*ring{first, second} {
+	for _, r := range []*classQueue{first, second} {
 		w := r.next(accept)
 		if w == nil {
 			continue
 		}
-		q.count(r)
+		q.recordGrant(r)
 		q.remove(w)
 		return w
 	}
 	return nil
 }
 
-// count notes a grant to a waiter of r.
-func (q *fairQueue) count(r *ring) {
+// recordGrant counts a grant to a waiter of r.
+func (q *fairQueue) recordGrant(r *classQueue) {
 	if r == &q.batch {
-		q.streak = 0
+		q.interactiveStreak = 0
 		return
 	}
-	if q.batch.turns.Len() > 0 {
-		q.streak++
+	if q.batch.callers.Len() > 0 {
+		q.interactiveStreak++
 	}
 }
 
-// next returns the first caller's oldest waiter that accept takes, and moves
-// that caller to the end of the turns.
-func (r *ring) next(accept func(*waiter) bool) *waiter {
-	for turn := r.turns.Front(); turn != nil; turn = turn.Next() {
+// next returns the first oldest waiter of a caller that accept returns true
+// for, and moves its caller to the back.
+func (r *classQueue) next(accept func(*waiter) bool) *waiter {
+	for turn := r.callers.Front(); turn != nil; turn = turn.Next() {
 		f := turn.Value.(*flow)
 		w := f.waiters.Front().Value.(*waiter)
 		if accept(w) {
-			r.turns.MoveToBack(turn)
+			r.callers.MoveToBack(turn)
 			return w
 		}
 	}
 	return nil
 }
 
-// displace returns the newest waiter of the caller that has most waiting,
-// when it has more than one more than the given caller would; else nil. A
-// full queue so keeps room for a caller that does not flood it.
-func (q *fairQueue) displace(class api.Class, caller string) *waiter {
+// findVictim returns the newest waiter of the caller with the most waiters if
+// that caller has at least two waiters more than the given caller, otherwise
+// nil. A full queue thus accepts requests of a caller that does not flood it.
+func (q *fairQueue) findVictim(class api.Class, caller string) *waiter {
 	own := 0
-	if f := q.ringOf(class).flows[caller]; f != nil {
+	if f := q.classQueueOf(class).flows[caller]; f != nil {
 		own = f.waiters.Len()
 	}
 	var longest *flow
-	for _, r := range []*ring{&q.interactive, &q.batch} {
-		for turn := r.turns.Front(); turn != nil; turn = turn.Next() {
+	for _, r := range []*classQueue{&q.interactive, &q.batch} {
+		for turn := r.callers.Front(); turn != nil; turn = turn.Next() {
 			f := turn.Value.(*flow)
 			if longest == nil || f.waiters.Len() > longest.waiters.Len() {
 				longest = f
--- a/internal/router/health.go
+++ b/internal/router/health.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// rate counts successes and failures that lose their weight with time.
-type rate struct {
-	ok     float64
-	failed float64
-	at     time.Duration // when both were last decayed
+// resultCounts holds counts of successes and failures that decay exponentially
+// with time.
+type resultCounts struct {
+	ok        float64
+	failed    float64
+	decayedAt time.Duration // time of the last decay of both counts
 }
 
-// decayed returns r as it stands at now.
-func (r rate) decayed(now, halfLife time.Duration) rate {
-	factor := math.Exp2(-float64(now-r.at) / float64(halfLife))
-	return rate{ok: r.ok * factor, failed: r.failed * factor, at: now}
+// decayed returns r decayed to now.
+func (r resultCounts) decayed(now, halfLife time.Duration) resultCounts {
+	factor := math.Exp2(-float64(now-r.decayedAt) / float64(halfLife))
+	return resultCounts{ok: r.ok * factor, failed: r.failed * factor, decayedAt: now}
 }
 
 // with returns r with one more result.
-func (r rate) with(ok bool) rate {
+func (r resultCounts) with(ok bool) resultCounts {
 	if ok {
 		r.ok++
 	} else {
@@ -28,147 +29,156 @@
 	return r
 }
 
-// without returns r less the results in o, taken at the same instant.
-func (r rate) without(o rate) rate {
-	return rate{ok: max(r.ok-o.ok, 0), failed: max(r.failed-o.failed, 0), at: r.at}
+// without returns r minus the counts in o, which must be decayed to the same
+// time.
+func (r resultCounts) without(o resultCounts) resultCounts {
+	return resultCounts{ok: max(r.ok-o.ok, 0), failed: max(r.failed-o.failed, 0), decayedAt: r.decayedAt}
 }
 
-// count returns the weight of all results.
-func (r rate) count() float64 { return r.ok + r.failed }
+// count returns the decayed number of results.
+func (r resultCounts) count() float64 { return r.ok + r.failed }
 
-// share returns the share of failures, 0 when there is no result.
-func (r rate) share() float64 {
+// failureRate returns the share of failures, 0 when there are no results.
+func (r resultCounts) failureRate() float64 {
 	if r.count() == 0 {
 		return 0
 	}
 	return r.failed / r.count()
 }
 
-// standing says whether an endpoint gets requests.
-type standing uint8
+// endpointState says whether an endpoint gets requests.
+type endpointState uint8
 
-// Standings of an endpoint.
+// States of an endpoint.
 const (
-	standingGood    standing = iota
-	standingEjected          // nothing until probeAt, then one request
-	standingProbing          // one request is out, nothing else
+	stateActive  endpointState = iota
+	stateEjected               // no requests until probeAt, then one probe
+	stateProbing               // one probe is in flight, no other requests
 )
 
-// health is what results say about one endpoint.
+// health is the state of one endpoint that follows from its results.
 type health struct {
-	rate     rate
-	latency  float64       // moving average, seconds; 0 before the first
-	sampled  time.Duration // when latency was last updated
-	streak   int           // failures since the last success
-	standing standing
-	probeAt  time.Duration // first instant of the next probe
-	interval time.Duration // from the last ejection to its probe; 0 when never ejected
-	restored time.Duration // last return
+	counts           resultCounts
+	latency          float64       // moving average, seconds; 0 before the first sample
+	latencyUpdatedAt time.Duration // time of the last update of latency
+	failureStreak    int           // failures since the last success
+	state            endpointState
+	probeAt          time.Duration // earliest time of the next probe
+	probeInterval    time.Duration // from the last ejection to its probe; 0 when never ejected
+	restoredAt       time.Duration // time of the last recovery
 }
 
-// latencyWeight is the weight of a new sample in the moving average.
-const latencyWeight = 0.2
+// endpointLatencyWeight is the weight of a new sample in an endpoint's moving
+// average.
+const endpointLatencyWeight = 0.2
 
-// observeLatency takes a sample. A failure only ever raises the average: a
-// fast failure must not make an endpoint look fast.
+// observeLatency adds a latency sample. A failure can only raise the average,
+// because a fast failure must not make an endpoint look fast.
 func (h *health) observeLatency(now time.Duration, seconds float64, ok bool) {
 	if !ok && seconds <= h.latency {
 		return
 	}
-	h.sampled = now
+	h.latencyUpdatedAt = now
 	if h.latency == 0 {
 		h.latency = seconds
 		return
 	}
-	h.latency += latencyWeight * (seconds - h.latency)
+	h.latency += endpointLatencyWeight * (seconds - h.latency)
 }
 
-// expectedLatency returns the average as it counts at now, in seconds: an old
-// one tends towards the fleet's, so that a slow endpoint is tried again.
-func (h *health) expectedLatency(now, halfLife time.Duration, fleet float64) float64 {
+// expectedLatency returns the average at now, in seconds. An old average tends
+// towards the average of the service, so that a slow endpoint is tried again.
+func (h *health) expectedLatency(now, halfLife time.Duration, serviceLatency float64) float64 {
 	if h.latency == 0 {
-		return fleet
+		return serviceLatency
 	}
-	age := float64(now-h.sampled) / float64(halfLife)
-	return fleet + (h.latency-fleet)/(1+age)
+	age := float64(now-h.latencyUpdatedAt) / float64(halfLife)
+	return serviceLatency + (h.latency-serviceLatency)/(1+age)
 }
 
-// failurePenalty is the factor by which an endpoint that always fails costs
-// more than a sound one, less one.
+// failurePenalty is the extra cost of an endpoint that always fails, as a
+// multiple of the cost of a healthy one.
 const failurePenalty = 20
 
-// priorSamples weighs the results of an endpoint that has few.
+// priorSamples is the number of assumed successes added to the results, so
+// that few results have little effect.
 const priorSamples = 2
 
 // penalty returns the factor by which failures raise an endpoint's cost.
 func (h *health) penalty(now, halfLife time.Duration) float64 {
-	if h.rate.failed == 0 {
+	if h.counts.failed == 0 {
 		return 1
 	}
-	factor := 1 / (1 + float64(now-h.rate.at)/float64(halfLife))
-	share := h.rate.failed * factor / (h.rate.count()*factor + priorSamples)
-	return 1 + failurePenalty*share
+	factor := 1 / (1 + float64(now-h.counts.decayedAt)/float64(halfLife))
+	failureShare := h.counts.failed * factor / (h.counts.count()*factor + priorSamples)
+	return 1 + failurePenalty*failureShare
 }
 
-// outlierRule holds the settings of ejection.
-type outlierRule struct {
-	margin      float64
-	samples     float64
-	maxShare    float64
-	interval    time.Duration
-	maxInterval time.Duration
-	halfLife    time.Duration
+// ejectionPolicy holds the settings for the ejection of outliers.
+type ejectionPolicy struct {
+	margin           float64
+	minSamples       float64
+	maxEjectedShare  float64
+	probeInterval    time.Duration
+	maxProbeInterval time.Duration
+	halfLife         time.Duration
 }
 
-// roundingSlack keeps a product such as 0.3*10 from being rounded down to 2.
+// roundingSlack prevents a product such as 0.3*10 from being rounded down to
+// 2.
 const roundingSlack = 1e-9
 
-// shouldEject decides after a failure whether an endpoint is an outlier among
-// the others and may be ejected: ejected of total already are.
-func (o outlierRule) shouldEject(h *health, others rate, ejected, total int) bool {
-	if h.standing != standingGood {
+// shouldEject decides after a failure whether an endpoint is an outlier
+// compared with the others and may be ejected, given that ejected of total
+// endpoints already are.
+func (o ejectionPolicy) shouldEject(h *health, others resultCounts, ejected, total int) bool {
+	if h.state != stateActive {
 		return false
 	}
-	if ejected+1 > int(o.maxShare*float64(total)+roundingSlack) {
+	if ejected+1 > int(o.maxEjectedShare*float64(total)+roundingSlack) {
 		return false
 	}
-	return o.failsMore(h.rate, others.share()) || o.failsInARow(h.streak, others.share())
+	return o.failsMoreThanOthers(h.counts, others.failureRate()) || o.failsInARow(h.failureStreak, others.failureRate())
 }
 
 const (
-	// minFleetShare is taken for the others' rate when they hardly fail.
-	minFleetShare = 0.001
-	// maxChance is the chance below which failures are no accident.
-	maxChance = 1e-9
+	// minOthersFailureRate is the lower bound for the failure rate assumed for
+	// the other endpoints.
+	minOthersFailureRate = 0.001
+	// maxChanceProbability is the probability below which failures are not
+	// attributed to chance.
+	maxChanceProbability = 1e-9
 )
 
-// failsMore reports whether own results are so much worse than the others'
-// that chance doesn't explain it, as when some requests fail everywhere.
-func (o outlierRule) failsMore(own rate, others float64) bool {
-	// The counts decay from the first result on, hence the tolerance.
-	if own.count() < o.samples-0.5 {
+// failsMoreThanOthers reports whether an endpoint's results are worse than
+// those of the others by more than chance explains. It does not eject for
+// requests that fail on all endpoints.
+func (o ejectionPolicy) failsMoreThanOthers(own resultCounts, others float64) bool {
+	// The counts decay from the first result on, hence the tolerance of 0.5.
+	if own.count() < o.minSamples-0.5 {
 		return false
 	}
-	return own.share() >= others+o.margin && chance(own.count(), own.share(), others) <= maxChance
+	return own.failureRate() >= others+o.margin && chernoffBound(own.count(), own.failureRate(), others) <= maxChanceProbability
 }
 
-// failsInARow reports whether a run of failures is no accident. It finds a
-// sudden fault that the good results of earlier times would cover up.
-func (o outlierRule) failsInARow(streak int, others float64) bool {
-	return float64(streak) >= o.samples && chance(float64(streak), 1, others) <= maxChance
+// failsInARow reports whether a streak of failures is longer than chance
+// explains. It detects a sudden fault that earlier successes would hide in the
+// failure rate.
+func (o ejectionPolicy) failsInARow(streak int, others float64) bool {
+	return float64(streak) >= o.minSamples && chernoffBound(float64(streak), 1, others) <= maxChanceProbability
 }
 
-// chance returns Chernoff's bound on the chance that, of n results, at least
-// the given share are failures when the others' rate is the true one. The
-// share must be at least that rate.
-func chance(n, share, others float64) float64 {
-	p := min(max(others, minFleetShare), 1-minFleetShare)
-	divergence := weighLog(share, p) + weighLog(1-share, 1-p)
+// chernoffBound returns an upper bound on the probability that at least the
+// given share of n results are failures when the true rate is that of the
+// others. The share must be at least that rate.
+func chernoffBound(n, share, others float64) float64 {
+	p := min(max(others, minOthersFailureRate), 1-minOthersFailureRate)
+	divergence := relativeEntropyTerm(share, p) + relativeEntropyTerm(1-share, 1-p)
 	return math.Exp(-n * divergence)
 }
 
-// weighLog returns q times the logarithm of q/p, 0 for q of 0.
-func weighLog(q, p float64) float64 {
+// relativeEntropyTerm returns q*log(q/p), and 0 when q is 0.
+func relativeEntropyTerm(q, p float64) float64 {
 	if q == 0 {
 		return 0
 	}
@@ -177,77 +187,80 @@
 
 // observe counts a result.
 func (h *health) observe(now, halfLife time.Duration, ok bool) {
-	h.rate = h.rate.decayed(now, halfLife).with(ok)
-	h.streak++
+	h.counts = h.counts.decayed(now, halfLife).with(ok)
+	h.failureStreak++
 	if ok {
-		h.streak = 0
+		h.failureStreak = 0
 	}
 }
 
-// eject takes the endpoint out until the next probe.
-func (o outlierRule) eject(now time.Duration, h *health) {
-	h.standing = standingEjected
-	h.interval = o.nextInterval(h.interval)
-	h.probeAt = now + h.interval
+// eject stops requests to the endpoint until the next probe.
+func (o ejectionPolicy) eject(now time.Duration, h *health) {
+	h.state = stateEjected
+	h.probeInterval = o.nextProbeInterval(h.probeInterval)
+	h.probeAt = now + h.probeInterval
 }
 
-// nextInterval doubles the wait before the next probe.
-func (o outlierRule) nextInterval(last time.Duration) time.Duration {
+// nextProbeInterval doubles the interval before the next probe.
+func (o ejectionPolicy) nextProbeInterval(last time.Duration) time.Duration {
 	if last == 0 {
-		return o.interval
+		return o.probeInterval
 	}
-	return min(2*last, o.maxInterval)
+	return min(2*last, o.maxProbeInterval)
 }
 
-// endProbe decides what the probe's result means. An endpoint that comes back
-// keeps its counts: it costs more than others until it has proved itself, and
-// goes at the first relapse.
-func (o outlierRule) endProbe(now time.Duration, h *health, ok bool) {
+// handleProbeResult ejects the endpoint again or restores it. A restored
+// endpoint keeps its counts: its cost stays higher than that of others until
+// new successes outweigh them, and it is ejected at the first relapse.
+func (o ejectionPolicy) handleProbeResult(now time.Duration, h *health, ok bool) {
 	if !ok {
 		o.eject(now, h)
 		return
 	}
-	h.standing = standingGood
-	h.restored = now
+	h.state = stateActive
+	h.restoredAt = now
 }
 
-// abandonProbe returns to waiting when a probe told nothing.
-func (h *health) abandonProbe(now time.Duration) {
-	h.standing = standingEjected
+// cancelProbe makes another probe due when a probe gave no result.
+func (h *health) cancelProbe(now time.Duration) {
+	h.state = stateEjected
 	h.probeAt = now
 }
 
-// forgive forgets old ejections after a long time without one.
-func (o outlierRule) forgive(now time.Duration, h *health) {
-	if h.standing == standingGood && now-h.restored > o.maxInterval {
-		h.interval = 0
+// resetProbeInterval resets the doubled interval when the endpoint has been
+// active for longer than maxProbeInterval.
+func (o ejectionPolicy) resetProbeInterval(now time.Duration, h *health) {
+	if h.state == stateActive && now-h.restoredAt > o.maxProbeInterval {
+		h.probeInterval = 0
 	}
 }
 
-// serviceTime is the moving average of a service's latency and of its mean
-// deviation, in seconds; zero before the first sample.
-type serviceTime struct {
+// latencyEstimate holds the moving averages of a service's latency and of its
+// mean deviation, in seconds; zero before the first sample.
+type latencyEstimate struct {
 	mean      float64
 	deviation float64
 }
 
-// serviceWeight is the weight of a new sample.
-const serviceWeight = 0.02
+// serviceLatencyWeight is the weight of a new sample in the moving averages of
+// a service.
+const serviceLatencyWeight = 0.02
 
-// deviations is how many mean deviations above the mean most requests stay.
-const deviations = 2
+// upperBoundDeviations is the number of mean deviations above the mean within
+// which most requests finish.
+const upperBoundDeviations = 2
 
 // with returns t with one more sample.
-func (t serviceTime) with(sample float64) serviceTime {
+func (t latencyEstimate) with(sample float64) latencyEstimate {
 	if t.mean == 0 {
-		return serviceTime{mean: sample, deviation: sample / deviations}
+		return latencyEstimate{mean: sample, deviation: sample / upperBoundDeviations}
 	}
-	t.deviation += serviceWeight * (math.Abs(sample-t.mean) - t.deviation)
-	t.mean += serviceWeight * (sample - t.mean)
+	t.deviation += serviceLatencyWeight * (math.Abs(sample-t.mean) - t.deviation)
+	t.mean += serviceLatencyWeight * (sample - t.mean)
 	return t
 }
 
-// most returns the time within which most requests are answered.
-func (t serviceTime) most() time.Duration {
-	return seconds(t.mean + deviations*t.deviation)
+// upperBound returns the time within which most requests are answered.
+func (t latencyEstimate) upperBound() time.Duration {
+	return seconds(t.mean + upperBoundDeviations*t.deviation)
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -12,16 +12,16 @@
 // HeldEndpoint is an endpoint whose shard this entry VM holds.
 type HeldEndpoint struct {
 	Endpoint         api.Endpoint
-	SlotLimit        int       // requests in flight that the hold allows now
+	SlotLimit        int       // maximum requests in flight that the hold allows now
 	Epoch            api.Epoch // of the hold
-	SlotLimitExpiry  time.Time // SlotLimit holds before it, by the router's clock; zero: until the next SetEndpoints
-	ExpiredSlotLimit int       // limit from Until on
+	SlotLimitExpiry  time.Time // SlotLimit is valid before it, by the router's clock; zero: until the next SetEndpoints
+	ExpiredSlotLimit int       // replaces SlotLimit from SlotLimitExpiry on
 }
 
-// Router chooses endpoints. It is safe for concurrent use.
+// Router selects endpoints for requests. It is safe for concurrent use.
 type Router struct {
 	cfg      Config
-	outliers outlierRule
+	ejection ejectionPolicy
 	start    time.Time
 
 	mu     sync.RWMutex // guards the map, not the shards
@@ -29,7 +29,7 @@
 	rand   *rand.Rand
 }
 
-// New returns a router without services. Validate the settings first.
+// New returns a router without services. The caller validates cfg.
 func New(cfg Config) *Router {
 	cfg = cfg.withDefaults()
 	return &Router{
@@ -37,29 +37,29 @@
 		start:  cfg.Now(),
 		shards: make(map[string]*shard),
 		rand:   rand.New(cfg.Rand),
-		outliers: outlierRule{
-			margin:      cfg.EjectMargin,
-			samples:     cfg.EjectSamples,
-			maxShare:    cfg.EjectShare,
-			interval:    cfg.ProbeInterval,
-			maxInterval: cfg.MaxProbeInterval,
-			halfLife:    cfg.HealthHalfLife,
+		ejection: ejectionPolicy{
+			margin:           cfg.EjectMargin,
+			minSamples:       cfg.EjectSamples,
+			maxEjectedShare:  cfg.EjectShare,
+			probeInterval:    cfg.ProbeInterval,
+			maxProbeInterval: cfg.MaxProbeInterval,
+			halfLife:         cfg.HealthHalfLife,
 		},
 	}
 }
 
-// instant converts a time to an instant of the package.
+// instant converts a time to a duration since the router was created.
 func (r *Router) instant(t time.Time) time.Duration {
 	return t.Sub(r.start)
 }
 
-// now returns the present instant.
+// now returns the current time as a duration since the router was created.
 func (r *Router) now() time.Duration {
 	return r.instant(r.cfg.Now())
 }
 
 // SetService sets the limits and the policy of a service. Zero fields of the
-// record take the router's defaults.
+// record are replaced by the router's defaults.
 func (r *Router) SetService(service string, spec api.ServiceSpec) {
 	s := r.shardOf(service)
 	s.mu.Lock()
@@ -69,8 +69,8 @@
 }
 
 // SetEndpoints replaces the endpoints that this entry VM holds. An endpoint
-// that is missing is given up: it gets nothing new, and what is in flight to
-// it finishes; WaitIdle tells when it has.
+// that is no longer listed is released: it gets no new requests, and the
+// requests in flight finish. WaitIdle waits for that.
 func (r *Router) SetEndpoints(now time.Time, held []HeldEndpoint) {
 	byService := make(map[string][]HeldEndpoint)
 	for _, h := range held {
@@ -82,14 +82,14 @@
 	at := r.instant(now)
 	for _, s := range r.allShards() {
 		s.mu.Lock()
-		s.setHeld(at, byService[s.service])
+		s.setEndpoints(at, byService[s.service])
 		s.unlock()
 	}
 }
 
-// Acquire chooses an endpoint with a free slot that is not in exclude, and
-// waits for one within the service's limits. The context carries the
-// deadline. Errors are of type *api.Refusal, with outcome not-run.
+// Acquire selects an endpoint with a free slot that is not in exclude, and
+// waits for one within the service's limits. The context carries the deadline.
+// Errors are of type *api.Refusal, with outcome not-run.
 func (r *Router) Acquire(ctx context.Context, service string, class api.Class, caller string, exclude []api.EndpointID) (*Ticket, error) {
 	s, w, refusal := r.prepare(ctx, service, class, caller, exclude)
 	if refusal != nil {
@@ -98,7 +98,8 @@
 	return s.acquire(ctx, w)
 }
 
-// Free returns the requests that the service's endpoints could take now.
+// Free returns the number of requests that the service's endpoints can take
+// now.
 func (r *Router) Free(service string) int {
 	s := r.find(service)
 	if s == nil {
@@ -106,10 +107,10 @@
 	}
 	s.mu.Lock()
 	defer s.unlock()
-	return s.free(r.now())
+	return s.freeSlots(r.now())
 }
 
-// InFlight returns the tickets not yet done, of all services.
+// InFlight returns the number of unfinished tickets of all services.
 func (r *Router) InFlight() int {
 	total := 0
 	for _, s := range r.allShards() {
@@ -120,24 +121,24 @@
 	return total
 }
 
-// MaxInFlight returns the most tickets not yet done at any one of the
-// endpoints.
+// MaxInFlight returns the maximum number of unfinished tickets at any one of
+// the given endpoints.
 func (r *Router) MaxInFlight(ids []api.EndpointID) int {
-	most := 0
+	highest := 0
 	for _, s := range r.allShards() {
 		s.mu.Lock()
 		for _, id := range ids {
 			if e := s.byID[id]; e != nil {
-				most = max(most, e.inFlight)
+				highest = max(highest, e.inFlight)
 			}
 		}
 		s.unlock()
 	}
-	return most
+	return highest
 }
 
-// WaitIdle waits until no request is in flight to any of the endpoints. Give
-// them up first. It returns the context's error.
+// WaitIdle waits until no request is in flight to any of the endpoints, which
+// must have been released, or returns the context's error.
 func (r *Router) WaitIdle(ctx context.Context, ids []api.EndpointID) error {
 	for _, s := range r.allShards() {
 		for _, id := range ids {
@@ -164,8 +165,8 @@
 	}
 }
 
-// idle returns a channel that closes when nothing is in flight to the
-// endpoint, nil when nothing is now.
+// idle returns a channel that is closed when no request is in flight to the
+// endpoint, or nil when none is in flight now.
 func (s *shard) idle(id api.EndpointID) <-chan struct{} {
 	s.mu.Lock()
 	defer s.unlock()
@@ -179,14 +180,14 @@
 	return e.idle
 }
 
-// find returns the shard of a service, nil when the router has none.
+// find returns the shard of a service, or nil.
 func (r *Router) find(service string) *shard {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.shards[service]
 }
 
-// shardOf returns the shard of a service, made when missing.
+// shardOf returns the shard of a service and creates it if necessary.
 func (r *Router) shardOf(service string) *shard {
 	if s := r.find(service); s != nil {
 		return s
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -41,18 +41,20 @@
 
 var okResult = Result{Status: 200, Latency: 100 * time.Millisecond, Feedback: platform.Feedback{SlotsBusy: -1}}
 
-// One caller floods the service while others ask now and then.
+// One caller floods the service while others send a few requests.
 func TestFairnessBetweenCallersAndClasses(t *testing.T) {
 	cases := []struct {
 		name               string
 		share              float64
 		interactive, batch int // requests of callers a and b
-		wantA, wantB       int // least of the 30 grants after the flood's first 8
+		wantA, wantB       int // minimum of the 30 grants after the flood's first 8
 	}{
-		// One in five to batch, the others in turns of the two callers.
-		{"turns and weights", 1, 10, 10, 10, 5},
-		// The flood's requests take ten times as long: turns alone would give
-		// it nearly all slots. It may hold 4 of 8 while a waits.
+		// One in five grants goes to batch, the others alternate between the
+		// two callers.
+		{"round-robin and weights", 1, 10, 10, 10, 5},
+		// The flood's requests take ten times as long, so round-robin alone
+		// would give it nearly all slots. It may use 4 of 8 while caller a
+		// waits.
 		{"share of the slots", 0.5, 30, 0, 22, 0},
 	}
 	for _, tc := range cases {
@@ -66,7 +68,7 @@
 						go func() {
 							ticket, err := r.Acquire(t.Context(), "s", class, caller, nil)
 							if err != nil {
-								return // displaced from the full queue
+								return // evicted from the full queue
 							}
 							granted <- caller
 							time.Sleep(took)
@@ -93,7 +95,7 @@
 	}
 }
 
-// Waiters are dropped as soon as their time is over, with a time to return.
+// Waiters are dropped as soon as their time has elapsed, with a retry delay.
 func TestQueueIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := testRouter(heldEndpoint("e1", "s", 1))
@@ -106,11 +108,11 @@
 			ctx, cancel := context.WithTimeout(t.Context(), timeout)
 			defer cancel()
 			start := time.Now()
-			foreseen := r.Check(ctx, "s", api.ClassInteractive, "a")
+			predicted := r.Check(ctx, "s", api.ClassInteractive, "a")
 			_, err := r.Acquire(ctx, "s", api.ClassInteractive, "a", nil)
 			took := time.Since(start)
-			if atOnce := err != nil && took == 0; atOnce != (foreseen != nil) {
-				t.Errorf("Check: %v, Acquire: %v after %v", foreseen, err, took)
+			if immediate := err != nil && took == 0; immediate != (predicted != nil) {
+				t.Errorf("Check returned %v, Acquire returned %v after %v", predicted, err, took)
 			}
 			return took, err
 		}
@@ -122,7 +124,7 @@
 		took, err = acquire(350 * time.Millisecond)
 		wantRefusal(t, err, api.ReasonDeadlineUnmeetable)
 		if took <= 0 || took > 250*time.Millisecond {
-			t.Errorf("dropped after %v, want before the request can't be met", took)
+			t.Errorf("dropped after %v, want a drop before the deadline can't be met", took)
 		}
 		for range 2 {
 			go func() { _, _ = acquire(time.Hour) }()
@@ -139,7 +141,8 @@
 		if took != 300*time.Millisecond {
 			t.Errorf("dropped after %v", took)
 		}
-		// Sweeps among checks: a check's caller names its own time.
+		// Long requests among short ones: the caller of a short request knows
+		// how much time it needs.
 		r.SetEndpoints(time.Now(), []HeldEndpoint{heldEndpoint("e1", "s", 1), heldEndpoint("e2", "s", 15)})
 		for i := range 200 {
 			took := []time.Duration{20 * time.Millisecond, 2 * time.Second}[i%2]
@@ -151,7 +154,7 @@
 		took, err = acquire(900 * time.Millisecond)
 		wantRefusal(t, err, api.ReasonNoSlot)
 		if took != 300*time.Millisecond {
-			t.Errorf("a short request is dropped after %v", took)
+			t.Errorf("short request dropped after %v", took)
 		}
 		held.Release()
 		_, err = r.Acquire(t.Context(), "unknown", api.ClassBatch, "a", nil)
@@ -159,8 +162,9 @@
 	})
 }
 
-// However many endpoints fail, only the bounded share is ejected; each gets
-// one probe at a time, in growing intervals, and comes back when it works.
+// However many endpoints fail, only the bounded share is ejected. Each ejected
+// endpoint gets one probe at a time, in growing intervals, and is restored
+// when it works.
 func TestEjectionIsBoundedAndProbed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var held []HeldEndpoint
@@ -180,42 +184,42 @@
 			}
 		}})
 		r.SetEndpoints(time.Now(), held)
-		broken := make(map[api.EndpointID]bool)
-		source, spoilt := rand.New(rand.NewPCG(5, 6)), 0.2
-		most := 0
-		one := func() {
+		failing := make(map[api.EndpointID]bool)
+		source, failureRate := rand.New(rand.NewPCG(5, 6)), 0.2
+		maxEjected := 0
+		sendRequest := func() {
 			ticket := mustAcquire(t, r, "a")
 			time.Sleep(100 * time.Millisecond)
 			result := okResult
 			mu.Lock()
-			fails := source.Float64() < spoilt
+			fails := source.Float64() < failureRate
 			mu.Unlock()
-			if fails || broken[ticket.Endpoint().ID] {
+			if fails || failing[ticket.Endpoint().ID] {
 				result.Err = &platform.AttemptError{Certainty: platform.MayHaveRun, Reason: api.ReasonAnswerBroken}
 			}
 			ticket.Done(result)
 		}
-		play := func(rounds, concurrent int) {
+		runRounds := func(rounds, concurrent int) {
 			for range rounds {
 				var group sync.WaitGroup
 				for range concurrent {
-					group.Go(one)
+					group.Go(sendRequest)
 				}
 				group.Wait()
-				most = max(most, ejected(r))
+				maxEjected = max(maxEjected, ejected(r))
 			}
 		}
-		play(400, 50)
-		if most != 0 {
-			t.Errorf("ejected %d for requests that fail everywhere", most)
+		runRounds(400, 50)
+		if maxEjected != 0 {
+			t.Errorf("ejected %d for requests that fail on all endpoints", maxEjected)
 		}
-		spoilt = 0
+		failureRate = 0
 		for _, h := range held[:5] {
-			broken[h.Endpoint.ID] = true
+			failing[h.Endpoint.ID] = true
 		}
-		play(300, 50)
-		if most != 3 || len(probes) != 3 {
-			t.Errorf("ejected at once %d, want 3 of 10; probes at %v", most, probes)
+		runRounds(300, 50)
+		if maxEjected != 3 || len(probes) != 3 {
+			t.Errorf("ejected %d at once, want 3 of 10; probes at %v", maxEjected, probes)
 		}
 		for _, at := range probes {
 			for i := 2; i < len(at); i++ {
@@ -224,27 +228,27 @@
 				}
 			}
 		}
-		clear(broken)
-		play(1200, 10)
+		clear(failing)
+		runRounds(1200, 10)
 		if ejected(r) != 0 || events[EventRestored] != 3 {
-			t.Errorf("events %v, ejected %d, want all three back", events, ejected(r))
+			t.Errorf("events %v, ejected %d, want all three restored", events, ejected(r))
 		}
 	})
 }
 
 func ejected(r *Router) int {
 	view, _ := r.Explain("s")
-	out := 0
+	count := 0
 	for _, e := range view.Endpoints {
 		if e.Ejected {
-			out++
+			count++
 		}
 	}
-	return out
+	return count
 }
 
-// Words that an endpoint leaves and refusals are believed at once; a lagging
-// list doesn't undo the former.
+// Refusals and reports of an endpoint that it is leaving take effect
+// immediately, and an outdated endpoint list does not revert the latter.
 func TestLeavingAndRefusalsApplyImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		held := []HeldEndpoint{heldEndpoint("e1", "s", 8), heldEndpoint("e2", "s", 8)}
@@ -257,12 +261,12 @@
 		r.SetEndpoints(time.Now(), held)
 		mustAcquire(t, r, "a", "e1").Done(refusedResult("e2", false))
 		if free := r.Free("s"); free != 0 {
-			t.Errorf("free %d, want 0 with one leaving and one that refused", free)
+			t.Errorf("free slots %d, want 0 with one endpoint leaving and one blocked after a refusal", free)
 		}
 		start := time.Now()
 		ticket := mustAcquire(t, r, "a")
 		if waited := time.Since(start); ticket.Endpoint().ID != "e2" || waited < DefaultRefusalBackoff {
-			t.Errorf("got %s after %v", ticket.Endpoint().ID, waited)
+			t.Errorf("got endpoint %s after %v", ticket.Endpoint().ID, waited)
 		}
 		ticket.Done(okResult)
 		held[1].Endpoint.Leaving = true
@@ -272,8 +276,9 @@
 	})
 }
 
-// A hold that runs out by itself leaves its floor; tickets beyond it are no
-// longer valid, and an endpoint given up is idle when the last one is done.
+// After the hold has expired, only the expired slot limit remains. Tickets
+// beyond it are no longer valid, and a released endpoint is idle when its last
+// ticket is done.
 func TestHoldExpiresAndEndpointIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := heldEndpoint("e1", "s", 8)
@@ -285,11 +290,11 @@
 		}
 		time.Sleep(2 * time.Second)
 		if tickets[0].Valid(time.Now()) || r.Free("s") != 0 {
-			t.Error("three in flight are valid past the hold's end, with a floor of two")
+			t.Error("three tickets are valid after the hold has expired, with a limit of two")
 		}
 		tickets[2].Done(Result{Status: 200, Latency: 2 * time.Second, Feedback: platform.Feedback{SlotsBusy: -1}})
 		if !tickets[0].Valid(time.Now()) {
-			t.Error("within the floor, want valid")
+			t.Error("ticket within the expired slot limit is not valid")
 		}
 		h.SlotLimitExpiry, h.ExpiredSlotLimit, h.SlotLimit = time.Time{}, 0, 0
 		r.SetEndpoints(time.Now(), []HeldEndpoint{h})
--- a/internal/router/shard.go
+++ b/internal/router/shard.go
@@ -15,27 +15,27 @@
 	service string
 	router  *Router
 
-	mu        sync.Mutex
-	spec      limits
-	chooser   chooser
-	rand      *rand.Rand
-	held      []*endpoint                  // in the order of the list
-	byID      map[api.EndpointID]*endpoint // held or given up with requests in flight
-	results   rate                         // of all endpoints
-	latency   serviceTime                  // of successes
-	ejected   int                          // endpoints not in good standing
-	inFlight  int                          // requests
-	perCaller map[string]int               // requests in flight
-	queue     fairQueue
-	calm      time.Duration // when a request last found no interactive one waiting
-	starved   bool          // no endpoint was usable at the last dispatch
-	sound     slotCount
-	wake      *time.Timer // dispatches again while requests wait; nil when none do
-	events    []Event     // to be told when the lock is released
+	mu                  sync.Mutex
+	spec                serviceLimits
+	chooser             chooser
+	rand                *rand.Rand
+	endpoints           []*endpoint                  // in the order of the endpoint list
+	byID                map[api.EndpointID]*endpoint // held, or released with requests in flight
+	results             resultCounts                 // of all endpoints
+	latency             latencyEstimate              // of successful requests
+	ejected             int                          // number of held endpoints that are ejected or probing
+	inFlight            int                          // number of requests
+	perCaller           map[string]int               // requests in flight
+	queue               fairQueue
+	lastInteractiveIdle time.Duration // last time that a request arrived while no interactive request was waiting
+	noneUsable          bool          // no endpoint was usable at the last dispatch
+	slotCache           cachedSlotCount
+	wake                *time.Timer // dispatches again while requests wait; nil when none is scheduled
+	events              []Event     // sent when the lock is released
 }
 
-// limits are the parts of a service's record that the router follows.
-type limits struct {
+// serviceLimits holds the fields of a service's record that the router uses.
+type serviceLimits struct {
 	policy      string
 	queueLength int
 	queueTime   time.Duration
@@ -56,10 +56,11 @@
 	return s
 }
 
-// setSpec takes the limits of a record; zero fields take the defaults.
+// setSpec sets the limits of a record; zero fields are replaced by the
+// defaults.
 func (s *shard) setSpec(spec api.ServiceSpec) {
 	cfg := &s.router.cfg
-	next := limits{
+	next := serviceLimits{
 		policy:      spec.RoutingPolicy,
 		queueLength: spec.QueueLength,
 		queueTime:   time.Duration(spec.QueueTimeoutMs) * time.Millisecond,
@@ -83,7 +84,7 @@
 	return leastLoaded{rand: source}
 }
 
-// unlock releases the lock and tells the events that came up under it.
+// unlock releases the lock and sends the events that were recorded under it.
 func (s *shard) unlock() {
 	events := s.events
 	s.events = nil
@@ -96,24 +97,24 @@
 	}
 }
 
-// setHeld replaces the endpoints held.
-func (s *shard) setHeld(now time.Duration, list []HeldEndpoint) {
+// setEndpoints replaces the endpoints held.
+func (s *shard) setEndpoints(now time.Duration, list []HeldEndpoint) {
 	listed := make(map[api.EndpointID]bool, len(list))
-	held := make([]*endpoint, 0, len(list))
+	endpoints := make([]*endpoint, 0, len(list))
 	for _, h := range list {
 		if listed[h.Endpoint.ID] {
 			continue
 		}
 		listed[h.Endpoint.ID] = true
-		held = append(held, s.refresh(h))
+		endpoints = append(endpoints, s.refresh(h))
 	}
 	for id, e := range s.byID {
 		if !listed[id] {
-			s.giveUp(id, e)
+			s.releaseEndpoint(id, e)
 		}
 	}
-	s.held = held
-	s.sound = slotCount{}
+	s.endpoints = endpoints
+	s.slotCache = cachedSlotCount{}
 	s.countEjected()
 	s.dispatch(now)
 }
@@ -126,106 +127,108 @@
 		s.byID[h.Endpoint.ID] = e
 	}
 	if e.Endpoint.Address != h.Endpoint.Address {
-		e.renew()
+		e.reset()
 	}
 	e.HeldEndpoint = h
-	e.given = false
-	e.until = noExpiry
+	e.released = false
+	e.limitExpiry = noExpiry
 	if !h.SlotLimitExpiry.IsZero() {
-		e.until = s.router.instant(h.SlotLimitExpiry)
+		e.limitExpiry = s.router.instant(h.SlotLimitExpiry)
 	}
 	return e
 }
 
-// giveUp stops new requests to e and forgets it once none is in flight.
-func (s *shard) giveUp(id api.EndpointID, e *endpoint) {
-	e.given = true
+// releaseEndpoint stops new requests to e and deletes it if none is in flight;
+// otherwise releaseSlot deletes it after the last one.
+func (s *shard) releaseEndpoint(id api.EndpointID, e *endpoint) {
+	e.released = true
 	if e.inFlight == 0 {
 		delete(s.byID, id)
 	}
 }
 
-// countEjected counts the held endpoints that are not in good standing.
+// countEjected counts the held endpoints that are ejected or probing.
 func (s *shard) countEjected() {
 	s.ejected = 0
-	for _, e := range s.held {
-		if e.health.standing != standingGood {
+	for _, e := range s.endpoints {
+		if e.health.state != stateActive {
 			s.ejected++
 		}
 	}
 }
 
-// fleet returns what the choice needs to know of the service.
-func (s *shard) fleet() fleet {
-	return fleet{latency: s.latency.mean, halfLife: s.router.cfg.HealthHalfLife}
+// stats returns the averages of the service for the choice of an endpoint.
+func (s *shard) stats() serviceStats {
+	return serviceStats{latency: s.latency.mean, halfLife: s.router.cfg.HealthHalfLife}
 }
 
-// limit returns the requests that the holds allow in flight.
+// limit returns the number of requests in flight that the holds allow.
 func (s *shard) limit(now time.Duration) int {
 	total := 0
-	for _, e := range s.held {
+	for _, e := range s.endpoints {
 		total += e.limit(now)
 	}
 	return total
 }
 
-// slotCount is a count that is good for slotCountAge.
-type slotCount struct {
-	slots int
-	until time.Duration
+// cachedSlotCount is a count of slots that is valid until expiry.
+type cachedSlotCount struct {
+	slots  int
+	expiry time.Duration
 }
 
-// slotCountAge bounds how stale the estimates of waits may be.
-const slotCountAge = 10 * time.Millisecond
+// slotCacheTTL is the maximum age of the slot count in estimates of waiting
+// times.
+const slotCacheTTL = 10 * time.Millisecond
 
-// slots returns the requests that all sound endpoints may have in flight, as
-// of at most slotCountAge ago.
-func (s *shard) slots(now time.Duration) int {
-	if now < s.sound.until {
-		return s.sound.slots
+// healthySlots returns the number of requests that all healthy endpoints
+// together may have in flight, as of at most slotCacheTTL ago.
+func (s *shard) healthySlots(now time.Duration) int {
+	if now < s.slotCache.expiry {
+		return s.slotCache.slots
 	}
 	total := 0
-	for _, e := range s.held {
-		if !e.leaving(now) && e.health.standing == standingGood {
+	for _, e := range s.endpoints {
+		if !e.isLeaving(now) && e.health.state == stateActive {
 			total += e.limit(now)
 		}
 	}
-	s.sound = slotCount{slots: total, until: now + slotCountAge}
+	s.slotCache = cachedSlotCount{slots: total, expiry: now + slotCacheTTL}
 	return total
 }
 
-// free returns the requests that may be sent at now.
-func (s *shard) free(now time.Duration) int {
+// freeSlots returns the number of requests that may be sent at now.
+func (s *shard) freeSlots(now time.Duration) int {
 	total := 0
-	for _, e := range s.held {
-		total += e.free(now)
+	for _, e := range s.endpoints {
+		total += e.freeSlots(now)
 	}
 	return total
 }
 
-// callerLimit returns the requests one caller may have in flight while other
-// callers wait.
+// callerLimit returns the number of requests that one caller may have in
+// flight while other callers wait.
 func (s *shard) callerLimit(now time.Duration) int {
-	limit := math.Ceil(s.spec.callerShare * float64(s.slots(now)))
+	limit := math.Ceil(s.spec.callerShare * float64(s.healthySlots(now)))
 	return max(int(limit), 1)
 }
 
-// take gives a request of the caller to e.
-func (s *shard) take(now time.Duration, e *endpoint, caller string) *Ticket {
-	probe := e.health.standing == standingEjected
+// assign gives a slot of e to a request of the caller.
+func (s *shard) assign(now time.Duration, e *endpoint, caller string) *Ticket {
+	probe := e.health.state == stateEjected
 	if probe {
-		e.health.standing = standingProbing
-		s.note(EventProbed, e)
+		e.health.state = stateProbing
+		s.recordEvent(EventProbed, e)
 	}
 	e.inFlight++
-	e.peak.raise(now, s.router.cfg.BusyAge, e.inFlight)
+	e.peakInFlight.observe(now, s.router.cfg.BusyAge, e.inFlight)
 	s.inFlight++
 	s.perCaller[caller]++
 	return &Ticket{shard: s, endpoint: e, caller: caller, target: e.Endpoint, epoch: e.Epoch, probe: probe}
 }
 
-// giveBack frees what take took.
-func (s *shard) giveBack(e *endpoint, caller string) {
+// releaseSlot frees a slot that assign gave out.
+func (s *shard) releaseSlot(e *endpoint, caller string) {
 	e.inFlight--
 	s.inFlight--
 	s.perCaller[caller]--
@@ -239,22 +242,22 @@
 		close(e.idle)
 		e.idle = nil
 	}
-	if e.given {
+	if e.released {
 		delete(s.byID, e.Endpoint.ID)
 	}
 }
 
-// note records an event, to be told once the lock is released.
-func (s *shard) note(kind EventType, e *endpoint) {
+// recordEvent records an event, which unlock sends.
+func (s *shard) recordEvent(kind EventType, e *endpoint) {
 	if s.router.cfg.OnEvent == nil {
 		return
 	}
-	others := s.results.without(e.health.rate)
+	others := s.results.without(e.health.counts)
 	s.events = append(s.events, Event{
 		Type:              kind,
 		Service:           s.service,
 		Endpoint:          e.Endpoint.ID,
-		FailureRate:       e.health.rate.share(),
-		OthersFailureRate: others.share(),
+		FailureRate:       e.health.counts.failureRate(),
+		OthersFailureRate: others.failureRate(),
 	})
 }
--- a/internal/router/ticket.go
+++ b/internal/router/ticket.go
@@ -8,16 +8,16 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// Result is what became of the attempt that a ticket was for.
+// Result is the outcome of the attempt that a ticket was used for.
 type Result struct {
-	Err      *platform.AttemptError // nil when a whole answer came
+	Err      *platform.AttemptError // nil when the endpoint answered completely
 	Status   int                    // of the answer; 0 when unknown
-	Latency  time.Duration          // of the attempt, without the wait in the queue
-	Feedback platform.Feedback      // SlotsBusy -1 when not told
+	Latency  time.Duration          // of the attempt, without the time in the queue
+	Feedback platform.Feedback      // SlotsBusy is -1 when the endpoint reported none
 }
 
-// Ticket is the right to send one request to one endpoint. Done must be
-// called exactly once; further calls do nothing.
+// Ticket is the right to send one request to one endpoint. Either Done or
+// Release must be called; further calls do nothing.
 type Ticket struct {
 	shard    *shard
 	endpoint *endpoint // guarded by the shard's lock
@@ -35,15 +35,16 @@
 func (t *Ticket) Epoch() api.Epoch { return t.epoch }
 
 // Valid reports whether the request may still be sent at now: the endpoint is
-// held at the same epoch, takes new requests, and its limit, which may have
-// dropped since, covers all that is in flight. Call it right before sending.
+// held at the same epoch and not leaving, and its limit, which may have
+// dropped since, covers all requests in flight. Call it immediately before
+// sending.
 func (t *Ticket) Valid(now time.Time) bool {
 	s := t.shard
 	s.mu.Lock()
 	defer s.unlock()
 	at := s.router.instant(now)
 	e := t.endpoint
-	if t.done || e.leaving(at) || e.Epoch != t.epoch {
+	if t.done || e.isLeaving(at) || e.Epoch != t.epoch {
 		return false
 	}
 	if s.spec.policy == PolicyBaseline {
@@ -52,22 +53,22 @@
 	return e.inFlight <= e.limit(at)
 }
 
-// Release gives the slot back of a request that was never sent.
+// Release frees the slot of a request that was never sent.
 func (t *Ticket) Release() {
 	t.finish(func(now time.Duration) {
 		if t.probe {
-			t.endpoint.health.abandonProbe(now)
+			t.endpoint.health.cancelProbe(now)
 		}
 	})
 }
 
-// Done gives the slot back and takes the result into account.
+// Done frees the slot and applies the result.
 func (t *Ticket) Done(result Result) {
-	t.finish(func(now time.Duration) { t.learn(now, result) })
+	t.finish(func(now time.Duration) { t.applyResult(now, result) })
 }
 
-// finish ends the ticket once.
-func (t *Ticket) finish(learn func(now time.Duration)) {
+// finish calls update and frees the slot at the first call.
+func (t *Ticket) finish(update func(now time.Duration)) {
 	s := t.shard
 	s.mu.Lock()
 	defer s.unlock()
@@ -76,128 +77,131 @@
 	}
 	t.done = true
 	now := s.router.now()
-	learn(now)
-	s.giveBack(t.endpoint, t.caller)
+	update(now)
+	s.releaseSlot(t.endpoint, t.caller)
 	s.dispatch(now)
 }
 
-// verdict is what a result says about the endpoint.
-type verdict uint8
+// resultClass is what a result shows about the endpoint.
+type resultClass uint8
 
 const (
-	verdictNone    verdict = iota // nothing: the caller left, or the request was at fault
-	verdictOK                     // it works
-	verdictFailed                 // it ran or may have run the request, and failed
-	verdictRefused                // it refused in-band
-	verdictNoReach                // no connection
+	resultNeutral     resultClass = iota // nothing: the caller left, or the request was invalid
+	resultOK                             // the endpoint works
+	resultFailed                         // the endpoint ran or may have run the request, and failed
+	resultRefused                        // the endpoint refused the request in its answer
+	resultUnreachable                    // no connection
 )
 
-// judge returns what a result says about the endpoint.
-func judge(r Result) verdict {
+// classifyResult returns what a result shows about the endpoint.
+func classifyResult(r Result) resultClass {
 	if r.Err == nil {
 		if r.Status >= http.StatusInternalServerError {
-			return verdictFailed
+			return resultFailed
 		}
-		return verdictOK
+		return resultOK
 	}
 	switch r.Err.Reason {
 	case api.ReasonEndpointRefused:
-		return verdictRefused
+		return resultRefused
 	case api.ReasonConnectFailed:
-		return verdictNoReach
+		return resultUnreachable
 	case api.ReasonCallerGone, api.ReasonDeadlinePassed, api.ReasonMalformed, api.ReasonAnswerTooLarge:
-		return verdictNone
+		return resultNeutral
 	default:
-		return verdictFailed
+		return resultFailed
 	}
 }
 
-// hasty reports whether the caller gave the endpoint less time than most
-// requests of the service take.
-func (s *shard) hasty(r Result) bool {
-	return r.Err != nil && r.Err.Reason == api.ReasonAnswerTimeout && r.Latency < s.latency.most()
+// timedOutEarly reports whether the request timed out after less time than
+// most requests of the service take.
+func (s *shard) timedOutEarly(r Result) bool {
+	return r.Err != nil && r.Err.Reason == api.ReasonAnswerTimeout && r.Latency < s.latency.upperBound()
 }
 
-// learn applies a result to the endpoint's state.
-func (t *Ticket) learn(now time.Duration, r Result) {
+// applyResult updates the endpoint's state from a result.
+func (t *Ticket) applyResult(now time.Duration, r Result) {
 	s, e := t.shard, t.endpoint
-	e.contact.note(now, r)
+	e.contact.record(now, r)
 	if r.Feedback.Leaving {
 		s.markLeaving(now, e)
 	}
-	e.noteBusy(now, s.router.cfg.BusyAge, r.Feedback.SlotsBusy)
-	v := judge(r)
-	if v == verdictFailed && s.hasty(r) {
-		v = verdictNone
+	e.updateBusy(now, s.router.cfg.BusyAge, r.Feedback.SlotsBusy)
+	class := classifyResult(r)
+	if class == resultFailed && s.timedOutEarly(r) {
+		class = resultNeutral
 	}
-	switch v {
-	case verdictNone:
+	switch class {
+	case resultNeutral:
 		if t.probe {
-			e.health.abandonProbe(now)
+			e.health.cancelProbe(now)
 		}
 		return
-	case verdictOK:
+	case resultOK:
 		e.backoff = 0
-		s.observe(now, e, r.Latency, true)
-	case verdictFailed:
-		s.observe(now, e, r.Latency, false)
-	case verdictRefused, verdictNoReach:
+		s.updateLatency(now, e, r.Latency, true)
+	case resultFailed:
+		s.updateLatency(now, e, r.Latency, false)
+	case resultRefused, resultUnreachable:
 		s.block(now, e)
 	}
 	if r.Feedback.Leaving && !t.probe {
-		return // a refusal for leaving is no failure
+		return // a refusal because of leaving is no failure
 	}
-	s.judgeHealth(now, e, v == verdictOK, t.probe)
+	s.updateHealth(now, e, class == resultOK, t.probe)
 }
 
-// markLeaving believes an endpoint's own word at once.
+// markLeaving excludes an endpoint that reports that it is leaving, without
+// waiting for the endpoint list.
 func (s *shard) markLeaving(now time.Duration, e *endpoint) {
 	if now >= e.leavingUntil {
-		s.note(EventLeaving, e)
+		s.recordEvent(EventLeaving, e)
 	}
 	e.leavingUntil = now + s.router.cfg.LeavingHold
 }
 
-// block keeps new requests from an endpoint that refused or didn't answer the
-// dial, each time for twice as long.
+// block pauses new requests to an endpoint that refused a request or a
+// connection, each time for twice as long.
 func (s *shard) block(now time.Duration, e *endpoint) {
 	cfg := &s.router.cfg
 	if now < e.blockedUntil {
-		return // one of several that were in flight together
+		return // one of several requests that were in flight together
 	}
 	e.backoff = min(max(2*e.backoff, cfg.RefusalBackoff), cfg.MaxRefusalBackoff)
 	e.blockedUntil = now + e.backoff
 }
 
-// observe takes a latency into the averages.
-func (s *shard) observe(now time.Duration, e *endpoint, latency time.Duration, ok bool) {
+// updateLatency adds a latency sample to the averages of the endpoint and,
+// after a success, of the service.
+func (s *shard) updateLatency(now time.Duration, e *endpoint, latency time.Duration, ok bool) {
 	e.health.observeLatency(now, latency.Seconds(), ok)
 	if ok {
 		s.latency = s.latency.with(latency.Seconds())
 	}
 }
 
-// judgeHealth counts a result and ejects or restores the endpoint by it.
-func (s *shard) judgeHealth(now time.Duration, e *endpoint, ok, probe bool) {
-	rule := s.router.outliers
+// updateHealth counts a result and ejects or restores the endpoint
+// accordingly.
+func (s *shard) updateHealth(now time.Duration, e *endpoint, ok, probe bool) {
+	policy := s.router.ejection
 	h := &e.health
-	h.observe(now, rule.halfLife, ok)
-	s.results = s.results.decayed(now, rule.halfLife).with(ok)
+	h.observe(now, policy.halfLife, ok)
+	s.results = s.results.decayed(now, policy.halfLife).with(ok)
 	defer s.countEjected()
-	if probe && h.standing == standingProbing {
-		rule.endProbe(now, h, ok)
+	if probe && h.state == stateProbing {
+		policy.handleProbeResult(now, h, ok)
 		if ok {
-			s.note(EventRestored, e)
+			s.recordEvent(EventRestored, e)
 		}
 		return
 	}
 	if ok {
-		rule.forgive(now, h)
+		policy.resetProbeInterval(now, h)
 		return
 	}
-	others := s.results.without(h.rate)
-	if rule.shouldEject(h, others, s.ejected, len(s.held)) {
-		rule.eject(now, h)
-		s.note(EventEjected, e)
+	others := s.results.without(h.counts)
+	if policy.shouldEject(h, others, s.ejected, len(s.endpoints)) {
+		policy.eject(now, h)
+		s.recordEvent(EventEjected, e)
 	}
 }
--- a/internal/router/wait.go
+++ b/internal/router/wait.go
@@ -9,48 +9,50 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// wakeInterval is how often waiting requests are tried again for endpoints
-// that come free by time alone: after a back-off, for a probe.
-const wakeInterval = 20 * time.Millisecond
+// dispatchInterval is the interval of dispatch attempts while requests wait,
+// for endpoints that become usable by time alone: after a block, or for a
+// probe.
+const dispatchInterval = 20 * time.Millisecond
 
 const (
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
-	// retryJitter spreads the moment when refused callers come back.
+	// retryJitter varies the retry delay so that refused callers do not return
+	// all at once.
 	retryJitter = 0.2
 )
 
-// waiter is one request in the queue.
+// waiter is one request that acquires an endpoint, queued if necessary.
 type waiter struct {
-	demand
-	class   api.Class
-	caller  string
-	entered time.Duration
-	settled chan settlement // buffered for the one settlement
-	done    bool            // settled, or given up by its request
-
-	flow  *flow         // in which it waits; nil when not in the queue
-	place *list.Element // in the flow
+	constraints
+	class     api.Class
+	caller    string
+	arrivedAt time.Duration
+	resultCh  chan waitResult // buffered for the single result
+	done      bool            // resolved, or abandoned by its request
+
+	flow     *flow         // the flow it is queued in; nil when not queued
+	position *list.Element // in the flow
 }
 
-// settlement ends a wait with a ticket or a refusal.
-type settlement struct {
+// waitResult ends a wait with a ticket or a refusal.
+type waitResult struct {
 	ticket  *Ticket
 	refusal *api.Refusal
 }
 
-// settle ends the wait of w.
-func (w *waiter) settle(result settlement) {
+// resolve ends the wait of w.
+func (w *waiter) resolve(result waitResult) {
 	w.done = true
-	w.settled <- result
+	w.resultCh <- result
 }
 
-// acquire grants a request an endpoint, waits for one, or refuses.
+// acquire assigns an endpoint to a request, waits for one, or refuses.
 func (s *shard) acquire(ctx context.Context, w *waiter) (*Ticket, error) {
 	s.mu.Lock()
 	now := s.router.now()
-	ticket, refusal := s.enter(now, w)
-	expires := s.expiry(now, w)
+	ticket, refusal := s.assignOrEnqueue(now, w)
+	expires := s.queueExpiry(now, w)
 	s.unlock()
 	if refusal != nil {
 		return nil, refusal
@@ -61,24 +63,25 @@
 	return s.wait(ctx, w, expires-now)
 }
 
-// enter grants, queues or refuses a new request.
-func (s *shard) enter(now time.Duration, w *waiter) (*Ticket, *api.Refusal) {
-	if refusal := s.rejects(now, w); refusal != nil {
+// assignOrEnqueue assigns an endpoint to a new request, queues it or refuses
+// it.
+func (s *shard) assignOrEnqueue(now time.Duration, w *waiter) (*Ticket, *api.Refusal) {
+	if refusal := s.refuseUnroutable(now, w); refusal != nil {
 		return nil, refusal
 	}
-	s.meet(now, w)
+	s.recordArrival(now, w)
 	if s.queue.length == 0 {
-		s.starved = false
-		e := s.chooser.choose(now, s.held, s.fleet(), w.demand)
+		s.noneUsable = false
+		e := s.chooser.choose(now, s.endpoints, s.stats(), w.constraints)
 		if e != nil {
-			return s.take(now, e, w.caller), nil
+			return s.assign(now, e, w.caller), nil
 		}
 	}
-	if refusal := s.admit(now, w); refusal != nil {
+	if refusal := s.makeQueueSpace(now, w); refusal != nil {
 		return nil, refusal
 	}
 	s.queue.push(w)
-	if s.starved {
+	if s.noneUsable {
 		s.scheduleWake()
 	} else {
 		s.dispatch(now)
@@ -86,147 +89,154 @@
 	return nil, nil
 }
 
-// reachable reports whether some endpoint could ever take w.
-func (s *shard) reachable(now time.Duration, w *waiter) bool {
-	for _, e := range s.held {
-		if !e.leaving(now) && !e.excluded(w.exclude) {
+// hasCandidate reports whether the service has an endpoint that may serve w
+// when it has a free slot.
+func (s *shard) hasCandidate(now time.Duration, w *waiter) bool {
+	for _, e := range s.endpoints {
+		if !e.isLeaving(now) && !e.isExcluded(w.exclude) {
 			return true
 		}
 	}
 	return false
 }
 
-// meet notes that w came at now.
-func (s *shard) meet(now time.Duration, w *waiter) {
-	w.entered = now
-	if s.queue.interactive.turns.Len() == 0 {
-		s.calm = now
+// recordArrival sets the arrival time of w, and the time of the last arrival
+// without a waiting interactive request.
+func (s *shard) recordArrival(now time.Duration, w *waiter) {
+	w.arrivedAt = now
+	if s.queue.interactive.callers.Len() == 0 {
+		s.lastInteractiveIdle = now
 	}
 }
 
-// rejects refuses a request without time left or without an endpoint.
-func (s *shard) rejects(now time.Duration, w *waiter) *api.Refusal {
+// refuseUnroutable refuses a request without remaining time or without a
+// possible endpoint.
+func (s *shard) refuseUnroutable(now time.Duration, w *waiter) *api.Refusal {
 	if now >= w.deadline {
 		return api.NotRun(api.ReasonDeadlinePassed, 0, "no time left")
 	}
-	if !s.reachable(now, w) {
+	if !s.hasCandidate(now, w) {
 		return api.NotRun(api.ReasonNoEndpoint, s.jitter(s.router.cfg.NoEndpointRetry), "no endpoint of the service is held here")
 	}
 	return nil
 }
 
-// admit refuses a request that can't be met in time or for which the queue
-// has no room.
-func (s *shard) admit(now time.Duration, w *waiter) *api.Refusal {
-	if refusal := s.hopeless(now, w); refusal != nil {
+// makeQueueSpace refuses a request that cannot be served in time or does not
+// fit in the queue. If the queue is full, it may evict a waiter of a caller
+// with more waiters.
+func (s *shard) makeQueueSpace(now time.Duration, w *waiter) *api.Refusal {
+	if refusal := s.refuseLongWait(now, w); refusal != nil {
 		return refusal
 	}
 	if s.queue.length < s.spec.queueLength {
 		return nil
 	}
-	victim := s.queue.displace(w.class, w.caller)
+	victim := s.queue.findVictim(w.class, w.caller)
 	if victim == nil {
 		return s.refuse(now, api.ReasonQueueFull)
 	}
 	s.queue.remove(victim)
-	victim.settle(settlement{refusal: s.refuse(now, api.ReasonQueueFull)})
+	victim.resolve(waitResult{refusal: s.refuse(now, api.ReasonQueueFull)})
 	return nil
 }
 
-// hopeless refuses a request whose expected wait is too long.
-func (s *shard) hopeless(now time.Duration, w *waiter) *api.Refusal {
-	var wait time.Duration // can't be told while no slot may be used
-	if s.slots(now) > 0 {
-		wait = s.expectedWait(now, 1+s.queue.ahead(w.class, w.caller))
+// refuseLongWait refuses a request whose expected wait is too long.
+func (s *shard) refuseLongWait(now time.Duration, w *waiter) *api.Refusal {
+	var wait time.Duration // unknown, taken as zero, while no healthy endpoint has slots
+	if s.healthySlots(now) > 0 {
+		wait = s.expectedWait(now, 1+s.queue.countAhead(w.class, w.caller))
 	}
-	if !s.meets(now+wait, w) {
+	if !s.canMeetDeadline(now+wait, w) {
 		return s.refuse(now, api.ReasonDeadlineUnmeetable)
 	}
-	if wait > s.queueTime(now, w.class) {
+	if wait > s.maxQueueTime(now, w.class) {
 		return s.refuse(now, api.ReasonQueueFull)
 	}
 	return nil
 }
 
 const (
-	// standingShare divides the queue's time while interactive requests have
-	// waited without a break.
-	standingShare = 10
-	// standingWaiters is the number of requests that may wait even then, so
-	// that a slot that comes free finds one.
-	standingWaiters = 4
+	// congestedTimeDivisor divides the maximum queue time while interactive
+	// requests have waited without interruption.
+	congestedTimeDivisor = 10
+	// congestedMinWaiters is the number of requests that may wait even then,
+	// so that a slot that becomes free is used immediately.
+	congestedMinWaiters = 4
 )
 
-// queueTime returns how long a request may wait. A queue is for bursts: where
-// interactive requests have been waiting for a whole queue time without a
-// break, long waits no longer gain anything and only make every answer late.
-func (s *shard) queueTime(now time.Duration, class api.Class) time.Duration {
+// maxQueueTime returns how long a request may wait. The queue is meant for
+// bursts: when interactive requests have been waiting without interruption for
+// a full queue time, longer waits add no throughput and only delay every
+// answer.
+func (s *shard) maxQueueTime(now time.Duration, class api.Class) time.Duration {
 	full := s.spec.queueTime
-	if class == api.ClassBatch || now-s.calm <= full {
+	if class == api.ClassBatch || now-s.lastInteractiveIdle <= full {
 		return full
 	}
-	standing := s.expectedWait(now, standingWaiters)
-	return min(max(full/standingShare, standing), full)
+	standing := s.expectedWait(now, congestedMinWaiters)
+	return min(max(full/congestedTimeDivisor, standing), full)
 }
 
-// meets reports whether w, granted at the given instant, would be answered in
-// time.
-func (s *shard) meets(granted time.Duration, w *waiter) bool {
-	return granted <= w.deadline-s.needs(w)
+// canMeetDeadline reports whether w would be answered in time if a slot were
+// assigned at the given time.
+func (s *shard) canMeetDeadline(assignedAt time.Duration, w *waiter) bool {
+	return assignedAt <= w.deadline-s.requiredTime(w)
 }
 
-// needs returns the time that must be left when w is granted: what most
-// requests take. Requests of a service may be unlike, and a caller knows its
-// own; so no more than half the time that it came with is asked for.
-func (s *shard) needs(w *waiter) time.Duration {
-	return min(s.latency.most(), (w.deadline-w.entered)/2)
+// requiredTime returns the time that must remain when w gets a slot: the time
+// within which most requests are answered. Requests of a service may differ,
+// and the caller knows its own best, so at most half of the time between
+// arrival and deadline is required.
+func (s *shard) requiredTime(w *waiter) time.Duration {
+	return min(s.latency.upperBound(), (w.deadline-w.arrivedAt)/2)
 }
 
-// expectedWait returns how long the given number of requests take to be
-// granted slots.
+// expectedWait returns how long it takes until the given number of requests
+// have been assigned slots.
 func (s *shard) expectedWait(now time.Duration, ahead int) time.Duration {
-	slots := max(s.slots(now), 1)
-	return seconds(s.latency.mean * float64(ahead) / float64(slots))
+	healthySlots := max(s.healthySlots(now), 1)
+	return seconds(s.latency.mean * float64(ahead) / float64(healthySlots))
 }
 
-// expiry returns the instant at which w is dropped from the queue: when its
-// time in the queue is over or its deadline can no longer be met.
-func (s *shard) expiry(now time.Duration, w *waiter) time.Duration {
-	end := now + s.queueTime(now, w.class)
+// queueExpiry returns the time at which w is dropped from the queue: when its
+// maximum queue time has elapsed or its deadline can no longer be met.
+func (s *shard) queueExpiry(now time.Duration, w *waiter) time.Duration {
+	end := now + s.maxQueueTime(now, w.class)
 	if w.deadline == noExpiry {
 		return end
 	}
-	return min(end, max(w.deadline-s.needs(w), now))
+	return min(end, max(w.deadline-s.requiredTime(w), now))
 }
 
-// wait waits for the settlement of w.
+// wait waits for the result of w.
 func (s *shard) wait(ctx context.Context, w *waiter, limit time.Duration) (*Ticket, error) {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
-	case result := <-w.settled:
+	case result := <-w.resultCh:
 		return result.unpack()
 	case <-timer.C:
-		return s.giveUpWait(w, s.expiredReason)
+		return s.abandonWait(w, s.expiryReason)
 	case <-ctx.Done():
-		return s.giveUpWait(w, func(time.Duration, *waiter) api.Reason { return abandonReason(ctx) })
+		return s.abandonWait(w, func(time.Duration, *waiter) api.Reason { return abandonReason(ctx) })
 	}
 }
 
-// unpack returns the ticket or the refusal as an error.
-func (r settlement) unpack() (*Ticket, error) {
+// unpack returns the ticket, or the refusal as an error.
+func (r waitResult) unpack() (*Ticket, error) {
 	if r.refusal != nil {
 		return nil, r.refusal
 	}
 	return r.ticket, nil
 }
 
-// giveUpWait takes w out of the queue, unless it was settled meanwhile.
-func (s *shard) giveUpWait(w *waiter, reason func(time.Duration, *waiter) api.Reason) (*Ticket, error) {
+// abandonWait removes w from the queue, unless it has been resolved in the
+// meantime.
+func (s *shard) abandonWait(w *waiter, reason func(time.Duration, *waiter) api.Reason) (*Ticket, error) {
 	s.mu.Lock()
 	defer s.unlock()
 	if w.done {
-		return (<-w.settled).unpack()
+		return (<-w.resultCh).unpack()
 	}
 	w.done = true
 	s.queue.remove(w)
@@ -234,10 +244,10 @@
 	return nil, s.refuse(now, reason(now, w))
 }
 
-// expiredReason tells a deadline from a lapsed hold and from the limit of the
-// queue.
-func (s *shard) expiredReason(now time.Duration, w *waiter) api.Reason {
-	if now >= w.deadline-s.needs(w) {
+// expiryReason returns why w expired: its deadline, an expired hold, or the
+// queue's maximum time.
+func (s *shard) expiryReason(now time.Duration, w *waiter) api.Reason {
+	if now >= w.deadline-s.requiredTime(w) {
 		return api.ReasonDeadlineUnmeetable
 	}
 	if s.limit(now) == 0 {
@@ -246,7 +256,7 @@
 	return api.ReasonNoSlot
 }
 
-// abandonReason tells a deadline from a caller that left.
+// abandonReason distinguishes a passed deadline from a caller that left.
 func abandonReason(ctx context.Context) api.Reason {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return api.ReasonDeadlinePassed
@@ -254,21 +264,22 @@
 	return api.ReasonCallerGone
 }
 
-// refuse returns a refusal with the time after which the queue should have
-// drained.
+// refuse returns a refusal whose retry delay is the time in which the queue is
+// expected to drain.
 func (s *shard) refuse(now time.Duration, reason api.Reason) *api.Refusal {
-	after := s.expectedWait(now, s.queue.length) + s.latency.most()
+	after := s.expectedWait(now, s.queue.length) + s.latency.upperBound()
 	after = min(max(after, minRetryAfter), maxRetryAfter)
 	return api.NotRun(reason, s.jitter(after), "service "+s.service)
 }
 
-// jitter varies a duration, so that callers don't come back all at once.
+// jitter varies a duration randomly, so that callers do not return all at
+// once.
 func (s *shard) jitter(d time.Duration) time.Duration {
 	return seconds(d.Seconds() * (1 + retryJitter*(2*s.rand.Float64()-1)))
 }
 
-// dispatch grants free slots to waiters, in fair order, and drops those that
-// can no longer be met.
+// dispatch assigns free slots to waiters in fair order and drops waiters whose
+// deadline can no longer be met or that have waited too long.
 func (s *shard) dispatch(now time.Duration) {
 	if s.queue.length == 0 {
 		return
@@ -281,49 +292,51 @@
 		if w.done {
 			continue
 		}
-		e := s.chooser.choose(now, s.held, s.fleet(), w.demand)
-		w.settle(settlement{ticket: s.take(now, e, w.caller)})
+		e := s.chooser.choose(now, s.endpoints, s.stats(), w.constraints)
+		w.resolve(waitResult{ticket: s.assign(now, e, w.caller)})
 	}
 	s.scheduleWake()
 }
 
-// nextWaiter takes out the next waiter that has an endpoint or must be
-// dropped; the latter is settled. Callers within their share go first.
+// nextWaiter removes and returns the next waiter that has an endpoint or must
+// be dropped; the latter is already resolved. Callers within their share are
+// served first.
 func (s *shard) nextWaiter(now time.Duration) *waiter {
-	s.starved = s.chooser.choose(now, s.held, s.fleet(), demand{deadline: noExpiry}) == nil
-	if s.starved {
+	s.noneUsable = s.chooser.choose(now, s.endpoints, s.stats(), constraints{deadline: noExpiry}) == nil
+	if s.noneUsable {
 		return nil
 	}
 	limit := s.callerLimit(now)
 	w := s.queue.next(func(w *waiter) bool {
-		return s.perCaller[w.caller] < limit && s.settles(now, w)
+		return s.perCaller[w.caller] < limit && s.leavesQueue(now, w)
 	})
 	if w != nil {
 		return w
 	}
-	return s.queue.next(func(w *waiter) bool { return s.settles(now, w) })
+	return s.queue.next(func(w *waiter) bool { return s.leavesQueue(now, w) })
 }
 
-// settles reports whether w leaves the queue now. It settles w itself when
-// its deadline can't be met or the queue's time has shrunk below its wait.
-func (s *shard) settles(now time.Duration, w *waiter) bool {
-	if now-w.entered > s.queueTime(now, w.class) {
-		w.settle(settlement{refusal: s.refuse(now, api.ReasonNoSlot)})
+// leavesQueue reports whether w leaves the queue now. It resolves w itself
+// when the deadline cannot be met or the maximum queue time is below the time
+// that w has waited.
+func (s *shard) leavesQueue(now time.Duration, w *waiter) bool {
+	if now-w.arrivedAt > s.maxQueueTime(now, w.class) {
+		w.resolve(waitResult{refusal: s.refuse(now, api.ReasonNoSlot)})
 		return true
 	}
-	if !s.meets(now, w) {
-		w.settle(settlement{refusal: s.refuse(now, api.ReasonDeadlineUnmeetable)})
+	if !s.canMeetDeadline(now, w) {
+		w.resolve(waitResult{refusal: s.refuse(now, api.ReasonDeadlineUnmeetable)})
 		return true
 	}
-	return s.chooser.choose(now, s.held, s.fleet(), w.demand) != nil
+	return s.chooser.choose(now, s.endpoints, s.stats(), w.constraints) != nil
 }
 
-// scheduleWake arranges the next dispatch while requests wait.
+// scheduleWake schedules the next dispatch while requests wait.
 func (s *shard) scheduleWake() {
 	if s.queue.length == 0 || s.wake != nil {
 		return
 	}
-	s.wake = time.AfterFunc(wakeInterval, func() {
+	s.wake = time.AfterFunc(dispatchInterval, func() {
 		s.mu.Lock()
 		defer s.unlock()
 		s.wake = nil
