--- a/internal/reqkey/digest.go
+++ b/internal/reqkey/digest.go
@@ -8,9 +8,9 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// Digest returns a hash of everything that makes two requests the same one:
-// caller, service, method, path with query, idempotency, and body. Other
-// headers are left out, because proxies on the way change them.
+// Digest returns a hash of everything that identifies a request: caller,
+// service, method, path with query, idempotency and body. Other headers are
+// left out, because proxies on the way change them.
 func Digest(req *api.Request) uint64 {
 	var h xxhash.Digest
 	h.Reset()
@@ -24,7 +24,8 @@
 	return h.Sum64()
 }
 
-// writeLength keeps adjoining parts apart.
+// writeLength hashes the length of the next part, so that adjacent parts are
+// delimited.
 func writeLength(h *xxhash.Digest, n int) {
 	var buf [8]byte
 	binary.LittleEndian.PutUint64(buf[:], uint64(n))
--- a/internal/reqkey/entry.go
+++ b/internal/reqkey/entry.go
@@ -1,9 +1,9 @@
-// Package reqkey remembers which non-idempotent requests an entry VM may
-// have sent, so that no request runs twice.
+// Package reqkey records which non-idempotent requests an entry VM may have
+// sent, so that no request runs twice.
 //
-// The first mark of a request id in log order wins; only its writer may send
-// the request. The writer later journals the outcome, or releases a mark that
-// it never used. See docs/design/requests.md.
+// The first mark of a request ID in log order is accepted; only its writer may
+// send the request. The writer later journals the outcome, or releases a mark
+// that it never used. See docs/design/requests.md.
 package reqkey
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/skylarklock/skylarklock/internal/journal"
 )
 
-// Types of the entries that Machine applies.
+// Types of the entries that StateMachine applies.
 const (
 	TypeMark       = journal.TypeRequestFirst     // Mark
 	TypeOutcome    = journal.TypeRequestFirst + 1 // Outcome
@@ -25,20 +25,20 @@
 type Mark struct {
 	_      struct{} `cbor:",toarray"`
 	ID     string
-	Digest uint64 // of what is to run, see Digest
+	Digest uint64 // of the request, see Digest
 	Writer journal.Origin
-	Serial uint32 // tells this writer's marks of one id apart
+	Serial uint32 // distinguishes this writer's marks of one ID
 }
 
-// Outcome tells what became of a marked request.
+// Outcome is the outcome of a marked request.
 type Outcome struct {
 	_       struct{} `cbor:",toarray"`
 	ID      string
 	Writer  journal.Origin
 	Serial  uint32
-	Outcome api.Outcome // OutcomeNotRun: nothing was or will be sent for the id
-	Reason  api.Reason  // unless Outcome is OutcomeRan
-	Answer  *api.Answer // whole, or nil when it was not kept
+	Outcome api.Outcome // OutcomeNotRun: nothing was or will be sent for the ID
+	Reason  api.Reason  // empty for OutcomeRan
+	Answer  *api.Answer // complete, or nil when it was not kept
 }
 
 // Release withdraws a mark under which nothing was or will be sent.
@@ -49,27 +49,27 @@
 	Serial uint32
 }
 
-// Generation starts generation Number, forgets the marks of generations that
-// are Limits.Generations old and puts Limits in force.
+// Generation starts generation Number, drops the marks that are
+// Limits.Generations generations old and puts Limits in force.
 type Generation struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint32
 	Limits Limits
 }
 
-// Limits bounds what a Machine remembers. They are part of the log, so that
-// every reader applies the same.
+// Limits bounds what a StateMachine keeps. The limits are part of the log, so
+// that every reader applies the same ones.
 type Limits struct {
 	_           struct{} `cbor:",toarray"`
-	Marks       uint32   // remembered; further marks are rejected
-	AnswerBytes uint64   // of journaled answers; the oldest are dropped
-	Generations uint32   // for which a mark is remembered
+	Marks       uint32   // maximum number kept; further marks are rejected
+	AnswerBytes uint64   // maximum size of journaled answers; the oldest are dropped
+	Generations uint32   // number of generations for which a mark is kept
 }
 
 // DefaultLimits are in force before the first generation entry.
 var DefaultLimits = Limits{Marks: 1 << 20, AnswerBytes: 32 << 20, Generations: 4}
 
-// AlreadyMarkedError rejects a second mark of an id.
+// AlreadyMarkedError rejects a second mark of an ID.
 type AlreadyMarkedError struct{ Mark Mark }
 
 // Error implements error.
@@ -77,7 +77,7 @@
 	return fmt.Sprintf("request %q is marked by %s/%x", e.Mark.ID, e.Mark.Writer.Node, e.Mark.Writer.Incarnation)
 }
 
-// IDReusedError rejects a mark whose id was used for another request.
+// IDReusedError rejects a mark whose ID was used for another request.
 type IDReusedError struct{ ID string }
 
 // Error implements error.
@@ -85,8 +85,9 @@
 	return fmt.Sprintf("request id %q was used for another request", e.ID)
 }
 
-// TooManyMarksError rejects a mark because Limits.Marks are remembered: refusing is
-// preferred to forgetting a request that may have run.
+// TooManyMarksError rejects a mark because Limits.Marks are kept already.
+// Refusing a request is preferred to dropping the mark of one that may have
+// run.
 type TooManyMarksError struct{ Marks uint32 }
 
 // Error implements error.
@@ -94,7 +95,7 @@
 	return fmt.Sprintf("%d request marks are remembered, no room for another", e.Marks)
 }
 
-// NoMarkError rejects an outcome or release whose mark does not stand.
+// NoMarkError rejects an outcome or release without a matching open mark.
 type NoMarkError struct{ ID string }
 
 // Error implements error.
@@ -102,7 +103,8 @@
 	return fmt.Sprintf("request %q has no such open mark", e.ID)
 }
 
-// GenerationError rejects a generation entry that does not follow the current.
+// GenerationError rejects a generation entry that does not follow the current
+// generation.
 type GenerationError struct{ Found, Current uint32 }
 
 // Error implements error.
--- a/internal/reqkey/keys.go
+++ b/internal/reqkey/keys.go
@@ -10,7 +10,7 @@
 	"github.com/skylarklock/skylarklock/internal/journal"
 )
 
-// Keys writes and reads the marks of this process.
+// Keys proposes the marks of this process and looks up all marks.
 type Keys struct {
 	machine  *StateMachine
 	proposer journal.Proposer
@@ -19,12 +19,13 @@
 	serial   atomic.Uint32
 }
 
-// DefaultMaxBodyBytes is the largest answer body that is journaled, bytes.
+// DefaultMaxBodyBytes is the default size limit for answer bodies that are
+// journaled.
 const DefaultMaxBodyBytes = 1 << 10
 
-// NewKeys returns the keys of the process self, whose machine is fed by the
-// stream that p appends to. Answers with a body of more than maxBody bytes
-// are journaled without the answer.
+// NewKeys returns the Keys of the process self. The state machine m applies
+// the stream that p appends to. Answers with a body of more than maxBody bytes
+// are left out of the journaled outcome.
 func NewKeys(m *StateMachine, p journal.Proposer, self journal.Origin, maxBody int) *Keys {
 	return &Keys{machine: m, proposer: p, self: self, maxBody: maxBody}
 }
@@ -32,21 +33,21 @@
 // Self returns the origin of this process's marks.
 func (k *Keys) Self() journal.Origin { return k.self }
 
-// Lookup returns what the local machine remembers of id.
+// Lookup returns what the local state machine has recorded about id.
 func (k *Keys) Lookup(id string) (State, bool) { return k.machine.Lookup(id) }
 
-// Mark proposes a mark and waits for its place in the log. On success the
-// caller alone may send the request. Errors: *MarkedError, *ReusedError,
-// *FullError, and those of journal.Proposer. The mark is returned with
-// journal.ErrUnsettled too, since it may come to stand.
+// Mark proposes a mark and waits until it is applied. On success only the
+// caller may send the request. Errors are *AlreadyMarkedError, *IDReusedError,
+// *TooManyMarksError and those of journal.Proposer. The mark is returned with
+// journal.ErrUnsettled, too, since it may still be accepted.
 func (k *Keys) Mark(ctx context.Context, id string, digest uint64) (Mark, error) {
 	mark := Mark{ID: id, Digest: digest, Writer: k.self, Serial: k.serial.Add(1)}
 	return mark, k.propose(ctx, TypeMark, mark)
 }
 
-// RecordOutcome journals that a marked request ran with answer, or, when refusal is
-// set, that it was not run and never will be, or that its outcome is unknown.
-// After nil the outcome stands until the mark is forgotten.
+// RecordOutcome journals that a marked request ran with answer, or, when
+// refusal is set, that it was not run and never will be, or that its outcome
+// is unknown. After success the outcome remains until the mark is dropped.
 func (k *Keys) RecordOutcome(ctx context.Context, mark Mark, answer *api.Answer, refusal *api.Refusal) error {
 	o := Outcome{ID: mark.ID, Writer: mark.Writer, Serial: mark.Serial, Outcome: api.OutcomeRan}
 	switch {
@@ -58,8 +59,8 @@
 	return k.propose(ctx, TypeOutcome, o)
 }
 
-// Release withdraws a mark under which nothing was sent. After nil the id is
-// free. *NoMarkError means that the mark does not stand, or not yet.
+// Release withdraws a mark under which nothing was sent. After success the ID
+// is free. *NoMarkError means that the mark is not in force, or not yet.
 func (k *Keys) Release(ctx context.Context, mark Mark) error {
 	return k.propose(ctx, TypeRelease, Release{ID: mark.ID, Writer: mark.Writer, Serial: mark.Serial})
 }
@@ -69,21 +70,21 @@
 }
 
 // Rotation decides when to start the next generation. Each entry VM may run
-// one; the first entry in log order wins and the rest are rejected. It is not
-// safe for concurrent use.
+// one; the first entry in log order is accepted and the others are rejected.
+// It is not safe for concurrent use.
 type Rotation struct {
-	Interval time.Duration // a mark is remembered for at least (Limits.Generations-1) times this
+	Interval time.Duration // a mark is kept for at least (Limits.Generations-1) times this
 	Limits   Limits
 
-	seen  uint32
-	since time.Time
+	lastGeneration uint32
+	since          time.Time
 }
 
-// Due reports whether generation has been in force for Every, as seen on the
-// local clock, and the entry to propose then.
+// Due reports whether generation has been in force for Interval, as measured
+// by the local clock, and returns the entry to propose in that case.
 func (r *Rotation) Due(generation uint32, now time.Time) (Generation, bool) {
-	if r.since.IsZero() || generation != r.seen {
-		r.seen, r.since = generation, now
+	if r.since.IsZero() || generation != r.lastGeneration {
+		r.lastGeneration, r.since = generation, now
 		return Generation{}, false
 	}
 	if now.Sub(r.since) < r.Interval {
@@ -92,32 +93,32 @@
 	return Generation{Number: generation + 1, Limits: r.Limits}, true
 }
 
-// Rotate proposes the next generation when it is due. Losing to another
-// entry VM is no error.
+// Rotate proposes the next generation when it is due. It is no error if the
+// entry of another entry VM is accepted instead.
 func (k *Keys) Rotate(ctx context.Context, r *Rotation, now time.Time) error {
 	next, due := r.Due(k.machine.Generation(), now)
 	if !due {
 		return nil
 	}
 	err := k.propose(ctx, TypeGeneration, next)
-	var lost *GenerationError
-	if errors.As(err, &lost) {
+	var rejected *GenerationError
+	if errors.As(err, &rejected) {
 		return nil
 	}
 	return err
 }
 
-// Report is what operators read about the memory of ids.
+// Report is the state of the marks, for operators.
 type Report struct {
 	Marks       uint32 `json:"marks"`
 	MaxMarks    uint32 `json:"max_marks"`
 	Answers     int    `json:"journaled_answers"`
 	AnswerBytes uint64 `json:"answer_bytes"`
 	Generation  uint32 `json:"generation"`
-	Writers     int    `json:"writers"` // incarnations that wrote a remembered or earlier mark
+	Writers     int    `json:"writers"` // incarnations that wrote a mark, also one that was dropped since
 }
 
-// Report returns the state of the machine.
+// Report returns the state of the marks.
 func (m *StateMachine) Report() Report {
 	m.apply.Lock()
 	defer m.apply.Unlock()
--- a/internal/reqkey/machine.go
+++ b/internal/reqkey/machine.go
@@ -9,11 +9,11 @@
 	"github.com/skylarklock/skylarklock/internal/journal"
 )
 
-// shardCount is a power of two; one byte of the key selects the shard.
+// shardCount is a power of two; the first byte of the key selects the shard.
 const shardCount = 64
 
-// key is a truncated SHA-256 of a request id. Ids come from callers, so the
-// hash must not let one caller choose an id that collides with another's.
+// key is a truncated SHA-256 of a request ID. IDs come from callers, so a
+// caller must not be able to choose an ID that collides with another caller's.
 type key [16]byte
 
 func keyOf(id string) key {
@@ -21,20 +21,20 @@
 	return key(sum[:len(key{})])
 }
 
-// markState is what is known of a marked request.
+// markState is the state of a marked request.
 type markState uint8
 
 const (
 	stateOpen    markState = iota // no outcome journaled
 	stateRan                      // ran; the answer may have been dropped
-	stateUnknown                  // sent, no whole answer
-	stateNotRun                   // not run, nor will it be
+	stateUnknown                  // sent, no complete answer
+	stateNotRun                   // not run, and never will be
 )
 
-// record is the remembered part of a mark.
+// record is the stored part of a mark.
 type record struct {
 	digest     uint64
-	writer     uint32 // index into Machine.writers
+	writer     uint32 // index into StateMachine.writers
 	serial     uint32
 	generation uint32
 	state      markState
@@ -43,10 +43,11 @@
 type shard struct {
 	mu      sync.RWMutex
 	records map[key]record
-	answers map[key]*Outcome // what is kept of outcomes, in ID-less form
+	answers map[key]*Outcome // kept outcomes, without their IDs
 }
 
-// StateMachine is the deterministic memory of marks and outcomes of one stream.
+// StateMachine is the deterministic state machine of the marks and outcomes of
+// one stream.
 type StateMachine struct {
 	shards [shardCount]shard
 
@@ -64,7 +65,7 @@
 
 var _ journal.Machine = (*StateMachine)(nil)
 
-// NewStateMachine returns an empty Machine under DefaultLimits.
+// NewStateMachine returns an empty StateMachine with DefaultLimits.
 func NewStateMachine() *StateMachine {
 	m := &StateMachine{}
 	m.reset()
@@ -91,26 +92,26 @@
 	return []journal.EntryType{TypeMark, TypeOutcome, TypeRelease, TypeGeneration}
 }
 
-// Apply implements journal.Machine. Rejections are of the error types of this
+// Apply implements journal.Machine. Rejections have the error types of this
 // package.
 func (m *StateMachine) Apply(_ journal.Position, e journal.Entry) error {
 	m.apply.Lock()
 	defer m.apply.Unlock()
 	switch e.Type {
 	case TypeMark:
-		return decodeAnd(e, m.applyMark)
+		return decodeAndApply(e, m.applyMark)
 	case TypeOutcome:
-		return decodeAnd(e, m.applyOutcome)
+		return decodeAndApply(e, m.applyOutcome)
 	case TypeRelease:
-		return decodeAnd(e, m.applyRelease)
+		return decodeAndApply(e, m.applyRelease)
 	case TypeGeneration:
-		return decodeAnd(e, m.applyGeneration)
+		return decodeAndApply(e, m.applyGeneration)
 	default:
 		return fmt.Errorf("reqkey: entry type %d", e.Type)
 	}
 }
 
-func decodeAnd[T any](e journal.Entry, apply func(*T) error) error {
+func decodeAndApply[T any](e journal.Entry, apply func(*T) error) error {
 	var body T
 	if err := journal.Decode(e.Body, &body); err != nil {
 		return fmt.Errorf("reqkey: entry type %d: %w", e.Type, err)
@@ -182,13 +183,13 @@
 	}
 	m.generation = g.Number
 	m.limits = g.Limits
-	m.forgetOld()
+	m.dropOldMarks()
 	m.trimAnswers()
 	return nil
 }
 
-// forgetOld drops the marks of generations that are too old.
-func (m *StateMachine) forgetOld() {
+// dropOldMarks drops the marks that are Limits.Generations generations old.
+func (m *StateMachine) dropOldMarks() {
 	for i := range m.shards {
 		s := &m.shards[i]
 		s.mu.Lock()
@@ -201,11 +202,11 @@
 		}
 		s.mu.Unlock()
 	}
-	m.compactOrder()
+	m.compactAnswerOrder()
 }
 
-// compactOrder removes from answerOrder the keys without an answer.
-func (m *StateMachine) compactOrder() {
+// compactAnswerOrder removes the keys without an answer from answerOrder.
+func (m *StateMachine) compactAnswerOrder() {
 	kept := make([]key, 0, len(m.answerOrder))
 	for _, k := range m.answerOrder {
 		s := m.shardOf(k)
@@ -229,7 +230,7 @@
 	m.trimAnswers()
 }
 
-// trimAnswers drops the oldest answers over the limit.
+// trimAnswers drops the oldest answers until the size limit is met.
 func (m *StateMachine) trimAnswers() {
 	for m.answerBytes > m.limits.AnswerBytes && len(m.answerOrder) > 0 {
 		k := m.answerOrder[0]
@@ -241,7 +242,7 @@
 	}
 }
 
-// dropAnswer needs s.mu.
+// dropAnswer deletes the kept outcome of k. The caller holds s.mu.
 func (m *StateMachine) dropAnswer(s *shard, k key) {
 	o, ok := s.answers[k]
 	if !ok {
@@ -251,7 +252,8 @@
 	delete(s.answers, k)
 }
 
-// answerOverhead is charged for each kept outcome besides its texts, bytes.
+// answerOverhead is added to the size of each kept outcome for its other
+// memory, in bytes.
 const answerOverhead = 160
 
 func answerSize(o *Outcome) uint64 {
@@ -269,7 +271,8 @@
 	return uint64(n)
 }
 
-// isOpen reports whether r is the mark of writer and serial, without outcome.
+// isOpen reports whether r is the mark of writer and serial and has no
+// outcome.
 func (m *StateMachine) isOpen(r record, writer journal.Origin, serial uint32) bool {
 	return r.state == stateOpen && r.serial == serial && m.writerAt(r.writer) == writer
 }
@@ -296,15 +299,15 @@
 	return i
 }
 
-// State is what is remembered of one id.
+// State is what is recorded about one ID.
 type State struct {
 	Mark    Mark
 	Outcome api.Outcome // empty while none is journaled
-	Reason  api.Reason  // of another outcome than OutcomeRan, when kept
-	Answer  *api.Answer // of OutcomeRan, when kept; shared, not to be changed
+	Reason  api.Reason  // of an outcome other than OutcomeRan, when kept
+	Answer  *api.Answer // of OutcomeRan, when kept; shared, must not be modified
 }
 
-// Lookup returns what is remembered of id, and false when it has no mark.
+// Lookup returns what is recorded about id, and false when it has no mark.
 func (m *StateMachine) Lookup(id string) (State, bool) {
 	k := keyOf(id)
 	s := m.shardOf(k)
@@ -335,8 +338,8 @@
 	}
 }
 
-// stateOf returns the state of a settled mark; an outcome that this binary
-// doesn't know leaves the request open for good.
+// stateOf returns the state for an outcome. An outcome that this version does
+// not know counts as unknown from then on.
 func stateOf(o api.Outcome) markState {
 	switch o {
 	case api.OutcomeRan:
@@ -348,7 +351,7 @@
 	}
 }
 
-// Marks returns the number of marks remembered.
+// Marks returns the number of marks kept.
 func (m *StateMachine) Marks() int {
 	m.apply.Lock()
 	defer m.apply.Unlock()
--- a/internal/reqkey/snapshot.go
+++ b/internal/reqkey/snapshot.go
@@ -9,10 +9,10 @@
 	"github.com/skylarklock/skylarklock/internal/journal"
 )
 
-// recordSize is the size of one record in a snapshot, bytes.
+// recordSize is the size of one record in a snapshot, in bytes.
 const recordSize = len(key{}) + 8 + 4 + 4 + 4 + 1
 
-// snapshot is the stored form of a Machine.
+// snapshot is the stored form of a StateMachine.
 type snapshot struct {
 	_          struct{} `cbor:",toarray"`
 	Limits     Limits
@@ -33,8 +33,8 @@
 	record record
 }
 
-// Snapshot implements journal.Machine. Equal states give equal snapshots when
-// they came from the same entries.
+// Snapshot implements journal.Machine. Machines that applied the same entries
+// return equal snapshots.
 func (m *StateMachine) Snapshot() ([]byte, error) {
 	m.apply.Lock()
 	out := snapshot{Limits: m.limits, Generation: m.generation, Answers: m.copyAnswers()}
@@ -76,14 +76,14 @@
 	return answers
 }
 
-// Restore implements journal.Machine. A snapshot that can't be read leaves
-// the state as it was.
+// Restore implements journal.Machine. An invalid snapshot leaves the state
+// unchanged.
 func (m *StateMachine) Restore(data []byte) error {
 	var in snapshot
 	if err := journal.Decode(data, &in); err != nil {
 		return fmt.Errorf("reqkey: snapshot: %w", err)
 	}
-	if err := in.check(); err != nil {
+	if err := in.validate(); err != nil {
 		return err
 	}
 	m.apply.Lock()
@@ -102,13 +102,13 @@
 	return nil
 }
 
-func (s *snapshot) check() error {
+func (s *snapshot) validate() error {
 	if len(s.Records)%recordSize != 0 {
 		return fmt.Errorf("reqkey: snapshot: %d bytes of records", len(s.Records))
 	}
 	for rest := s.Records; len(rest) > 0; rest = rest[recordSize:] {
 		if r := readRecord(rest); int(r.record.writer) >= len(s.Writers) {
-			return fmt.Errorf("reqkey: snapshot: writer %d of %d", r.record.writer, len(s.Writers))
+			return fmt.Errorf("reqkey: snapshot: record refers to writer %d of %d", r.record.writer, len(s.Writers))
 		}
 	}
 	for i := range s.Answers {
