--- a/internal/filter/answer.go
+++ b/internal/filter/answer.go
@@ -7,7 +7,8 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// answer turns whatever the chain returned into a final answer and counts it.
+// answer converts the result of the chain to a final answer or refusal and
+// counts it.
 func (c *Chain) answer(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) (*api.Answer, error) {
 		answer, err := next(ctx, x)
@@ -25,7 +26,8 @@
 	}
 }
 
-// asRefusal returns err as a refusal; what is not one leaves the request open.
+// asRefusal returns err as a refusal. Any other error becomes a refusal with
+// outcome unknown.
 func asRefusal(err error) *api.Refusal {
 	var refusal *api.Refusal
 	if errors.As(err, &refusal) {
--- a/internal/filter/attempt.go
+++ b/internal/filter/attempt.go
@@ -13,63 +13,64 @@
 )
 
 const (
-	// BaselinePolicy is the routing policy kept for comparison: no limits and
-	// three retries without a budget.
+	// BaselinePolicy is the routing policy for comparison measurements: no
+	// limits, and three retries without a budget.
 	BaselinePolicy = "baseline"
 
 	baselineAttempts = 4
 	defaultAttempts  = 2
-	// defaultMaxAnswer bounds an answer when the service names no bound, bytes.
-	defaultMaxAnswer = 8 << 20
+	// defaultMaxAnswerBytes is the size limit of an answer when the service
+	// sets none.
+	defaultMaxAnswerBytes = 8 << 20
 )
 
-// attempts is the state of one request's attempts.
+// attempts is the state of the attempts of one request.
 type attempts struct {
-	chain   *Chain
-	x       *Exchange
-	made    int
-	tried   []api.EndpointID
-	peers   []api.NodeID // already asked
-	unknown api.Reason   // of the latest attempt that may have run, or empty
+	chain          *Chain
+	x              *Exchange
+	count          int
+	triedEndpoints []api.EndpointID
+	triedPeers     []api.NodeID // entry VMs that the request was forwarded to
+	unknownReason  api.Reason   // reason of the latest attempt that may have run, or empty
 }
 
-// failure is the end of one attempt without an answer.
+// failure is the result of an attempt that got no answer.
 type failure struct {
-	certainty platform.Certainty
-	refusal   *api.Refusal // to tell the caller if this is the last attempt
-	last      bool         // there is nowhere else to try
+	certainty     platform.Certainty
+	refusal       *api.Refusal // returned to the caller if this is the last attempt
+	noAlternative bool         // no other endpoint or peer can be tried
 }
 
-// attempt sends the request until it has an answer or must not try again.
+// attempt sends the request until it has an answer or must not be retried.
 func (c *Chain) attempt(ctx context.Context, x *Exchange) (*api.Answer, error) {
 	a := &attempts{chain: c, x: x}
 	if !x.SingleAttempt {
 		c.budget.Deposit(x.Request.Caller, x.Spec.RetryBudget)
 	}
 	for {
-		a.made++
-		answer, failed := a.once(ctx)
+		a.count++
+		answer, failed := a.attemptOnce(ctx)
 		if failed == nil {
 			return answer, nil
 		}
 		if failed.certainty != platform.CertainNotRun {
-			a.unknown = failed.refusal.Reason
+			a.unknownReason = failed.refusal.Reason
 		}
-		if !a.again(ctx, failed) {
-			return nil, a.final(failed)
+		if !a.shouldRetry(ctx, failed) {
+			return nil, a.finalRefusal(failed)
 		}
 	}
 }
 
-// again asks retry.Decide and counts its decision.
-func (a *attempts) again(ctx context.Context, failed *failure) bool {
-	if failed.last {
+// shouldRetry asks retry.Decide and counts its decision.
+func (a *attempts) shouldRetry(ctx context.Context, failed *failure) bool {
+	if failed.noAlternative {
 		return false
 	}
 	c := a.chain
 	state := retry.State{
 		Idempotent: a.x.Request.Idempotent,
-		Attempts:   a.made,
+		Attempts:   a.count,
 		Remaining:  a.x.remaining(c.deps.Now()),
 		CallerGone: errors.Is(ctx.Err(), context.Canceled),
 		Forwarded:  a.x.SingleAttempt,
@@ -94,31 +95,32 @@
 	return retry.Policy{MaxAttempts: defaultAttempts, Budgeted: true}
 }
 
-// final says not-run only when no attempt may have run.
-func (a *attempts) final(failed *failure) *api.Refusal {
-	if a.unknown == "" {
+// finalRefusal returns a refusal with outcome not-run only if no attempt may
+// have run.
+func (a *attempts) finalRefusal(failed *failure) *api.Refusal {
+	if a.unknownReason == "" {
 		return failed.refusal
 	}
-	refusal := api.Unknown(a.unknown, failed.refusal.Detail)
+	refusal := api.Unknown(a.unknownReason, failed.refusal.Detail)
 	if a.x.Request.Idempotent {
 		refusal.RetryAfter = a.chain.settings.RetryAfter
 	}
 	return refusal
 }
 
-// once makes one attempt, here or at a peer with room.
-func (a *attempts) once(ctx context.Context) (*api.Answer, *failure) {
+// attemptOnce makes one attempt, here or at a peer with free slots.
+func (a *attempts) attemptOnce(ctx context.Context) (*api.Answer, *failure) {
 	c, x := a.chain, a.x
 	if c.deps.Router.FreeSlots(x.Request.Service) == 0 {
-		if peer, ok := a.peerWithRoom(); ok {
+		if peer, ok := a.findFreePeer(); ok {
 			return a.forward(ctx, peer)
 		}
 	}
-	ticket, err := c.deps.Router.Acquire(ctx, x.Request.Service, x.Request.Class, x.Request.Caller, a.tried)
+	ticket, err := c.deps.Router.Acquire(ctx, x.Request.Service, x.Request.Class, x.Request.Caller, a.triedEndpoints)
 	if err == nil {
-		return a.send(ctx, ticket)
+		return a.sendLocally(ctx, ticket)
 	}
-	if peer, ok := a.peerWithRoom(); ok {
+	if peer, ok := a.findFreePeer(); ok {
 		return a.forward(ctx, peer)
 	}
 	refusal := asRefusal(err)
@@ -128,43 +130,44 @@
 		Detail:     refusal.Detail,
 		RetryAfter: refusal.RetryAfter,
 	}
-	return nil, &failure{certainty: platform.CertainNotRun, refusal: refusal, last: true}
+	return nil, &failure{certainty: platform.CertainNotRun, refusal: refusal, noAlternative: true}
 }
 
-// peerWithRoom picks the peer with the most room that was not asked yet. A
-// request made for another entry VM goes no further.
-func (a *attempts) peerWithRoom() (api.NodeID, bool) {
+// findFreePeer returns the peer with the most free slots that has not been
+// tried yet. A request that was forwarded for a single attempt is not
+// forwarded again.
+func (a *attempts) findFreePeer() (api.NodeID, bool) {
 	if a.x.SingleAttempt {
 		return "", false
 	}
 	var best PeerLoad
 	for _, peer := range a.chain.deps.Peers.Candidates(a.x.Request.Service) {
-		if peer.FreeSlots > best.FreeSlots && !slices.Contains(a.peers, peer.Node) {
+		if peer.FreeSlots > best.FreeSlots && !slices.Contains(a.triedPeers, peer.Node) {
 			best = peer
 		}
 	}
 	return best.Node, best.FreeSlots > 0
 }
 
-// send makes one attempt at the ticket's endpoint.
-func (a *attempts) send(ctx context.Context, ticket Ticket) (*api.Answer, *failure) {
+// sendLocally makes one attempt at the ticket's endpoint.
+func (a *attempts) sendLocally(ctx context.Context, ticket Ticket) (*api.Answer, *failure) {
 	c := a.chain
 	var res Result
 	defer func() { ticket.Done(res) }() // also when the adapter panics
 	if ctx.Err() != nil {
-		return nil, c.notSent(endedReason(ctx), "it ended before it was sent")
+		return nil, c.notSentFailure(contextReason(ctx), "it ended before it was sent")
 	}
 	start := c.deps.Now()
-	if a.tooOld(start) {
-		return nil, c.tooOld()
+	if a.markMayExpire(start) {
+		return nil, c.tooOldFailure()
 	}
 	if !ticket.Valid(start) {
-		return nil, c.notSent(api.ReasonHoldUnconfirmed, "the hold of the endpoint lapsed")
+		return nil, c.notSentFailure(api.ReasonHoldUnconfirmed, "the hold of the endpoint lapsed")
 	}
 	endpoint := ticket.Endpoint()
-	a.tried = append(a.tried, endpoint.ID)
+	a.triedEndpoints = append(a.triedEndpoints, endpoint.ID)
 	res = Result{Sent: true, Err: errNoAnswer}
-	answer, feedback, err := c.deps.Endpoint.Attempt(ctx, endpoint, ticket.Epoch(), a.x.Request, maxAnswer(a.x.Spec))
+	answer, feedback, err := c.deps.Endpoint.Attempt(ctx, endpoint, ticket.Epoch(), a.x.Request, maxAnswerBytes(a.x.Spec))
 	res.Feedback = feedback
 	res.Latency = c.deps.Now().Sub(start)
 	if err == nil && answer != nil {
@@ -175,44 +178,46 @@
 	if err != nil {
 		res.Err = asAttemptError(err, endpoint.ID)
 	}
-	return nil, c.attemptFailed(res.Err)
+	return nil, c.failureOf(res.Err)
 }
 
-// tooOld reports whether the mark of a non-idempotent request may be forgotten
-// before the request arrives: after that, a copy may be sent under a new mark.
-// It matters when the entry VM was paused.
-func (a *attempts) tooOld(now time.Time) bool {
+// markMayExpire reports whether the mark of a non-idempotent request may
+// expire before the request arrives at the endpoint. After that, a copy may be
+// sent under a new mark. This can happen when the entry VM was paused.
+func (a *attempts) markMayExpire(now time.Time) bool {
 	return !a.x.Request.Idempotent && now.Sub(a.x.Received) >= a.chain.settings.MarkRetention/2
 }
 
-func (c *Chain) tooOld() *failure {
-	failed := c.notSent(api.ReasonDeadlinePassed, fmt.Sprintf("received more than %s ago, half the time that marks are kept", c.settings.MarkRetention/2))
-	failed.last = true
+func (c *Chain) tooOldFailure() *failure {
+	failed := c.notSentFailure(api.ReasonDeadlinePassed, fmt.Sprintf("received more than %s ago, half the time that marks are kept", c.settings.MarkRetention/2))
+	failed.noAlternative = true
 	return failed
 }
 
-// errNoAnswer stands for an adapter that returned neither answer nor error.
+// errNoAnswer is the error for an adapter that returned neither answer nor
+// error.
 var errNoAnswer = &platform.AttemptError{
 	Certainty: platform.MayHaveRun,
 	Reason:    api.ReasonInternal,
 	Cause:     errors.New("neither answer nor error"),
 }
 
-func maxAnswer(spec api.ServiceSpec) int64 {
+func maxAnswerBytes(spec api.ServiceSpec) int64 {
 	if spec.MaxAnswerBytes > 0 {
 		return spec.MaxAnswerBytes
 	}
-	return defaultMaxAnswer
+	return defaultMaxAnswerBytes
 }
 
-func endedReason(ctx context.Context) api.Reason {
+func contextReason(ctx context.Context) api.Reason {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return api.ReasonCallerGone
 	}
 	return api.ReasonDeadlinePassed
 }
 
-// asAttemptError takes an error of another type for one that may have run.
+// asAttemptError returns err as an AttemptError. Any other error means that
+// the request may have run.
 func asAttemptError(err error, endpoint api.EndpointID) *platform.AttemptError {
 	var attempt *platform.AttemptError
 	if errors.As(err, &attempt) {
@@ -221,14 +226,14 @@
 	return &platform.AttemptError{Certainty: platform.MayHaveRun, Reason: api.ReasonInternal, Endpoint: endpoint, Cause: err}
 }
 
-func (c *Chain) attemptFailed(err *platform.AttemptError) *failure {
+func (c *Chain) failureOf(err *platform.AttemptError) *failure {
 	if err.Certainty == platform.CertainNotRun {
-		return c.notSent(err.Reason, err.Error())
+		return c.notSentFailure(err.Reason, err.Error())
 	}
 	return &failure{certainty: platform.MayHaveRun, refusal: api.Unknown(err.Reason, err.Error())}
 }
 
-func (c *Chain) notSent(reason api.Reason, detail string) *failure {
+func (c *Chain) notSentFailure(reason api.Reason, detail string) *failure {
 	return &failure{
 		certainty: platform.CertainNotRun,
 		refusal:   api.NotRun(reason, c.settings.RetryAfter, detail),
@@ -238,27 +243,27 @@
 // forward lets a peer make the attempt on its own endpoints.
 func (a *attempts) forward(ctx context.Context, peer api.NodeID) (*api.Answer, *failure) {
 	c := a.chain
-	a.peers = append(a.peers, peer)
+	a.triedPeers = append(a.triedPeers, peer)
 	now := c.deps.Now()
-	if a.tooOld(now) {
-		return nil, c.tooOld()
+	if a.markMayExpire(now) {
+		return nil, c.tooOldFailure()
 	}
 	if a.x.remaining(now) < time.Millisecond {
-		return nil, c.notSent(api.ReasonDeadlinePassed, "no time left to hand it over")
+		return nil, c.notSentFailure(api.ReasonDeadlinePassed, "no time left to hand it over")
 	}
 	c.deps.Counters.Inc(GroupForward, CountFreePeer)
 	reply, err := c.deps.Peers.Forward(ctx, peer, c.forwardRequest(a.x, ForwardAttempt))
 	if err == nil && reply != nil {
-		return a.forwarded(reply)
+		return a.handleForwardReply(reply)
 	}
 	if certainlyNotSent(err) {
-		return nil, c.notSent(api.ReasonPeerUnreachable, err.Error())
+		return nil, c.notSentFailure(api.ReasonPeerUnreachable, err.Error())
 	}
 	detail := "entry VM " + string(peer) + " may have sent the request, its reply was lost"
 	return nil, &failure{certainty: platform.MayHaveRun, refusal: api.Unknown(api.ReasonPeerUnreachable, detail)}
 }
 
-func (a *attempts) forwarded(reply *ForwardReply) (*api.Answer, *failure) {
+func (a *attempts) handleForwardReply(reply *ForwardReply) (*api.Answer, *failure) {
 	answer, err := reply.unpack()
 	if err == nil {
 		return answer, nil
--- a/internal/filter/bench_test.go
+++ b/internal/filter/bench_test.go
@@ -10,15 +10,16 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// benchWorld is one entry VM whose executors answer at once.
-func benchWorld(limits api.LimitsSpec) *world {
-	w := newWorld()
+// newBenchCluster returns one entry VM whose executors answer immediately.
+func newBenchCluster(limits api.LimitsSpec) *testCluster {
+	w := newTestCluster()
 	w.delay, w.limits, w.settings = 0, limits, Settings{MaxInFlight: 1 << 20, CallerShare: 1, MaxKeptAnswers: 1024}
 	w.start("a", "east", []api.DataCentre{"east"})
 	return w
 }
 
-// BenchmarkChain is the chain's own time for one request, fakes included.
+// BenchmarkChain measures the chain's time for one request, including the
+// fakes.
 func BenchmarkChain(b *testing.B) {
 	for name, k := range map[string]call{
 		"idempotent":    {idempotent: true},
@@ -26,15 +27,15 @@
 		"marked":        {id: "%036d"},
 	} {
 		b.Run(name, func(b *testing.B) {
-			w := benchWorld(api.LimitsSpec{})
+			w := newBenchCluster(api.LimitsSpec{})
 			k.node, k.caller = "a", "caller"
 			b.ReportAllocs()
 			for n := range b.N {
-				one := k
+				request := k
 				if k.id != "" {
-					one.id = fmt.Sprintf(k.id, n)
+					request.id = fmt.Sprintf(k.id, n)
 				}
-				if _, refusal := w.do(context.Background(), one); refusal != nil {
+				if _, refusal := w.send(context.Background(), request); refusal != nil {
 					b.Fatal(refusal)
 				}
 			}
@@ -44,40 +45,41 @@
 }
 
 // BenchmarkOpenRequest reports the memory of one request that waits for its
-// endpoint, goroutines included. Run it with -benchtime 10000x.
+// endpoint, including goroutines. Run it with -benchtime 10000x.
 func BenchmarkOpenRequest(b *testing.B) {
-	w := benchWorld(api.LimitsSpec{})
-	w.hold = make(chan struct{})
-	before := memory()
+	w := newBenchCluster(api.LimitsSpec{})
+	w.blockEndpoint = make(chan struct{})
+	before := memoryInUse()
 	for n := range b.N {
-		go w.do(context.Background(), call{node: "a", id: fmt.Sprintf("%036d", n)})
+		go w.send(context.Background(), call{node: "a", id: fmt.Sprintf("%036d", n)})
 	}
 	for w.count("tickets") < b.N {
 		runtime.Gosched()
 	}
-	b.ReportMetric(float64(memory()-before)/float64(b.N), "B/request")
-	close(w.hold)
+	b.ReportMetric(float64(memoryInUse()-before)/float64(b.N), "B/request")
+	close(w.blockEndpoint)
 	w.chains["a"].gate.Drain()
 	_ = w.chains["a"].gate.Wait(context.Background())
 	w.close()
 }
 
-func memory() uint64 {
+func memoryInUse() uint64 {
 	runtime.GC()
 	var s runtime.MemStats
 	runtime.ReadMemStats(&s)
 	return s.HeapAlloc + s.StackInuse
 }
 
-// BenchmarkFlood is another caller's request while one caller floods the
-// chain from four goroutines, each caller being allowed 20,000 a second.
+// BenchmarkFlood measures the requests of one caller while another caller
+// floods the chain from four goroutines. Each caller is limited to 20,000
+// requests per second.
 func BenchmarkFlood(b *testing.B) {
-	w := benchWorld(api.LimitsSpec{RatePerSecond: 20_000, Burst: b.N})
+	w := newBenchCluster(api.LimitsSpec{RatePerSecond: 20_000, Burst: b.N})
 	var stop atomic.Bool
 	var offered, refused atomic.Int64
 	flood := func() {
 		for ; !stop.Load(); offered.Add(1) {
-			if _, refusal := w.do(context.Background(), call{node: "a", caller: "flood", idempotent: true}); refusal != nil {
+			if _, refusal := w.send(context.Background(), call{node: "a", caller: "flood", idempotent: true}); refusal != nil {
 				refused.Add(1)
 			}
 		}
@@ -87,7 +89,7 @@
 	}
 	admitted := 0
 	for range b.N {
-		if _, refusal := w.do(context.Background(), call{node: "a", caller: "other", idempotent: true}); refusal == nil {
+		if _, refusal := w.send(context.Background(), call{node: "a", caller: "other", idempotent: true}); refusal == nil {
 			admitted++
 		}
 	}
--- a/internal/filter/fakes_test.go
+++ b/internal/filter/cluster_test.go
@@ -20,27 +20,28 @@
 	"github.com/skylarklock/skylarklock/internal/reqkey"
 )
 
-// world is a data centre of entry VMs with one log and one executor pool.
-// fault names, for each call of an interface, how it fails; "" is well.
-type world struct {
-	mu       sync.Mutex
-	entries  []journal.Entry // of the log
-	late     []journal.Entry // unsettled, still to land
-	logs     []*nodeLog
-	chains   map[api.NodeID]*Chain
-	all      []*Chain // with the earlier incarnations
-	down     map[api.NodeID]bool
-	hold     chan struct{}  // when set, the endpoint waits for it
-	counts   map[string]int // of runs by id, body and receipt, of tickets held, and of Counters
-	fault    func(site string) string
-	limits   api.LimitsSpec
-	settings Settings
-	delay    time.Duration // of an executor's answer
-	spec     api.ServiceSpec
+// testCluster is a data centre of entry VMs with one log and one pool of
+// executors. fault returns how each call of an interface fails, and "" for no
+// fault.
+type testCluster struct {
+	mu            sync.Mutex
+	entries       []journal.Entry // of the log
+	late          []journal.Entry // unsettled, appended before the next entry
+	logs          []*nodeLog
+	chains        map[api.NodeID]*Chain
+	all           []*Chain // including earlier incarnations
+	down          map[api.NodeID]bool
+	blockEndpoint chan struct{}  // when set, the endpoint waits until it is closed
+	counts        map[string]int // runs by ID, body and receipt, tickets held, and the counts of Counters
+	fault         func(site string) string
+	limits        api.LimitsSpec
+	settings      Settings
+	delay         time.Duration // of an executor's answer
+	spec          api.ServiceSpec
 }
 
-func newWorld(nodes ...api.NodeID) *world {
-	w := &world{
+func newTestCluster(nodes ...api.NodeID) *testCluster {
+	w := &testCluster{
 		chains: make(map[api.NodeID]*Chain),
 		down:   make(map[api.NodeID]bool),
 		counts: make(map[string]int),
@@ -54,8 +55,8 @@
 	return w
 }
 
-// start runs a new incarnation of node, which reads the whole log.
-func (w *world) start(node api.NodeID, dc api.DataCentre, dcs []api.DataCentre) *Chain {
+// start starts a new incarnation of node, which reads the whole log.
+func (w *testCluster) start(node api.NodeID, dc api.DataCentre, dcs []api.DataCentre) *Chain {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	l := &nodeLog{w: w, machine: reqkey.NewStateMachine()}
@@ -74,23 +75,24 @@
 	return c
 }
 
-// close waits for what the chains still have to journal.
-func (w *world) close() {
+// close waits for the appends that the chains have in progress.
+func (w *testCluster) close() {
 	for _, c := range w.all {
 		_ = c.Close(context.Background())
 	}
 }
 
-// nodeLog is one incarnation's view of the log. It falls behind while others
-// write, as the fault "lag" has it, and always while deaf.
+// nodeLog is one incarnation's view of the log. It lags behind the entries of
+// other writers when the fault "lag" is set, and always while disconnected.
 type nodeLog struct {
-	w       *world
-	machine *reqkey.StateMachine
-	applied int
-	deaf    bool
+	w            *testCluster
+	machine      *reqkey.StateMachine
+	applied      int
+	disconnected bool
 }
 
-// read needs w.mu. It returns what became of the last entry.
+// read applies the new entries and returns the result of the last one. The
+// caller holds w.mu.
 func (l *nodeLog) read() (err error) {
 	for ; l.applied < len(l.w.entries); l.applied++ {
 		err = l.machine.Apply(journal.Position{}, l.w.entries[l.applied])
@@ -98,7 +100,8 @@
 	return err
 }
 
-// Propose implements journal.Proposer. Late entries land before newer ones.
+// Propose implements journal.Proposer. Late entries are appended before newer
+// ones.
 func (l *nodeLog) Propose(_ context.Context, e journal.Entry) error {
 	w := l.w
 	fault := w.fault("log")
@@ -120,7 +123,7 @@
 	w.entries = append(w.entries, e)
 	w.late = nil
 	for _, other := range w.logs {
-		if other != l && !other.deaf && w.fault("lag") == "" {
+		if other != l && !other.disconnected && w.fault("lag") == "" {
 			_ = other.read()
 		}
 	}
@@ -130,11 +133,11 @@
 	return l.read()
 }
 
-// Attempt implements platform.Endpoint and records what ran.
-func (w *world) Attempt(ctx context.Context, ep api.Endpoint, _ api.Epoch, req *api.Request, _ int64) (*api.Answer, platform.Feedback, error) {
+// Attempt implements platform.Endpoint and counts what ran.
+func (w *testCluster) Attempt(ctx context.Context, ep api.Endpoint, _ api.Epoch, req *api.Request, _ int64) (*api.Answer, platform.Feedback, error) {
 	fault := w.fault("endpoint")
 	if fault == "panic" {
-		panic("planted")
+		panic("injected")
 	}
 	if fault == "refuse" {
 		return nil, platform.Feedback{}, &platform.AttemptError{Certainty: platform.CertainNotRun, Reason: api.ReasonConnectFailed, Endpoint: ep.ID}
@@ -144,9 +147,9 @@
 		w.add("ran/"+string(answerBody(req)), 1)
 		w.add("receipt/"+req.Header["Receipt"], 1)
 	}
-	if w.hold != nil {
+	if w.blockEndpoint != nil {
 		select {
-		case <-w.hold:
+		case <-w.blockEndpoint:
 		case <-ctx.Done():
 			fault = "broken"
 		}
@@ -164,21 +167,21 @@
 func answerBody(req *api.Request) []byte { return []byte(req.ID + "=" + string(req.Body)) }
 
 // FreeSlots, Check and Acquire implement Router.
-func (w *world) FreeSlots(string) int {
+func (w *testCluster) FreeSlots(string) int {
 	if w.fault("room") != "" {
 		return 0
 	}
 	return 8
 }
 
-func (w *world) Check(context.Context, string, api.Class, string) *api.Refusal {
+func (w *testCluster) Check(context.Context, string, api.Class, string) *api.Refusal {
 	if reason := w.fault("check"); reason != "" {
 		return api.NotRun(api.Reason(reason), time.Second, "fake")
 	}
 	return nil
 }
 
-func (w *world) Acquire(_ context.Context, _ string, _ api.Class, _ string, exclude []api.EndpointID) (Ticket, error) {
+func (w *testCluster) Acquire(_ context.Context, _ string, _ api.Class, _ string, exclude []api.EndpointID) (Ticket, error) {
 	if reason := w.fault("router"); reason != "" {
 		return nil, api.NotRun(api.Reason(reason), time.Second, "fake")
 	}
@@ -187,7 +190,7 @@
 }
 
 type fakeTicket struct {
-	w  *world
+	w  *testCluster
 	id api.EndpointID
 }
 
@@ -197,7 +200,7 @@
 func (t *fakeTicket) Done(Result)            { t.w.add("tickets", -1) }
 
 type fakePeers struct {
-	w    *world
+	w    *testCluster
 	self api.NodeID
 }
 
@@ -217,7 +220,7 @@
 
 func (p *fakePeers) EntryVMs(dc api.DataCentre) []api.NodeID { return []api.NodeID{api.NodeID(dc)} }
 
-// reach returns the peer and whether its reply will be lost.
+// reach returns the peer, and an error if its reply will be lost.
 func (p *fakePeers) reach(node api.NodeID) (c *Chain, lost, err error) {
 	p.w.mu.Lock()
 	c = p.w.chains[node]
@@ -251,18 +254,20 @@
 	return nil, cmp.Or(err, lost)
 }
 
-func (w *world) Service(name string) (api.ServiceSpec, bool) { return w.spec, name == w.spec.Service }
-func (w *world) CallerLimits(string) api.LimitsSpec          { return w.limits }
+func (w *testCluster) Service(name string) (api.ServiceSpec, bool) {
+	return w.spec, name == w.spec.Service
+}
+func (w *testCluster) CallerLimits(string) api.LimitsSpec { return w.limits }
 
-func (w *world) Inc(group string, reason api.Reason) { w.add(group+"/"+string(reason), 1) }
+func (w *testCluster) Inc(group string, reason api.Reason) { w.add(group+"/"+string(reason), 1) }
 
-func (w *world) add(name string, n int) {
+func (w *testCluster) add(name string, n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.counts[name] += n
 }
 
-func (w *world) count(name string) int {
+func (w *testCluster) count(name string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.counts[name]
@@ -277,7 +282,7 @@
 	idempotent bool
 }
 
-func (w *world) do(ctx context.Context, k call) (*api.Answer, *api.Refusal) {
+func (w *testCluster) send(ctx context.Context, k call) (*api.Answer, *api.Refusal) {
 	header := http.Header{
 		api.HeaderRequestID:  {k.id},
 		api.HeaderCaller:     {k.caller},
@@ -295,8 +300,8 @@
 	return answer, nil
 }
 
-// say gives a response in short: the body, or outcome and reason.
-func say(answer *api.Answer, refusal *api.Refusal) string {
+// summarize returns a response in short form: the body, or outcome and reason.
+func summarize(answer *api.Answer, refusal *api.Refusal) string {
 	if refusal != nil {
 		return string(refusal.Outcome) + " " + string(refusal.Reason)
 	}
--- a/internal/filter/conclude.go
+++ b/internal/filter/conclude.go
@@ -13,32 +13,34 @@
 	"github.com/skylarklock/skylarklock/internal/reqkey"
 )
 
-// notRunDetail tells the caller of a request that was not run what to do.
+// notRunDetail tells the caller of a request that was not run how to have it
+// run.
 const notRunDetail = "it was not run and never will be under this request id; to have it run, send it with a new one"
 
-// conclude ends the request under x.Mark and returns what to tell its caller.
+// conclude ends the request under x.Mark and returns the answer or refusal for
+// the caller.
 func (c *Chain) conclude(x *Exchange, answer *api.Answer, err error) (*api.Answer, error) {
 	if err == nil && answer != nil {
-		c.settle(*x.Mark, answer, nil)
+		c.journalOutcome(*x.Mark, answer, nil)
 		return answer, nil
 	}
 	refusal := asRefusal(err)
 	switch {
 	case refusal.Outcome != api.OutcomeNotRun:
-		c.settle(*x.Mark, nil, refusal)
+		c.journalOutcome(*x.Mark, nil, refusal)
 		return nil, refusal
-	case passes(refusal.Reason):
+	case isTransient(refusal.Reason):
 		c.withdraw(*x.Mark)
 		x.Mark = nil
-		return nil, c.turnedAway(x, refusal)
+		return nil, c.refuseUnmarked(x, refusal)
 	default:
-		return nil, c.neverRun(x, refusal)
+		return nil, c.confirmNotRun(x, refusal)
 	}
 }
 
-// passes reports whether reason is a cause that passes by itself, so that the
-// same id may be tried again.
-func passes(reason api.Reason) bool {
+// isTransient reports whether the cause of a refusal ends without
+// intervention, so that the same ID may be tried again.
+func isTransient(reason api.Reason) bool {
 	switch reason {
 	case api.ReasonNoSlot, api.ReasonQueueFull, api.ReasonNoEndpoint, api.ReasonHoldUnconfirmed,
 		api.ReasonDeadlineUnmeetable, api.ReasonClassLimit, api.ReasonDraining, api.ReasonNotReady:
@@ -47,34 +49,34 @@
 	return false
 }
 
-// settle journals the end of a marked request. No caller waits for it. The
-// channel gets the error of journaling it, which is logged already; it is nil
-// when nothing was started.
-func (c *Chain) settle(mark reqkey.Mark, answer *api.Answer, refusal *api.Refusal) <-chan error {
-	settled := make(chan error, 1)
+// journalOutcome starts to journal the outcome of a marked request. No caller
+// waits for it. The returned channel receives the error, which is logged
+// already; it is nil when nothing was started.
+func (c *Chain) journalOutcome(mark reqkey.Mark, answer *api.Answer, refusal *api.Refusal) <-chan error {
+	journaled := make(chan error, 1)
 	started := c.journal.start(func(ctx context.Context) {
 		err := c.deps.Keys.RecordOutcome(ctx, mark, answer, refusal)
 		if err != nil {
-			c.notJournaled(mark, api.ReasonJournalUnsettled, err)
+			c.reportNotJournaled(mark, api.ReasonJournalUnsettled, err)
 		}
-		settled <- err
+		journaled <- err
 	})
 	if !started {
-		c.notJournaled(mark, api.ReasonQueueFull, errBacklog)
+		c.reportNotJournaled(mark, api.ReasonQueueFull, errBacklog)
 		return nil
 	}
-	return settled
+	return journaled
 }
 
-// neverRun says not-run of the id of x once that was read back from the log,
-// and unknown when it was not in the time that x has left. Nothing is sent
-// under the mark any more, whichever it says.
-func (c *Chain) neverRun(x *Exchange, refusal *api.Refusal) *api.Refusal {
+// confirmNotRun returns not-run for the ID of x once that outcome has been
+// read back from the log, and unknown when this takes longer than the
+// remaining time of x. In both cases nothing more is sent under the mark.
+func (c *Chain) confirmNotRun(x *Exchange, refusal *api.Refusal) *api.Refusal {
 	final := api.NotRun(refusal.Reason, 0, refusal.Detail+"; "+notRunDetail)
 	timer := time.NewTimer(max(x.remaining(c.deps.Now()), c.settings.AnswerGrace))
 	defer timer.Stop()
 	select {
-	case err := <-c.settle(*x.Mark, nil, final):
+	case err := <-c.journalOutcome(*x.Mark, nil, final):
 		if err == nil {
 			return final
 		}
@@ -84,12 +86,13 @@
 	return api.UnknownWithRetry(refusal.Reason, c.settings.RetryAfter, detail)
 }
 
-// errBacklog says that JournalBacklog appends are under way.
-var errBacklog = errors.New("filter: too many outcomes under way")
+// errBacklog is logged when MaxJournalAppends appends are in progress.
+var errBacklog = errors.New("filter: too many outcomes are being journaled")
 
-// notJournaled tells operators that a repeat of mark's id may be answered
-// unknown once this process is gone.
-func (c *Chain) notJournaled(mark reqkey.Mark, reason api.Reason, err error) {
+// reportNotJournaled counts and logs that an outcome is not in the log. A
+// repeat of mark's ID may then be answered unknown after this process has
+// ended.
+func (c *Chain) reportNotJournaled(mark reqkey.Mark, reason api.Reason, err error) {
 	c.deps.Counters.Inc(GroupJournal, reason)
 	c.deps.Log.WithFields(logrus.Fields{
 		"event":   "outcome_not_journaled",
@@ -99,17 +102,18 @@
 	}).Warn("the outcome of a request is not in the log")
 }
 
-// withdraw remembers that mark is unused for good and frees its id in the log.
+// withdraw records that mark was not used and never will be, and frees its ID
+// in the log.
 func (c *Chain) withdraw(mark reqkey.Mark) {
-	c.runs.withdraw(mark.ID, mark.Serial)
+	c.requests.withdraw(mark.ID, mark.Serial)
 	started := c.journal.start(func(ctx context.Context) { c.release(ctx, mark) })
 	if !started {
 		c.deps.Counters.Inc(GroupJournal, api.ReasonQueueFull)
 	}
 }
 
-// release frees the id of a withdrawn mark. A failure leaves the id marked
-// and withdrawn; the next repeat tries again.
+// release frees the ID of a withdrawn mark. After a failure the ID remains
+// marked and withdrawn, and the next repeat releases it again.
 func (c *Chain) release(ctx context.Context, mark reqkey.Mark) {
 	err := c.deps.Keys.Release(ctx, mark)
 	var none *reqkey.NoMarkError
@@ -118,19 +122,20 @@
 	}
 }
 
-// background runs appends that no caller waits for, a bounded number at once.
-type background struct {
+// backgroundAppends runs a bounded number of appends that no caller waits for.
+type backgroundAppends struct {
 	slots   chan struct{}
 	timeout time.Duration
 	running sync.WaitGroup
 }
 
-func newBackground(slots int, timeout time.Duration) *background {
-	return &background{slots: make(chan struct{}, slots), timeout: timeout}
+func newBackgroundAppends(slots int, timeout time.Duration) *backgroundAppends {
+	return &backgroundAppends{slots: make(chan struct{}, slots), timeout: timeout}
 }
 
-// start runs f unless all slots are taken.
-func (b *background) start(f func(ctx context.Context)) bool {
+// start runs f in the background and returns true, unless all slots are in
+// use.
+func (b *backgroundAppends) start(f func(ctx context.Context)) bool {
 	select {
 	case b.slots <- struct{}{}:
 	default:
@@ -145,7 +150,7 @@
 	return true
 }
 
-func (b *background) wait(ctx context.Context) error {
+func (b *backgroundAppends) wait(ctx context.Context) error {
 	idle := make(chan struct{})
 	go func() {
 		b.running.Wait()
--- a/internal/filter/filter.go
+++ b/internal/filter/filter.go
@@ -1,11 +1,11 @@
-// Package filter is the chain that every request passes through on an entry
-// VM: admit, identify, find home, deduplicate, limit, mark, attempt.
+// Package filter is the chain that handles every request on an entry VM:
+// admit, identify, find home, deduplicate, limit, mark, attempt.
 //
-// It decides what a caller is told. Each final answer is one of three: the
-// whole answer of an endpoint (ran), a refusal of a request that certainly
-// did not run (not-run), or a refusal that leaves it open (unknown). Of a
-// non-idempotent request only the writer of its first mark says not-run. See
-// docs/design/requests.md.
+// It decides what a caller is answered. Each final answer is one of three: the
+// complete answer of an endpoint (ran), a refusal of a request that certainly
+// did not run (not-run), or a refusal of a request that may have run
+// (unknown). A non-idempotent request is answered not-run only by the writer
+// of its first mark. See docs/design/requests.md.
 package filter
 
 import (
@@ -21,45 +21,45 @@
 	"github.com/skylarklock/skylarklock/internal/retry"
 )
 
-// Handler answers one request. The error is a *api.Refusal; any other error
-// reaches the caller as unknown, internal.
+// Handler answers one request. The error is a *api.Refusal; any other error is
+// reported to the caller as unknown, internal.
 type Handler func(ctx context.Context, x *Exchange) (*api.Answer, error)
 
 // Filter wraps a Handler.
 type Filter func(next Handler) Handler
 
-// Exchange is one request on its way through the chain. It belongs to one
-// goroutine at a time.
+// Exchange is one request in the chain. Only one goroutine may use it at a
+// time.
 type Exchange struct {
 	Request       *api.Request
-	Header        http.Header // of the caller; read by identify only
+	Header        http.Header // of the caller; read only until identify is done
 	Spec          api.ServiceSpec
 	Digest        uint64
 	Received      time.Time    // by the first entry VM, on the local clock
 	Deadline      time.Time    // on the local clock
-	Hops          int          // between entry VMs so far
+	Hops          int          // handovers between entry VMs so far
 	Mark          *reqkey.Mark // under which a non-idempotent request is sent
-	SingleAttempt bool         // one attempt for another entry VM, which owns the retries
+	SingleAttempt bool         // one attempt for another entry VM, which controls the retries
 }
 
-// Settings bounds the chain. Zero fields take the defaults.
+// Settings bounds the chain. Zero fields are replaced by the defaults.
 type Settings struct {
 	Node              api.NodeID
 	DataCentre        api.DataCentre
 	DataCentres       []api.DataCentre // of the whole cell; the same on all entry VMs
 	MaxInFlight       int              // requests on this entry VM
-	CallerShare       float64          // most of MaxInFlight for one caller under contention
-	BatchShare        float64          // most of MaxInFlight for batch requests
-	MaxKeptAnswers    int              // finished requests remembered
-	MaxKeptBytes      int64            // of their answers
-	DefaultTimeout    time.Duration    // when neither caller nor service names one
-	MaxTimeout        time.Duration    // longest that a caller may ask for
-	RetryAfter        time.Duration    // named in refusals that compute no better one
-	AnswerGrace       time.Duration    // for which a caller waits past the deadline for the final word
-	JournalTimeout    time.Duration    // of outcomes and releases, which no caller waits for
-	MaxJournalAppends int              // outcomes and releases under way at once
-	ReleaseTimeout    time.Duration    // for which a peer that asks for an unused mark waits for its release
-	MarkRetention     time.Duration    // of marks; half of it after its receipt a non-idempotent request is no longer sent
+	CallerShare       float64          // maximum share of MaxInFlight for one caller under contention
+	BatchShare        float64          // maximum share of MaxInFlight for batch requests
+	MaxKeptAnswers    int              // finished requests whose results are kept
+	MaxKeptBytes      int64            // total size of the kept answers
+	DefaultTimeout    time.Duration    // when neither caller nor service sets one
+	MaxTimeout        time.Duration    // maximum that a caller may set
+	RetryAfter        time.Duration    // retry delay in refusals that compute none
+	AnswerGrace       time.Duration    // how long a caller waits past the deadline for the final answer
+	JournalTimeout    time.Duration    // of the appends of outcomes and releases, which no caller waits for
+	MaxJournalAppends int              // outcomes and releases appended at once
+	ReleaseTimeout    time.Duration    // how long a peer that asks about an unused mark waits for its release
+	MarkRetention     time.Duration    // how long marks are kept; a non-idempotent request is not sent once half of this has elapsed since its receipt
 }
 
 // Defaults of Settings.
@@ -96,22 +96,22 @@
 	return s
 }
 
-// Chain is the assembled chain of one entry VM. It is safe for concurrent use.
+// Chain is the filter chain of one entry VM. It is safe for concurrent use.
 type Chain struct {
 	settings Settings
 	deps     Deps
 	gate     *Gate
-	runs     *runs
+	requests *requestTable
 	limits   *limiter
 	budget   *retry.Budget
-	journal  *background
+	journal  *backgroundAppends
 
-	whole Handler // of callers' requests
-	home  Handler // of requests handed over to their home data centre
-	once  Handler // of single attempts made for another entry VM
+	callerHandler  Handler // for requests of callers
+	homeHandler    Handler // for requests handed over to their home data centre
+	attemptHandler Handler // for single attempts made for another entry VM
 }
 
-// New assembles the chain.
+// New creates the chain.
 func New(settings Settings, deps Deps) *Chain {
 	settings = settings.withDefaults()
 	if deps.Log == nil {
@@ -121,12 +121,12 @@
 		settings: settings,
 		deps:     deps,
 		gate:     NewGate(settings.MaxInFlight),
-		runs:     newRuns(settings.MaxKeptAnswers, settings.MaxKeptBytes),
+		requests: newRequestTable(settings.MaxKeptAnswers, settings.MaxKeptBytes),
 		limits:   newLimiter(settings, deps.Limits),
 		budget:   retry.NewBudget(),
-		journal:  newBackground(settings.MaxJournalAppends, settings.JournalTimeout),
+		journal:  newBackgroundAppends(settings.MaxJournalAppends, settings.JournalTimeout),
 	}
-	c.whole = assemble(c.attempt,
+	c.callerHandler = assemble(c.attempt,
 		c.answer,
 		c.admit,
 		c.identify,
@@ -135,23 +135,23 @@
 		c.limit,
 		c.mark,
 	)
-	c.home = assemble(c.attempt,
+	c.homeHandler = assemble(c.attempt,
 		c.answer,
 		c.admit,
-		c.accept,
+		c.acceptForwarded,
 		c.deduplicate,
 		c.limit,
 		c.mark,
 	)
-	c.once = assemble(c.attempt,
+	c.attemptHandler = assemble(c.attempt,
 		c.answer,
 		c.admit,
-		c.accept,
+		c.acceptForwarded,
 	)
 	return c
 }
 
-// assemble wraps last in filters, the first outermost.
+// assemble wraps last in filters; the first filter is the outermost.
 func assemble(last Handler, filters ...Filter) Handler {
 	h := last
 	for i := len(filters) - 1; i >= 0; i-- {
@@ -160,15 +160,15 @@
 	return h
 }
 
-// Handle answers a caller's request. The error is always a *api.Refusal.
-// The context ends when the caller leaves.
+// Handle answers a caller's request. The error is always a *api.Refusal. The
+// context ends when the caller leaves.
 func (c *Chain) Handle(ctx context.Context, x *Exchange) (*api.Answer, error) {
-	return c.whole(ctx, x)
+	return c.callerHandler(ctx, x)
 }
 
 // Gate returns the gate that admits requests to the chain.
 func (c *Chain) Gate() *Gate { return c.gate }
 
-// Close waits until the outcomes and releases under way have been journaled
-// or given up, at most until ctx ends.
+// Close waits until the outcomes and releases in progress have been journaled
+// or have failed, at most until ctx ends.
 func (c *Chain) Close(ctx context.Context) error { return c.journal.wait(ctx) }
--- a/internal/filter/gate.go
+++ b/internal/filter/gate.go
@@ -8,17 +8,17 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// GateState says which requests an entry VM takes on.
+// GateState says which requests an entry VM admits.
 type GateState uint8
 
 // States of a Gate.
 const (
-	GateNotReady GateState = iota // state not complete; nothing is taken on
+	GateNotReady GateState = iota // the state is incomplete; no requests are admitted
 	GateOpen
-	GateDraining // nothing new; requests in flight go on
+	GateDraining // new requests are refused; requests in flight continue
 )
 
-// Gate counts the requests in flight and turns new ones away.
+// Gate counts the requests in flight and admits or refuses new ones.
 type Gate struct {
 	mu       sync.Mutex
 	state    GateState
@@ -27,13 +27,14 @@
 	idle     chan struct{} // closed when draining and nothing is in flight
 }
 
-// NewGate returns a gate that is not ready and takes on max requests at once.
+// NewGate returns a gate in state GateNotReady that admits at most max
+// requests at once.
 func NewGate(max int) *Gate {
 	return &Gate{max: max, idle: make(chan struct{})}
 }
 
-// SetReady opens the gate or closes it while the state is not complete.
-// It has no effect on a draining gate.
+// SetReady opens the gate, or closes it while the entry VM's state is
+// incomplete. It has no effect on a draining gate.
 func (g *Gate) SetReady(ready bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -46,7 +47,7 @@
 	}
 }
 
-// Drain turns new requests away from now on.
+// Drain refuses new requests from now on.
 func (g *Gate) Drain() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -71,8 +72,8 @@
 	return g.inFlight
 }
 
-// Wait returns nil when a draining gate has nothing in flight, or the error
-// of ctx.
+// Wait waits until a draining gate has no requests in flight. It returns nil
+// then, or the error of ctx.
 func (g *Gate) Wait(ctx context.Context) error {
 	select {
 	case <-g.idle:
@@ -82,7 +83,8 @@
 	}
 }
 
-// Enter admits one request until Leave. The refusal has no RetryAfter.
+// Enter admits one request, which ends with Leave. The refusal has no
+// RetryAfter.
 func (g *Gate) Enter() *api.Refusal {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -106,27 +108,27 @@
 	g.closeIfIdle()
 }
 
-// closeIfIdle needs g.mu. A draining gate takes nothing on, so that it falls
-// idle once.
+// closeIfIdle closes idle when the gate is draining and nothing is in flight.
+// The caller holds g.mu. A draining gate admits nothing, so this happens once.
 func (g *Gate) closeIfIdle() {
 	if g.state == GateDraining && g.inFlight == 0 {
 		close(g.idle)
 	}
 }
 
-// admit refuses what this entry VM can't take on.
+// admit refuses requests that the gate does not admit.
 func (c *Chain) admit(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) (*api.Answer, error) {
 		if refusal := c.gate.Enter(); refusal != nil {
 			refusal.RetryAfter = c.settings.RetryAfter
-			return nil, c.turnedAway(x, refusal)
+			return nil, c.refuseUnmarked(x, refusal)
 		}
 		defer c.gate.Leave()
 		return next(ctx, x)
 	}
 }
 
-// remaining returns the time before the exchange's deadline.
+// remaining returns the time until the exchange's deadline.
 func (x *Exchange) remaining(now time.Time) time.Duration {
 	return x.Deadline.Sub(now)
 }
--- a/internal/filter/home.go
+++ b/internal/filter/home.go
@@ -12,13 +12,14 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// maxHomeTries bounds the entry VMs asked to take a request over at its home;
-// only those that certainly did not get it are followed by another.
-const maxHomeTries = 3
+// maxHomeAttempts bounds the entry VMs of the home data centre that a request
+// is handed over to. Another one is tried only if the previous one certainly
+// did not receive the request.
+const maxHomeAttempts = 3
 
 // HomeOf returns the data centre whose stream holds the marks of id: the one
-// named by the prefix of the id, else the one with the highest hash. All
-// entry VMs must have the same list for the same id to have one home.
+// named by the prefix of id, else the one with the highest hash. All entry VMs
+// must have the same list of data centres, so that each ID has one home.
 func HomeOf(id string, dcs []api.DataCentre) api.DataCentre {
 	if prefix, _, ok := strings.Cut(id, "/"); ok && slices.Contains(dcs, api.DataCentre(prefix)) {
 		return api.DataCentre(prefix)
@@ -57,14 +58,15 @@
 		if x.Request.Idempotent || c.isHome(x.Request.ID) {
 			return next(ctx, x)
 		}
-		return c.handOver(ctx, x, HomeOf(x.Request.ID, c.settings.DataCentres))
+		return c.forwardHome(ctx, x, HomeOf(x.Request.ID, c.settings.DataCentres))
 	}
 }
 
-// handOver passes x to an entry VM of home, which then owns it.
-func (c *Chain) handOver(ctx context.Context, x *Exchange, home api.DataCentre) (*api.Answer, error) {
+// forwardHome hands x over to an entry VM of home, which is then responsible
+// for it.
+func (c *Chain) forwardHome(ctx context.Context, x *Exchange, home api.DataCentre) (*api.Answer, error) {
 	for i, node := range c.deps.Peers.EntryVMs(home) {
-		if i == maxHomeTries || ctx.Err() != nil {
+		if i == maxHomeAttempts || ctx.Err() != nil {
 			break
 		}
 		c.deps.Counters.Inc(GroupForward, CountHome)
@@ -109,8 +111,8 @@
 	}
 }
 
-// maxHops is the longest way between entry VMs: to the home data centre and
-// from there to a peer with room.
+// maxHops is the maximum number of handovers between entry VMs: to the home
+// data centre, and from there to a peer with free slots.
 const maxHops = 2
 
 // ServeForward serves Peers.Forward. The context ends when the server stops,
@@ -123,24 +125,24 @@
 		Deadline: now.Add(req.Remaining),
 		Hops:     req.Hops,
 	}
-	handle := c.home
+	handle := c.homeHandler
 	if req.Kind == ForwardAttempt {
-		handle = c.once
+		handle = c.attemptHandler
 		x.Mark = req.Mark
 		x.SingleAttempt = true
 	}
 	if refusal := c.checkForward(req); refusal != nil {
-		return &ForwardReply{Refusal: c.turnedAway(x, refusal)}
+		return &ForwardReply{Refusal: c.refuseUnmarked(x, refusal)}
 	}
 	return c.reply(ctx, x, handle)
 }
 
-// reply runs handle for another entry VM. A panic ends this request only.
+// reply runs handle for another entry VM. A panic ends only this request.
 func (c *Chain) reply(ctx context.Context, x *Exchange, handle Handler) (reply *ForwardReply) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			c.logPanic(x, cause)
-			reply = &ForwardReply{Refusal: panicked()}
+			reply = &ForwardReply{Refusal: panicRefusal()}
 		}
 	}()
 	answer, err := handle(ctx, x)
@@ -150,7 +152,7 @@
 	return &ForwardReply{Answer: answer}
 }
 
-// checkForward refuses what would break the rules of hand-overs.
+// checkForward refuses handovers that are invalid.
 func (c *Chain) checkForward(req *ForwardRequest) *api.Refusal {
 	retryAfter := c.settings.RetryAfter
 	switch {
--- a/internal/filter/identify.go
+++ b/internal/filter/identify.go
@@ -14,12 +14,12 @@
 const (
 	maxIDLength     = 128
 	maxCallerLength = 128
-	// anonymousCaller stands for callers that give no name.
+	// anonymousCaller is the name of callers that give none.
 	anonymousCaller = "anonymous"
 )
 
-// identify reads the headers of api/request.go, finds the service and sets
-// the deadline.
+// identify reads the headers of api/request.go, finds the service and sets the
+// deadline.
 func (c *Chain) identify(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) (*api.Answer, error) {
 		timeout, refusal := c.readHeaders(x)
@@ -38,8 +38,8 @@
 	}
 }
 
-// accept takes the place of identify for a request from another entry VM.
-func (c *Chain) accept(next Handler) Handler {
+// acceptForwarded replaces identify for a request from another entry VM.
+func (c *Chain) acceptForwarded(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) (*api.Answer, error) {
 		if refusal := c.findService(x); refusal != nil {
 			return nil, refusal
@@ -52,7 +52,7 @@
 }
 
 // readHeaders fills the request from the caller's headers and returns the
-// timeout that it asks for, zero when it names none.
+// timeout that they set, or zero.
 func (c *Chain) readHeaders(x *Exchange) (time.Duration, *api.Refusal) {
 	h := headerReader{x: x}
 	req := x.Request
@@ -74,26 +74,27 @@
 	return timeout, nil
 }
 
-// findService reads the service's record. Records change, and another entry
-// VM may have another one in force, so its refusals don't rule out a run.
+// findService reads the service's record. Records change, and another entry VM
+// may use another version, so a refusal here does not mean that the request
+// did not run elsewhere.
 func (c *Chain) findService(x *Exchange) *api.Refusal {
 	spec, ok := c.deps.Services.Service(x.Request.Service)
 	if !ok {
 		detail := fmt.Sprintf("no service %q", x.Request.Service)
-		return c.turnedAway(x, api.NotRun(api.ReasonUnknownService, 0, detail))
+		return c.refuseUnmarked(x, api.NotRun(api.ReasonUnknownService, 0, detail))
 	}
 	if size := int64(len(x.Request.Body)); spec.MaxBodyBytes > 0 && size > spec.MaxBodyBytes {
 		detail := fmt.Sprintf("body has %d bytes, service %s takes %d", size, spec.Service, spec.MaxBodyBytes)
-		return c.turnedAway(x, api.NotRun(api.ReasonTooLarge, 0, detail))
+		return c.refuseUnmarked(x, api.NotRun(api.ReasonTooLarge, 0, detail))
 	}
 	x.Spec = spec
 	return nil
 }
 
-// timeout returns the caller's, else the service's, else the default timeout.
-func (c *Chain) timeout(x *Exchange, asked time.Duration) time.Duration {
-	if asked > 0 {
-		return asked
+// timeout returns the caller's timeout, else the service's, else the default.
+func (c *Chain) timeout(x *Exchange, requested time.Duration) time.Duration {
+	if requested > 0 {
+		return requested
 	}
 	if x.Spec.TimeoutMs > 0 {
 		return time.Duration(x.Spec.TimeoutMs) * time.Millisecond
@@ -101,7 +102,7 @@
 	return c.settings.DefaultTimeout
 }
 
-// headerReader reads single-valued headers and keeps the first fault.
+// headerReader reads single-valued headers and keeps the first error.
 type headerReader struct {
 	x       *Exchange
 	refusal *api.Refusal
--- a/internal/filter/limit.go
+++ b/internal/filter/limit.go
@@ -15,21 +15,23 @@
 
 const (
 	limitShards = 16
-	// limitCallers bounds the callers remembered in one shard; idle ones are
-	// forgotten first.
-	limitCallers = 4096
-	// contention is the share of MaxInFlight from which CallerShare holds.
-	contention = 0.5
-	// durationWeight is the weight of the latest request in the average.
-	durationWeight = 0.2
+	// maxCallersPerShard bounds the callers tracked in one shard. Callers
+	// without requests in flight are dropped first.
+	maxCallersPerShard = 4096
+	// contentionShare is the share of MaxInFlight above which CallerShare is
+	// enforced.
+	contentionShare = 0.5
+	// averageWeight is the weight of the latest request in a caller's average
+	// duration.
+	averageWeight = 0.2
 )
 
-// limiter bounds each caller's rate and concurrency and the share of batch
-// requests. It never holds a request back.
+// limiter limits each caller's rate and concurrency and the share of batch
+// requests. It refuses requests and never delays them.
 type limiter struct {
 	limits      Limits
 	maxInFlight int64
-	callerShare int64 // requests of one caller under contention
+	callerShare int64 // maximum requests of one caller under contention
 	batchShare  int64
 	retryAfter  time.Duration
 	inFlight    atomic.Int64
@@ -45,11 +47,11 @@
 
 // callerState is guarded by its shard's lock.
 type callerState struct {
-	shard    *limitShard
-	rate     *rate.Limiter
-	spec     api.LimitsSpec // that rate was made from
-	inFlight int64
-	average  time.Duration // of recent requests
+	shard           *limitShard
+	rate            *rate.Limiter
+	spec            api.LimitsSpec // limits that rate was created from
+	inFlight        int64
+	averageDuration time.Duration // of recent requests
 }
 
 func newLimiter(s Settings, limits Limits) *limiter {
@@ -67,28 +69,28 @@
 	return l
 }
 
-// enter admits one request of caller or refuses it at once.
-func (l *limiter) enter(caller string, class api.Class, now time.Time) (*callerState, *api.Refusal) {
+// admit admits one request of caller or refuses it immediately.
+func (l *limiter) admit(caller string, class api.Class, now time.Time) (*callerState, *api.Refusal) {
 	if class == api.ClassBatch && l.batch.Add(1) > l.batchShare {
 		l.batch.Add(-1)
 		return nil, api.NotRun(api.ReasonClassLimit, l.retryAfter, "batch requests use their share of this entry VM")
 	}
 	total := l.inFlight.Add(1)
-	state, refusal := l.enterCaller(caller, total, now)
+	state, refusal := l.admitCaller(caller, total, now)
 	if refusal != nil {
-		l.leaveClass(class)
+		l.releaseClass(class)
 	}
 	return state, refusal
 }
 
-func (l *limiter) leaveClass(class api.Class) {
+func (l *limiter) releaseClass(class api.Class) {
 	l.inFlight.Add(-1)
 	if class == api.ClassBatch {
 		l.batch.Add(-1)
 	}
 }
 
-func (l *limiter) enterCaller(caller string, total int64, now time.Time) (*callerState, *api.Refusal) {
+func (l *limiter) admitCaller(caller string, total int64, now time.Time) (*callerState, *api.Refusal) {
 	spec := l.limits.CallerLimits(caller)
 	s := &l.shards[maphash.String(l.seed, caller)%limitShards]
 	s.mu.Lock()
@@ -97,7 +99,7 @@
 	if spec.Concurrency > 0 && state.inFlight >= int64(spec.Concurrency) {
 		return nil, state.refuse(l, fmt.Sprintf("caller %s has %d requests in flight", caller, state.inFlight))
 	}
-	if float64(total) > contention*float64(l.maxInFlight) && state.inFlight >= l.callerShare {
+	if float64(total) > contentionShare*float64(l.maxInFlight) && state.inFlight >= l.callerShare {
 		return nil, state.refuse(l, fmt.Sprintf("caller %s uses its share of a busy entry VM", caller))
 	}
 	if refusal := state.takeToken(caller, now); refusal != nil {
@@ -107,11 +109,12 @@
 	return state, nil
 }
 
-// state returns the caller's state, made anew when its limits changed.
+// state returns the caller's state and creates it, or its rate limiter when
+// the limits have changed.
 func (s *limitShard) state(caller string, spec api.LimitsSpec) *callerState {
 	state, ok := s.callers[caller]
 	if !ok {
-		s.forgetIdle()
+		s.evictIdle()
 		state = &callerState{shard: s}
 		s.callers[caller] = state
 	}
@@ -129,9 +132,10 @@
 	return rate.NewLimiter(rate.Limit(spec.RatePerSecond), max(spec.Burst, 1))
 }
 
-// forgetIdle makes room in a full shard.
-func (s *limitShard) forgetIdle() {
-	if len(s.callers) < limitCallers {
+// evictIdle drops one caller without requests in flight when the shard is
+// full.
+func (s *limitShard) evictIdle() {
+	if len(s.callers) < maxCallersPerShard {
 		return
 	}
 	for name, state := range s.callers {
@@ -142,17 +146,18 @@
 	}
 }
 
-// refuse names the caller's average time of a request as the time after which
-// a slot is likely free.
+// refuse returns a refusal whose retry delay is the caller's average request
+// duration, after which a slot is probably free.
 func (s *callerState) refuse(l *limiter, detail string) *api.Refusal {
-	after := s.average
+	after := s.averageDuration
 	if after == 0 {
 		after = l.retryAfter
 	}
 	return api.NotRun(api.ReasonCallerLimit, after, detail)
 }
 
-// takeToken refuses with the time until the caller's next token.
+// takeToken takes one token, or refuses with the time until the caller's next
+// token as the retry delay.
 func (s *callerState) takeToken(caller string, now time.Time) *api.Refusal {
 	if s.rate == nil || s.rate.AllowN(now, 1) {
 		return nil
@@ -163,32 +168,32 @@
 	return api.NotRun(api.ReasonCallerLimit, after, fmt.Sprintf("caller %s is over its rate", caller))
 }
 
-func (l *limiter) leave(state *callerState, class api.Class, took time.Duration) {
-	l.leaveClass(class)
+func (l *limiter) release(state *callerState, class api.Class, took time.Duration) {
+	l.releaseClass(class)
 	state.shard.mu.Lock()
 	defer state.shard.mu.Unlock()
 	state.inFlight--
-	if state.average == 0 {
-		state.average = took
+	if state.averageDuration == 0 {
+		state.averageDuration = took
 		return
 	}
-	state.average += time.Duration(durationWeight * float64(took-state.average))
+	state.averageDuration += time.Duration(averageWeight * float64(took-state.averageDuration))
 }
 
-// limit refuses what a caller or class has too much of. Services under the
-// baseline policy are not limited.
+// limit refuses requests beyond the limits of their caller or class. Services
+// with the baseline policy are not limited.
 func (c *Chain) limit(next Handler) Handler {
 	return func(ctx context.Context, x *Exchange) (*api.Answer, error) {
 		if x.Spec.RoutingPolicy == BaselinePolicy {
 			return next(ctx, x)
 		}
 		start := c.deps.Now()
-		state, refusal := c.limits.enter(x.Request.Caller, x.Request.Class, start)
+		state, refusal := c.limits.admit(x.Request.Caller, x.Request.Class, start)
 		if refusal != nil {
-			return nil, c.turnedAway(x, refusal)
+			return nil, c.refuseUnmarked(x, refusal)
 		}
 		defer func() {
-			c.limits.leave(state, x.Request.Class, c.deps.Now().Sub(start))
+			c.limits.release(state, x.Request.Class, c.deps.Now().Sub(start))
 		}()
 		return next(ctx, x)
 	}
--- a/internal/filter/message.go
+++ b/internal/filter/message.go
@@ -7,15 +7,15 @@
 	"github.com/skylarklock/skylarklock/internal/reqkey"
 )
 
-// ForwardKind says what the receiver of a hand-over does.
+// ForwardKind says what the receiver of a handover does.
 type ForwardKind uint8
 
-// Kinds of hand-over.
+// Kinds of handover.
 const (
-	// ForwardHome: the receiver deduplicates, marks and owns the retries.
+	// ForwardHome: the receiver deduplicates, marks and controls the retries.
 	ForwardHome ForwardKind = iota + 1
-	// ForwardAttempt: the receiver makes one attempt on its own endpoints;
-	// the sender holds the mark and owns the retries.
+	// ForwardAttempt: the receiver makes one attempt on its own endpoints; the
+	// sender holds the mark and controls the retries.
 	ForwardAttempt
 )
 
@@ -23,36 +23,36 @@
 type ForwardRequest struct {
 	Kind      ForwardKind
 	Request   api.Request
-	Remaining time.Duration // before the deadline, when sent; no wall clock crosses VMs
+	Remaining time.Duration // time to the deadline when sent; no wall clock time is sent between VMs
 	Age       time.Duration // since the request was received, when sent
 	Hops      int           // including this one
 	Mark      *reqkey.Mark  // of a non-idempotent ForwardAttempt
 }
 
-// ForwardReply is the receiver's final word: one of both is set.
+// ForwardReply is the receiver's final result; exactly one field is set.
 type ForwardReply struct {
 	Answer  *api.Answer
 	Refusal *api.Refusal
 }
 
-// AnswerQuery asks the writer of a mark what became of the request.
+// AnswerQuery asks the writer of a mark for the outcome of the request.
 type AnswerQuery struct {
 	Mark reqkey.Mark
-	Wait time.Duration // longest wait for a request in flight
+	Wait time.Duration // maximum wait for a request in flight
 }
 
-// AnswerState is what a mark's writer knows.
+// AnswerState is the state of a marked request at its writer.
 type AnswerState uint8
 
 // States of a marked request at its writer.
 const (
-	AnswerForgotten AnswerState = iota + 1 // another incarnation, or no longer kept
+	AnswerForgotten AnswerState = iota + 1 // marked by another incarnation, or no longer kept
 	AnswerRunning                          // still in flight
 	AnswerFinal                            // Answer or Refusal is set
-	AnswerNotSent                          // not sent under this mark, nor will be
+	AnswerNotSent                          // not sent under this mark, and never will be
 )
 
-// AnswerReply is the writer's word on a marked request.
+// AnswerReply is the writer's answer about a marked request.
 type AnswerReply struct {
 	State   AnswerState
 	Answer  *api.Answer
--- a/internal/filter/overload_test.go
+++ b/internal/filter/overload_test.go
@@ -13,42 +13,43 @@
 	"github.com/skylarklock/skylarklock/internal/router"
 )
 
-// routed is the real router; blind says of every request that it has a chance.
-type routed struct {
+// realRouter is the router of package router. With skipCheck set, Check
+// refuses nothing.
+type realRouter struct {
 	*router.Router
-	blind bool
+	skipCheck bool
 }
 
-func (r routed) Acquire(ctx context.Context, service string, class api.Class, caller string, exclude []api.EndpointID) (Ticket, error) {
+func (r realRouter) Acquire(ctx context.Context, service string, class api.Class, caller string, exclude []api.EndpointID) (Ticket, error) {
 	t, err := r.Router.Acquire(ctx, service, class, caller, exclude)
 	if err != nil {
 		return nil, err
 	}
-	return slot{t}, nil
+	return realTicket{t}, nil
 }
 
-func (r routed) FreeSlots(service string) int { return r.Free(service) }
+func (r realRouter) FreeSlots(service string) int { return r.Free(service) }
 
-func (r routed) Check(ctx context.Context, service string, class api.Class, caller string) *api.Refusal {
-	if r.blind {
+func (r realRouter) Check(ctx context.Context, service string, class api.Class, caller string) *api.Refusal {
+	if r.skipCheck {
 		return nil
 	}
 	return r.Router.Check(ctx, service, class, caller)
 }
 
-type slot struct{ *router.Ticket }
+type realTicket struct{ *router.Ticket }
 
-func (s slot) Done(r Result) {
+func (s realTicket) Done(r Result) {
 	s.Ticket.Done(router.Result{Err: r.Err, Status: r.Status, Latency: r.Latency, Feedback: platform.Feedback{SlotsBusy: -1}})
 }
 
-// TestOverloadAvoidsAppends: of requests at five times the rate that the slots
-// serve, most are refused before an append is spent on their mark.
+// At five times the request rate that the slots can serve, most requests are
+// refused before an append is spent on their mark.
 func TestOverloadAvoidsAppends(t *testing.T) {
 	appends := make(map[bool]int)
-	for _, blind := range []bool{true, false} {
+	for _, skipCheck := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld()
+			w := newTestCluster()
 			w.fault = func(site string) string { return map[string]string{"log": "slow"}[site] }
 			w.delay = 100 * time.Millisecond
 			c := w.start("a", "east", []api.DataCentre{"east"})
@@ -56,16 +57,16 @@
 			r.SetService("svc", api.ServiceSpec{QueueLength: 8})
 			held := router.HeldEndpoint{Endpoint: api.Endpoint{ID: "e", Service: "svc", Slots: 8, Connections: 60}, SlotLimit: 8, Epoch: 1}
 			r.SetEndpoints(time.Now(), []router.HeldEndpoint{held})
-			c.deps.Router = routed{r, blind}
+			c.deps.Router = realRouter{r, skipCheck}
 			for i := range 2000 { // 400 a second; the slots serve 80
-				go w.do(t.Context(), call{node: "a", id: fmt.Sprint(i), body: "x"})
+				go w.send(t.Context(), call{node: "a", id: fmt.Sprint(i), body: "x"})
 				time.Sleep(2500 * time.Microsecond)
 			}
 			time.Sleep(10 * time.Second)
 			w.close()
-			appends[blind] = len(w.entries)
-			t.Logf("blind %t: %d of 2000 ran, %d appends", blind, w.count("answered/ran"), len(w.entries))
+			appends[skipCheck] = len(w.entries)
+			t.Logf("skipCheck %t: %d of 2000 ran, %d appends", skipCheck, w.count("answered/ran"), len(w.entries))
 		})
 	}
-	same(t, appends[false] < appends[true]/2, true)
+	expectEqual(t, appends[false] < appends[true]/2, true)
 }
--- a/internal/filter/report.go
+++ b/internal/filter/report.go
@@ -8,28 +8,28 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// reportedCallers bounds the callers listed in a Report.
+// reportedCallers is the maximum number of callers listed in a Report.
 const reportedCallers = 20
 
-// Report is what operators read about the request chain of one entry VM.
+// Report is the state of the request chain of one entry VM, for operators.
 type Report struct {
 	State       string         `json:"state"` // of the gate
 	InFlight    int            `json:"in_flight"`
 	MaxInFlight int            `json:"max_in_flight"`
 	Batch       int64          `json:"batch_in_flight"`
-	Flights     int            `json:"flights"` // runs with an id
+	Flights     int            `json:"flights"` // requests with an ID in flight
 	Kept        int            `json:"kept_answers"`
 	KeptBytes   int64          `json:"kept_bytes"`
-	Withdrawn   int            `json:"withdrawn_marks"`   // never used, perhaps still in the log
-	Journaling  int            `json:"journaling"`        // outcomes and releases under way
+	Withdrawn   int            `json:"withdrawn_marks"`   // never used, possibly still in the log
+	Journaling  int            `json:"journaling"`        // outcomes and releases in progress
 	Callers     []CallerReport `json:"callers,omitempty"` // with requests in flight, most first
 }
 
-// CallerReport is one caller's part of a Report.
+// CallerReport is the state of one caller.
 type CallerReport struct {
 	Caller   string         `json:"caller"`
 	InFlight int64          `json:"in_flight"`
-	Average  time.Duration  `json:"average_ns"` // time of its recent requests
+	Average  time.Duration  `json:"average_ns"` // duration of its recent requests
 	Limits   api.LimitsSpec `json:"limits"`
 }
 
@@ -39,11 +39,11 @@
 	GateDraining: "draining",
 }
 
-// String returns the state's name as reported to operators.
+// String returns the state's name in reports.
 func (s GateState) String() string { return gateStateNames[s] }
 
 // Report returns the state of the chain. Its parts are read one after the
-// other while requests go on.
+// other, so they need not be consistent.
 func (c *Chain) Report() Report {
 	r := Report{
 		State:       c.gate.State().String(),
@@ -53,12 +53,12 @@
 		Journaling:  len(c.journal.slots),
 		Callers:     c.limits.report(reportedCallers),
 	}
-	c.runs.report(&r)
+	c.requests.report(&r)
 	return r
 }
 
-// report adds what r's shards hold.
-func (r *runs) report(to *Report) {
+// report adds the counts of all shards of r.
+func (r *requestTable) report(to *Report) {
 	for i := range r.shards {
 		s := &r.shards[i]
 		s.mu.Lock()
@@ -70,7 +70,7 @@
 	}
 }
 
-// report lists the n callers with most requests in flight.
+// report lists the n callers with the most requests in flight.
 func (l *limiter) report(n int) []CallerReport {
 	var callers []CallerReport
 	for i := range l.shards {
@@ -93,7 +93,7 @@
 		callers = append(callers, CallerReport{
 			Caller:   name,
 			InFlight: state.inFlight,
-			Average:  state.average,
+			Average:  state.averageDuration,
 			Limits:   state.spec,
 		})
 	}
