--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -11,7 +11,8 @@
 	"github.com/skylarklock/skylarklock/internal/filter"
 )
 
-// Headers that concern one connection only and are never passed on.
+// connectionHeaders lists the headers that concern a single connection and are
+// never passed on.
 var connectionHeaders = map[string]bool{
 	"Connection":          true,
 	"Content-Length":      true,
@@ -27,7 +28,8 @@
 	"Upgrade":             true,
 }
 
-// Headers between entry VMs and endpoints, which callers neither set nor see.
+// internalHeaders lists the headers between entry VMs and endpoints, which
+// callers can neither set nor see.
 var internalHeaders = map[string]bool{
 	api.HeaderEpoch:     true,
 	api.HeaderSlotsBusy: true,
@@ -38,7 +40,7 @@
 }
 
 // requestHeader returns the caller's headers that are passed on to the
-// endpoint. Several values of one name are joined.
+// endpoint. Multiple values of a header are joined.
 func requestHeader(from http.Header) map[string]string {
 	named := make(map[string]bool)
 	for _, value := range from.Values("Connection") {
@@ -60,14 +62,15 @@
 	return header
 }
 
-// Statuses that an answer may have; net/http panics beyond.
+// Bounds of the status of an answer; net/http panics on other values.
 const (
 	minStatus = 200
 	maxStatus = 999
 )
 
-// writeAnswer writes an endpoint's whole answer. When the caller's connection
-// fails midway it is cut, so that the caller never takes a part for the whole.
+// writeAnswer writes an endpoint's complete answer. When writing to the caller
+// fails midway, the connection is aborted, so that the caller cannot mistake a
+// part of the answer for all of it.
 func (s *Server) writeAnswer(w http.ResponseWriter, r *http.Request, answer *api.Answer) {
 	if answer.Status < minStatus || answer.Status > maxStatus {
 		s.refuse(w, api.Unknown(api.ReasonAnswerBroken, "the endpoint answered with status "+strconv.Itoa(answer.Status)))
@@ -81,7 +84,7 @@
 		}
 	}
 	if header.Get("Content-Type") == "" {
-		header["Content-Type"] = nil // net/http adds no guess of its own
+		header["Content-Type"] = nil // prevents net/http from guessing a type
 	}
 	header.Set(api.HeaderOutcome, string(api.OutcomeRan))
 	for name := range answer.Trailer {
@@ -90,15 +93,15 @@
 	if r.Method != http.MethodHead && len(answer.Trailer) == 0 {
 		header.Set("Content-Length", strconv.Itoa(len(answer.Body)))
 	}
-	s.writeWhole(w, answer.Status, answer.Body)
+	s.writeFull(w, answer.Status, answer.Body)
 	for name, value := range answer.Trailer {
 		header.Set(name, value)
 	}
 }
 
-// writeWhole writes status and body, or aborts the connection. While the
-// server leaves, each answer is the last on its connection.
-func (s *Server) writeWhole(w http.ResponseWriter, status int, body []byte) {
+// writeFull writes status and body, or aborts the connection. While the server
+// drains, each answer is the last on its connection.
+func (s *Server) writeFull(w http.ResponseWriter, status int, body []byte) {
 	if s.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
@@ -115,7 +118,7 @@
 	}
 }
 
-// refuse counts and writes a refusal that the chain has not seen.
+// refuse counts and writes a refusal that did not come from the chain.
 func (s *Server) refuse(w http.ResponseWriter, refusal *api.Refusal) {
 	group := filter.GroupRefused
 	if refusal.Outcome == api.OutcomeUnknown {
@@ -138,7 +141,7 @@
 	s.writeJSON(w, statusOf(refusal), refusal)
 }
 
-// retrySeconds rounds up: the header knows whole seconds only.
+// retrySeconds rounds up, because the Retry-After header has whole seconds.
 func retrySeconds(d time.Duration) int64 {
 	return int64((d + time.Second - 1) / time.Second)
 }
@@ -150,7 +153,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	s.writeWhole(w, status, body)
+	s.writeFull(w, status, body)
 }
 
 // statusOf returns the HTTP status of a refusal.
@@ -181,8 +184,9 @@
 	return http.StatusServiceUnavailable
 }
 
-// statusOfUnknown tells a request that was sent, or whose trace is lost, from
-// a copy that was turned away.
+// statusOfUnknown returns the HTTP status of a refusal with outcome unknown:
+// 502 if the request may have been sent or its outcome is lost, 503 if only
+// this copy of it was refused.
 func statusOfUnknown(reason api.Reason) int {
 	switch reason {
 	case api.ReasonAnswerBroken, api.ReasonAnswerTooLarge, api.ReasonEndpointFailed, api.ReasonPeerUnreachable,
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -56,7 +56,7 @@
 	return JobStatus{Spec: spec}, nil
 }
 
-// echo answers with what the endpoint would have received.
+// echo answers with the request as the endpoint would receive it.
 func echo(_ context.Context, x *filter.Exchange) (*api.Answer, error) {
 	r := x.Request
 	return &api.Answer{
@@ -67,18 +67,18 @@
 	}, nil
 }
 
-func start(t *testing.T, s Settings) (*Server, *backend, string) {
+func startServer(t *testing.T, s Settings) (*Server, *backend, string) {
 	t.Helper()
 	b := &backend{handle: echo, gate: filter.NewGate(100), jobs: make(map[api.JobID]api.JobSpec)}
 	b.gate.SetReady(true)
 	server := New(s, b, b, b.gate, b, &logrus.Logger{Out: io.Discard, Formatter: &logrus.TextFormatter{}})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
-	same(t, err, nil)
+	wantEqual(t, err, nil)
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(l) }()
 	t.Cleanup(func() {
 		_ = server.http.Close()
-		same(t, <-served, nil)
+		wantEqual(t, <-served, nil)
 	})
 	return server, b, l.Addr().String()
 }
@@ -93,20 +93,20 @@
 func dial(t *testing.T, address string) *client {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
-	same(t, err, nil)
+	wantEqual(t, err, nil)
 	t.Cleanup(func() { conn.Close() })
 	return &client{t, conn, bufio.NewReader(conn)}
 }
 
-// ask writes raw and reads one whole answer.
-func (c *client) ask(raw string) (*http.Response, string) {
+// roundTrip writes raw and reads one complete answer.
+func (c *client) roundTrip(raw string) (*http.Response, string) {
 	c.t.Helper()
 	_, err := io.WriteString(c.conn, raw)
-	same(c.t, err, nil)
+	wantEqual(c.t, err, nil)
 	resp, err := http.ReadResponse(c.reader, nil)
-	same(c.t, err, nil)
+	wantEqual(c.t, err, nil)
 	body, err := io.ReadAll(resp.Body)
-	same(c.t, err, nil)
+	wantEqual(c.t, err, nil)
 	return resp, string(body)
 }
 
@@ -116,13 +116,14 @@
 	return fmt.Sprintf("POST /v1/services/svc/ HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", length, body)
 }
 
-// word is what an answer says, in short.
-func word(r *http.Response) string {
+// summarize returns the status and the main headers of an answer in short
+// form.
+func summarize(r *http.Response) string {
 	h := r.Header
 	return fmt.Sprintf("%d %s %s retry=%s close=%t", r.StatusCode, h.Get(api.HeaderOutcome), h.Get(api.HeaderReason), h.Get("Retry-After"), r.Close)
 }
 
-func same[T comparable](t *testing.T, got, want T) {
+func wantEqual[T comparable](t *testing.T, got, want T) {
 	t.Helper()
 	if got != want {
 		t.Fatalf("got %v, want %v", got, want)
@@ -130,50 +131,50 @@
 }
 
 func TestRequestsArePassedOnUnchanged(t *testing.T) {
-	_, b, address := start(t, Settings{MaxBodyBytes: 10, MaxTotalBodyBytes: 15})
+	_, b, address := startServer(t, Settings{MaxBodyBytes: 10, MaxTotalBodyBytes: 15})
 	c := dial(t, address)
-	resp, body := c.ask("POST /v1/services/svc/a//b%2Fc/../d?q=1&r HTTP/1.1\r\nHost: x\r\nX-Own: 1\r\nX-Own: 2\r\nHolder-Epoch: 5\r\n" +
+	resp, body := c.roundTrip("POST /v1/services/svc/a//b%2Fc/../d?q=1&r HTTP/1.1\r\nHost: x\r\nX-Own: 1\r\nX-Own: 2\r\nHolder-Epoch: 5\r\n" +
 		"Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n")
-	same(t, body, "svc POST /a//b%2Fc/../d?q=1&r body")
-	same(t, word(resp), "201 ran  retry= close=false")
+	wantEqual(t, body, "svc POST /a//b%2Fc/../d?q=1&r body")
+	wantEqual(t, summarize(resp), "201 ran  retry= close=false")
 	h := resp.Header
-	same(t, h.Get("X-Own")+"|"+h.Get(api.HeaderEpoch)+"|"+h.Get("Content-Type")+"|"+resp.Trailer.Get("X-Sum"), "1, 2|||1")
+	wantEqual(t, h.Get("X-Own")+"|"+h.Get(api.HeaderEpoch)+"|"+h.Get("Content-Type")+"|"+resp.Trailer.Get("X-Sum"), "1, 2|||1")
 	b.handle = func(context.Context, *filter.Exchange) (*api.Answer, error) {
 		return nil, api.NotRun(api.ReasonCallerLimit, 1001*time.Millisecond, "over")
 	}
-	resp, body = c.ask(get("/"))
-	same(t, word(resp), "429 not-run caller_limit retry=2 close=false")
-	same(t, strings.Contains(body, "over"), true)
-	for want, refusal := range map[string]*api.Refusal{ // a copy turned away, and one that was sent
+	resp, body = c.roundTrip(get("/"))
+	wantEqual(t, summarize(resp), "429 not-run caller_limit retry=2 close=false")
+	wantEqual(t, strings.Contains(body, "over"), true)
+	for want, refusal := range map[string]*api.Refusal{ // a copy that was refused, and a request that was sent
 		"503 unknown caller_limit retry=2 close=false":     api.UnknownWithRetry(api.ReasonCallerLimit, 1001*time.Millisecond, ""),
 		"502 unknown peer_unreachable retry=1 close=false": api.UnknownWithRetry(api.ReasonPeerUnreachable, time.Second, ""),
 	} {
 		b.handle = func(context.Context, *filter.Exchange) (*api.Answer, error) { return nil, refusal }
-		resp, _ = c.ask(get("/"))
-		same(t, word(resp), want)
+		resp, _ = c.roundTrip(get("/"))
+		wantEqual(t, summarize(resp), want)
 	}
-	resp, _ = c.ask(post(11, ""))
-	same(t, word(resp), "413 not-run too_large retry= close=true")
+	resp, _ = c.roundTrip(post(11, ""))
+	wantEqual(t, summarize(resp), "413 not-run too_large retry= close=true")
 }
 
-// TestSlowBodyReleasesMemoryAtTimeout: a body that never ends is refused when
-// its time is over and its memory is given back.
+// A body that never ends is refused at the timeout, and its memory is
+// released.
 func TestSlowBodyReleasesMemoryAtTimeout(t *testing.T) {
-	server, _, address := start(t, Settings{MaxBodyBytes: 10, MaxTotalBodyBytes: 15, ReadBodyTimeout: 100 * time.Millisecond})
+	server, _, address := startServer(t, Settings{MaxBodyBytes: 10, MaxTotalBodyBytes: 15, ReadBodyTimeout: 100 * time.Millisecond})
 	slow := dial(t, address)
-	resp, _ := slow.ask(post(9, "1234"))
-	same(t, word(resp), "503 unknown deadline_passed retry=1 close=true")
-	_, _ = io.Copy(io.Discard, slow.reader) // the server closes
-	same(t, server.bytes.used.Load(), 0)
-	server.bytes.used.Store(14)
-	resp, _ = dial(t, address).ask(post(2, "ab"))
-	same(t, word(resp), "503 unknown queue_full retry=1 close=false")
-	resp, _ = dial(t, address).ask(strings.Replace(post(2, "ab"), "Host", "Idempotent: true\r\nHost", 1))
-	same(t, word(resp), "503 not-run queue_full retry=1 close=false")
+	resp, _ := slow.roundTrip(post(9, "1234"))
+	wantEqual(t, summarize(resp), "503 unknown deadline_passed retry=1 close=true")
+	_, _ = io.Copy(io.Discard, slow.reader) // returns when the server closes the connection
+	wantEqual(t, server.bodyBytes.used.Load(), 0)
+	server.bodyBytes.used.Store(14)
+	resp, _ = dial(t, address).roundTrip(post(2, "ab"))
+	wantEqual(t, summarize(resp), "503 unknown queue_full retry=1 close=false")
+	resp, _ = dial(t, address).roundTrip(strings.Replace(post(2, "ab"), "Host", "Idempotent: true\r\nHost", 1))
+	wantEqual(t, summarize(resp), "503 not-run queue_full retry=1 close=false")
 }
 
 func TestCallerDisconnectCancelsRequest(t *testing.T) {
-	_, b, address := start(t, Settings{})
+	_, b, address := startServer(t, Settings{})
 	left := make(chan error, 1)
 	b.handle = func(ctx context.Context, _ *filter.Exchange) (*api.Answer, error) {
 		<-ctx.Done()
@@ -183,14 +184,14 @@
 	c := dial(t, address)
 	_, _ = io.WriteString(c.conn, post(2, "ab"))
 	c.conn.Close()
-	same(t, <-left, context.Canceled)
+	wantEqual(t, <-left, context.Canceled)
 }
 
-// TestDrainAbortsNoRequest: readiness goes first, a request in flight finishes on
-// its connection, and a keep-alive connection in use gets a refusal that says
-// close instead of a cut.
+// During a drain readiness becomes false first, and a request in flight
+// finishes on its connection. A keep-alive connection in use gets a refusal
+// with Connection: close instead of being aborted.
 func TestDrainAbortsNoRequest(t *testing.T) {
-	server, b, address := start(t, Settings{ReadinessDelay: time.Millisecond, CloseDelay: time.Millisecond})
+	server, b, address := startServer(t, Settings{ReadinessDelay: time.Millisecond, CloseDelay: time.Millisecond})
 	release, entered := make(chan struct{}), make(chan struct{})
 	b.handle = func(ctx context.Context, x *filter.Exchange) (*api.Answer, error) {
 		if x.Request.Path == "/slow" {
@@ -200,8 +201,8 @@
 		return echo(ctx, x)
 	}
 	idle, busy := dial(t, address), dial(t, address)
-	resp, _ := idle.ask(get("/"))
-	same(t, word(resp), "201 ran  retry= close=false")
+	resp, _ := idle.roundTrip(get("/"))
+	wantEqual(t, summarize(resp), "201 ran  retry= close=false")
 	_, _ = io.WriteString(busy.conn, get("/slow"))
 	<-entered
 	drained := make(chan error, 1)
@@ -209,27 +210,27 @@
 	for b.gate.State() != filter.GateDraining {
 		time.Sleep(time.Millisecond)
 	}
-	same(t, server.Ready(), false)
-	resp, _ = idle.ask(get("/"))
-	same(t, word(resp), "503 not-run draining retry= close=true")
+	wantEqual(t, server.Ready(), false)
+	resp, _ = idle.roundTrip(get("/"))
+	wantEqual(t, summarize(resp), "503 not-run draining retry= close=true")
 	close(release)
-	resp, body := busy.ask("")
-	same(t, word(resp), "201 ran  retry= close=true")
-	same(t, body, "svc GET /slow ")
-	same(t, <-drained, nil)
+	resp, body := busy.roundTrip("")
+	wantEqual(t, summarize(resp), "201 ran  retry= close=true")
+	wantEqual(t, body, "svc GET /slow ")
+	wantEqual(t, <-drained, nil)
 }
 
 func TestDrainEndsAtItsDeadline(t *testing.T) {
-	server, b, _ := start(t, Settings{ReadinessDelay: time.Millisecond})
-	same(t, b.gate.Enter(), nil)
+	server, b, _ := startServer(t, Settings{ReadinessDelay: time.Millisecond})
+	wantEqual(t, b.gate.Enter(), nil)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 	defer cancel()
 	err := server.Drain(ctx)
-	same(t, errors.Is(err, context.DeadlineExceeded) && strings.Contains(err.Error(), "1 requests"), true)
+	wantEqual(t, errors.Is(err, context.DeadlineExceeded) && strings.Contains(err.Error(), "1 requests"), true)
 }
 
 func TestJobs(t *testing.T) {
-	server, _, _ := start(t, Settings{})
+	server, _, _ := startServer(t, Settings{})
 	for _, row := range []struct{ method, path, body, want string }{
 		{"POST", "/v1/jobs", `{"id":"j","class":"batch"}`, "202 ran  retry= close=false"},
 		{"GET", "/v1/jobs/j", "", "200 ran  retry= close=false"},
@@ -242,6 +243,6 @@
 	} {
 		w := httptest.NewRecorder()
 		server.Handler().ServeHTTP(w, httptest.NewRequest(row.method, row.path, strings.NewReader(row.body)))
-		same(t, word(w.Result()), row.want)
+		wantEqual(t, summarize(w.Result()), row.want)
 	}
 }
--- a/internal/front/handler.go
+++ b/internal/front/handler.go
@@ -20,9 +20,9 @@
 	readyPath      = "/v1/ready"
 )
 
-// Handler returns the server's routes. Service paths are passed on as the
-// caller wrote them, so they are not routed by http.ServeMux, which redirects
-// paths that it would clean.
+// Handler returns the handler for all of the server's paths. Service paths are
+// passed on as the caller wrote them. They bypass http.ServeMux, which
+// redirects paths that it would clean.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+jobsPath, s.submitJob)
@@ -32,7 +32,7 @@
 	mux.HandleFunc("/", s.notFound)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if rest, ok := strings.CutPrefix(r.URL.EscapedPath(), servicesPrefix); ok {
-			s.service(w, r, rest)
+			s.handleService(w, r, rest)
 			return
 		}
 		mux.ServeHTTP(w, r)
@@ -44,22 +44,22 @@
 	if !s.Ready() {
 		status = http.StatusServiceUnavailable
 	}
-	s.writeWhole(w, status, nil)
+	s.writeFull(w, status, nil)
 }
 
 func (s *Server) notFound(w http.ResponseWriter, r *http.Request) {
 	s.refuse(w, api.NotRun(api.ReasonMalformed, 0, fmt.Sprintf("no such path or method: %s %s", r.Method, r.URL.Path)))
 }
 
-// service answers one request of a service. rest is the path after the
+// handleService answers one request to a service. rest is the path after the
 // prefix: the service, then the path at the endpoint.
-func (s *Server) service(w http.ResponseWriter, r *http.Request, rest string) {
-	reserved := s.bodyBound(r)
-	if !s.bytes.take(reserved) {
-		s.refuse(w, s.turnedAway(r, api.NotRun(api.ReasonQueueFull, s.settings.RetryAfter, "the bodies in flight use all their memory")))
+func (s *Server) handleService(w http.ResponseWriter, r *http.Request, rest string) {
+	reserved := s.maxBodySize(r)
+	if !s.bodyBytes.reserve(reserved) {
+		s.refuse(w, s.refuseUnmarked(r, api.NotRun(api.ReasonQueueFull, s.settings.RetryAfter, "the bodies in flight use all their memory")))
 		return
 	}
-	defer s.bytes.give(reserved)
+	defer s.bodyBytes.release(reserved)
 	body, refusal := s.readBody(w, r)
 	if refusal != nil {
 		s.refuse(w, refusal)
@@ -91,15 +91,16 @@
 	return "/" + path + "?" + query
 }
 
-// bodyBound is the memory that the body of r may take, bytes.
-func (s *Server) bodyBound(r *http.Request) int64 {
+// maxBodySize returns the maximum memory that the body of r may need, in
+// bytes.
+func (s *Server) maxBodySize(r *http.Request) int64 {
 	if r.ContentLength >= 0 && r.ContentLength < s.settings.MaxBodyBytes {
 		return r.ContentLength
 	}
 	return s.settings.MaxBodyBytes
 }
 
-// readBody reads the whole body within the limits of size and time.
+// readBody reads the whole body within the size and time limits.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *api.Refusal) {
 	if r.ContentLength > s.settings.MaxBodyBytes {
 		return nil, s.tooLarge(w)
@@ -111,24 +112,26 @@
 	_ = control.SetReadDeadline(time.Now().Add(s.settings.ReadBodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.settings.MaxBodyBytes))
 	if err == nil {
-		// Reading on is how net/http notices that the caller left.
+		// Without a deadline net/http continues to read, which is how it
+		// detects that the caller left.
 		_ = control.SetReadDeadline(time.Time{})
 		return body, nil
 	}
 	w.Header().Set("Connection", "close")
-	var large *http.MaxBytesError
+	var sizeErr *http.MaxBytesError
 	switch {
-	case errors.As(err, &large):
+	case errors.As(err, &sizeErr):
 		return nil, s.tooLarge(w)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, s.turnedAway(r, api.NotRun(api.ReasonDeadlinePassed, 0, fmt.Sprintf("the body took longer than %s", s.settings.ReadBodyTimeout)))
+		return nil, s.refuseUnmarked(r, api.NotRun(api.ReasonDeadlinePassed, 0, fmt.Sprintf("the body took longer than %s", s.settings.ReadBodyTimeout)))
 	default:
-		return nil, s.turnedAway(r, api.NotRun(api.ReasonMalformed, 0, "the body broke off"))
+		return nil, s.refuseUnmarked(r, api.NotRun(api.ReasonMalformed, 0, "the body broke off"))
 	}
 }
 
-// turnedAway is filter.RefuseUnmarked for a request that the chain has not seen.
-func (s *Server) turnedAway(r *http.Request, refusal *api.Refusal) *api.Refusal {
+// refuseUnmarked calls filter.RefuseUnmarked for a request that has not
+// reached the chain.
+func (s *Server) refuseUnmarked(r *http.Request, refusal *api.Refusal) *api.Refusal {
 	return filter.RefuseUnmarked(refusal, r.Header.Get(api.HeaderIdempotent) == "true", s.settings.RetryAfter)
 }
 
@@ -137,7 +140,8 @@
 	return api.NotRun(api.ReasonTooLarge, 0, fmt.Sprintf("the body has more than %d bytes", s.settings.MaxBodyBytes))
 }
 
-// asRefusal returns err as a refusal; what is not one leaves the request open.
+// asRefusal returns err as a refusal. Any other error becomes a refusal with
+// outcome unknown.
 func asRefusal(err error) *api.Refusal {
 	var refusal *api.Refusal
 	if errors.As(err, &refusal) {
--- a/internal/front/jobs.go
+++ b/internal/front/jobs.go
@@ -11,7 +11,7 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// submitJob takes a job: POST /v1/jobs with an api.JobSpec.
+// submitJob handles POST /v1/jobs with an api.JobSpec.
 func (s *Server) submitJob(w http.ResponseWriter, r *http.Request) {
 	if refusal := s.gate.Enter(); refusal != nil {
 		refusal.RetryAfter = s.settings.RetryAfter
@@ -30,16 +30,16 @@
 	}
 	w.Header().Set(api.HeaderOutcome, string(api.OutcomeRan))
 	w.Header().Set("Location", jobsPath+"/"+string(spec.ID))
-	s.writeWhole(w, http.StatusAccepted, nil)
+	s.writeFull(w, http.StatusAccepted, nil)
 }
 
 func (s *Server) readJob(w http.ResponseWriter, r *http.Request) (api.JobSpec, *api.Refusal) {
 	var spec api.JobSpec
-	reserved := s.bodyBound(r)
-	if !s.bytes.take(reserved) {
+	reserved := s.maxBodySize(r)
+	if !s.bodyBytes.reserve(reserved) {
 		return spec, api.NotRun(api.ReasonQueueFull, s.settings.RetryAfter, "the bodies in flight use all their memory")
 	}
-	defer s.bytes.give(reserved)
+	defer s.bodyBytes.release(reserved)
 	body, refusal := s.readBody(w, r)
 	if refusal != nil {
 		return spec, refusal
@@ -50,8 +50,8 @@
 	return spec, nil
 }
 
-// decodeStrict reads one JSON value that has no unknown fields and nothing
-// after it.
+// decodeStrict decodes a single JSON value without unknown fields and fails if
+// anything follows it.
 func decodeStrict(body []byte, to any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
@@ -64,17 +64,17 @@
 	return nil
 }
 
-// cancelJob cancels a job: DELETE /v1/jobs/{id}.
+// cancelJob handles DELETE /v1/jobs/{id}.
 func (s *Server) cancelJob(w http.ResponseWriter, r *http.Request) {
 	if err := s.jobs.Cancel(r.Context(), api.JobID(r.PathValue("id"))); err != nil {
 		s.refuse(w, asRefusal(err))
 		return
 	}
 	w.Header().Set(api.HeaderOutcome, string(api.OutcomeRan))
-	s.writeWhole(w, http.StatusAccepted, nil)
+	s.writeFull(w, http.StatusAccepted, nil)
 }
 
-// jobStatus reports a job: GET /v1/jobs/{id}.
+// jobStatus handles GET /v1/jobs/{id}.
 func (s *Server) jobStatus(w http.ResponseWriter, r *http.Request) {
 	status, err := s.jobs.Status(r.Context(), api.JobID(r.PathValue("id")))
 	if err != nil {
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -1,6 +1,6 @@
-// Package front is the callers' HTTP server: it bounds what a caller may
-// send, turns HTTP into exchanges of package filter and back, takes jobs, and
-// drains without cutting off a request.
+// Package front is the HTTP server for callers. It limits what a caller may
+// send, converts between HTTP and the exchanges of package filter, accepts
+// jobs, and drains without aborting requests.
 package front
 
 import (
@@ -26,8 +26,8 @@
 	Handle(ctx context.Context, x *filter.Exchange) (*api.Answer, error)
 }
 
-// Jobs takes operators' jobs. Errors are *api.Refusal; any other error is
-// answered unknown, internal.
+// Jobs submits, cancels and reports operators' jobs. Errors are *api.Refusal;
+// any other error is answered unknown, internal.
 type Jobs interface {
 	Submit(ctx context.Context, spec api.JobSpec) error
 	Cancel(ctx context.Context, id api.JobID) error
@@ -42,7 +42,7 @@
 	Detail string            `json:"detail,omitempty"`
 }
 
-// Settings bounds the server. Zero fields take the defaults.
+// Settings bounds the server. Zero fields are replaced by the defaults.
 type Settings struct {
 	MaxHeaderBytes    int
 	MaxBodyBytes      int64         // of one request
@@ -51,9 +51,9 @@
 	ReadBodyTimeout   time.Duration // for the whole body
 	WriteTimeout      time.Duration // for the whole answer
 	IdleTimeout       time.Duration // of a keep-alive connection
-	ReadinessDelay    time.Duration // between readiness false and turning work away
-	CloseDelay        time.Duration // between the last request and closing idle connections
-	RetryAfter        time.Duration // named in refusals
+	ReadinessDelay    time.Duration // from the change of readiness to false until new requests are refused
+	CloseDelay        time.Duration // from the end of the last request until idle connections are closed
+	RetryAfter        time.Duration // retry delay in refusals
 }
 
 // Defaults of Settings.
@@ -84,31 +84,31 @@
 	return s
 }
 
-// Server is the callers' HTTP server of one entry VM.
+// Server is the HTTP server for callers of one entry VM.
 type Server struct {
-	settings Settings
-	requests Requests
-	jobs     Jobs
-	gate     *filter.Gate
-	counters filter.Counters
-	bytes    byteBudget
-	log      logrus.FieldLogger
-	leaving  atomic.Bool // readiness is false; answers close their connections
-	http     *http.Server
+	settings  Settings
+	requests  Requests
+	jobs      Jobs
+	gate      *filter.Gate
+	counters  filter.Counters
+	bodyBytes byteBudget
+	log       logrus.FieldLogger
+	leaving   atomic.Bool // set by Drain; readiness is false, and answers close their connections
+	http      *http.Server
 }
 
-// New returns a server that hands requests to requests and jobs to jobs, and
-// shares gate with the chain. What net/http logs goes to log, too.
+// New returns a server that passes requests to requests and jobs to jobs, and
+// shares gate with the chain. The messages of net/http are logged to log.
 func New(settings Settings, requests Requests, jobs Jobs, gate *filter.Gate, counters filter.Counters, log logrus.FieldLogger) *Server {
 	settings = settings.withDefaults()
 	s := &Server{
-		settings: settings,
-		requests: requests,
-		jobs:     jobs,
-		gate:     gate,
-		counters: counters,
-		bytes:    byteBudget{max: settings.MaxTotalBodyBytes},
-		log:      log,
+		settings:  settings,
+		requests:  requests,
+		jobs:      jobs,
+		gate:      gate,
+		counters:  counters,
+		bodyBytes: byteBudget{max: settings.MaxTotalBodyBytes},
+		log:       log,
 	}
 	s.http = &http.Server{
 		Handler:           s.Handler(),
@@ -120,7 +120,7 @@
 	return s
 }
 
-// Serve answers the connections of l until Drain. It returns nil then.
+// Serve answers the connections of l until Drain, and then returns nil.
 func (s *Server) Serve(l net.Listener) error {
 	err := s.http.Serve(l)
 	if errors.Is(err, http.ErrServerClosed) {
@@ -129,36 +129,36 @@
 	return fmt.Errorf("front: %w", err)
 }
 
-// Drain stops the server without cutting off a request: readiness turns
-// false; after ReadinessDelay new work is refused; when the last request has
-// finished, connections without a request are closed. When ctx ends first,
-// what is left is closed and the error of ctx returned.
+// Drain stops the server without aborting requests. Readiness becomes false;
+// after ReadinessDelay new requests are refused; CloseDelay after the last
+// request has finished, idle connections are closed. When ctx ends first, the
+// remaining connections are closed and the error of ctx is returned.
 func (s *Server) Drain(ctx context.Context) error {
 	s.leaving.Store(true)
-	s.event("drain_started").Info("readiness is false")
-	wait(ctx, s.settings.ReadinessDelay)
+	s.eventLogger("drain_started").Info("readiness is false")
+	sleep(ctx, s.settings.ReadinessDelay)
 	s.gate.Drain()
-	s.event("drain_refusing").Info("new requests are refused")
+	s.eventLogger("drain_refusing").Info("new requests are refused")
 	err := s.gate.Wait(ctx)
 	if err == nil {
-		s.event("drain_idle").Info("the last request has finished")
-		wait(ctx, s.settings.CloseDelay)
+		s.eventLogger("drain_idle").Info("the last request has finished")
+		sleep(ctx, s.settings.CloseDelay)
 		err = s.http.Shutdown(ctx)
 	}
 	if err != nil {
-		s.event("drain_cut_off").WithField("cause", err).Error("the drain's time is over")
+		s.eventLogger("drain_cut_off").WithField("cause", err).Error("the drain's time is over")
 		_ = s.http.Close()
 		return fmt.Errorf("front: drain with %d requests in flight: %w", s.gate.InFlight(), err)
 	}
-	s.event("drain_done").Info("all connections are closed")
+	s.eventLogger("drain_done").Info("all connections are closed")
 	return nil
 }
 
-func (s *Server) event(name string) logrus.FieldLogger {
+func (s *Server) eventLogger(name string) logrus.FieldLogger {
 	return s.log.WithFields(logrus.Fields{"event": name, "in_flight": s.gate.InFlight()})
 }
 
-// httpErrors passes on what net/http logs, each as one event.
+// httpErrors logs each message of net/http as one event.
 type httpErrors struct{ log logrus.FieldLogger }
 
 // Write implements io.Writer.
@@ -167,8 +167,8 @@
 	return len(line), nil
 }
 
-// wait returns after d or when ctx ends.
-func wait(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -177,7 +177,7 @@
 	}
 }
 
-// Ready reports whether a balancer should send requests here.
+// Ready reports whether a load balancer should send requests here.
 func (s *Server) Ready() bool {
 	return !s.leaving.Load() && s.gate.State() == filter.GateOpen
 }
@@ -185,13 +185,13 @@
 // Leaving reports whether Drain was called.
 func (s *Server) Leaving() bool { return s.leaving.Load() }
 
-// byteBudget bounds the bytes of bodies held at once.
+// byteBudget bounds the total size of the bodies in memory.
 type byteBudget struct {
 	max  int64
 	used atomic.Int64
 }
 
-func (b *byteBudget) take(n int64) bool {
+func (b *byteBudget) reserve(n int64) bool {
 	if b.used.Add(n) > b.max {
 		b.used.Add(-n)
 		return false
@@ -199,4 +199,4 @@
 	return true
 }
 
-func (b *byteBudget) give(n int64) { b.used.Add(-n) }
+func (b *byteBudget) release(n int64) { b.used.Add(-n) }
