--- a/internal/capacity/heartbeat.go
+++ b/internal/capacity/heartbeat.go
@@ -32,17 +32,19 @@
 	cut *atomic.Bool
 }
 
-// Ask implements member.Granter.
-func (g granter) Ask() ownership.Ask { return ownership.Ask{Who: g.who, Version: 1000} }
+// GrantRequest implements member.Granter.
+func (g granter) GrantRequest() ownership.GrantRequest {
+	return ownership.GrantRequest{Process: g.who, Version: 1000}
+}
 
 // NeedsGrants implements member.Granter.
 func (g granter) NeedsGrants(time.Time) bool { return g.cut.Load() }
 
-// Answer implements member.Granter.
-func (granter) Answer(ownership.Ask, time.Time) bool { return true }
+// HandleGrantRequest implements member.Granter.
+func (granter) HandleGrantRequest(ownership.GrantRequest, time.Time) bool { return true }
 
-// Granted implements member.Granter.
-func (granter) Granted(ownership.Identity, time.Time) {}
+// RecordGrant implements member.Granter.
+func (granter) RecordGrant(ownership.Identity, time.Time) {}
 
 func quietLog() *logrus.Logger {
 	return logging.Nop().Logger
@@ -66,7 +68,7 @@
 			closeSpeakers(speakers[:i])
 			return nil, errors.Wrap(err, "heartbeats")
 		}
-		roster[i] = ownership.Member{Who: identity(i), Address: l.Addr().String()}
+		roster[i] = ownership.Member{Process: identity(i), Address: l.Addr().String()}
 		speakers[i] = newSpeaker(i, l, cut, func() []ownership.Member { return roster })
 	}
 	return speakers, nil
--- a/internal/capacity/log.go
+++ b/internal/capacity/log.go
@@ -48,13 +48,13 @@
 }
 
 // follow starts a replica that feeds machines and waits until it is ready.
-func (r *logRig) follow(node api.NodeID, budget float64, machines ...journal.Machine) (*follower, error) {
+func (r *logRig) follow(node api.NodeID, budget float64, machines ...journal.StateMachine) (*follower, error) {
 	client, err := httplog.NewClient(httplog.Config{BaseURL: "http://" + r.address})
 	if err != nil {
 		return nil, err
 	}
 	replica, err := journal.NewReplica(journal.Config{
-		Stream: stream, Log: client, Machines: machines, Logger: quietLog(),
+		Stream: stream, Log: client, StateMachines: machines, Logger: quietLog(),
 		Origin:           journal.Origin{Node: node, Incarnation: 1},
 		AppendsPerSecond: func() float64 { return budget },
 	})
--- a/internal/capacity/members.go
+++ b/internal/capacity/members.go
@@ -22,21 +22,21 @@
 	var nodes []api.NodeID
 	for i := range members {
 		nodes = append(nodes, identity(i).Node)
-		if err := t.Apply(ownership.Join{Who: identity(i), Address: fmt.Sprintf("127.0.0.1:%d", 10_000+i)}); err != nil {
+		if err := t.Apply(ownership.Join{Process: identity(i), Address: fmt.Sprintf("127.0.0.1:%d", 10_000+i)}); err != nil {
 			return nil, err
 		}
 	}
 	for round := range 2 { // the second tells each of the others' acknowledgements
 		for i := range members {
-			ack := ownership.Acknowledge{Who: identity(i), Version: t.Version, Members: uint32(members)}
+			ack := ownership.Acknowledge{Process: identity(i), Version: t.Version, Members: uint32(members)}
 			if err := t.Apply(ack); err != nil && round == 0 {
 				return nil, err
 			}
 		}
 	}
 	for _, shard := range ownership.Shards() {
-		who := t.Members[ownership.Wanted(shard, nodes)].Who
-		if err := t.Apply(ownership.Claim{Who: who, Shards: []ownership.ShardAt{{Shard: shard}}}); err != nil {
+		who := t.Members[ownership.PreferredNode(shard, nodes)].Process
+		if err := t.Apply(ownership.Claim{Process: who, Shards: []ownership.ShardAt{{Shard: shard}}}); err != nil {
 			return nil, err
 		}
 	}
@@ -44,16 +44,16 @@
 }
 
 // quietView is what a member sees in a roster that is well.
-func quietView(t *ownership.Table, members int, now time.Time) ownership.View {
-	v := ownership.View{
+func quietView(t *ownership.Table, members int, now time.Time) ownership.PlanInput {
+	v := ownership.PlanInput{
 		Table: t, Evidence: ownership.NewEvidence(identity(0)), Limits: ownership.DefaultPlanLimits(),
-		Timing: ownership.Timing{Hold: ownership.DefaultHold, Drift: ownership.DefaultDrift},
+		Timing: ownership.Timing{HoldDuration: ownership.DefaultHoldDuration, MaxClockDrift: ownership.DefaultMaxClockDrift},
 		Health: make(map[api.NodeID]ownership.Health),
 	}
-	v.Evidence.Confirmed = now
+	v.Evidence.ConfirmedAt = now
 	for i := 1; i < members; i++ {
 		who := identity(i)
-		v.Health[who.Node] = ownership.Health{Who: who, AliveFor: time.Minute}
+		v.Health[who.Node] = ownership.Health{Process: who, AliveFor: time.Minute}
 	}
 	return v
 }
--- a/internal/capacity/records.go
+++ b/internal/capacity/records.go
@@ -14,7 +14,7 @@
 // direct applies what is proposed at once, without a log.
 type direct struct {
 	journal.Follower
-	machine journal.Machine
+	machine journal.StateMachine
 }
 
 // Propose implements journal.Proposer.
@@ -34,7 +34,7 @@
 }
 
 // growth applies size entries with step and takes and restores a snapshot.
-func growth(m, empty journal.Machine, size int, step func(i int) error) (state, error) {
+func growth(m, empty journal.StateMachine, size int, step func(i int) error) (state, error) {
 	var s state
 	before := heapBytes()
 	applied, err := processorTime(func() error {
--- a/internal/cell/machine.go
+++ b/internal/cell/machine.go
@@ -52,7 +52,7 @@
 	ledger  ledger.Ledger
 }
 
-// Machine is the journal.Machine of jobs and tasks.
+// Machine is the journal.StateMachine of jobs and tasks.
 type Machine struct {
 	epochs   EpochSource
 	counters Counters
@@ -121,12 +121,12 @@
 	f()
 }
 
-// Types implements journal.Machine.
+// Types implements journal.StateMachine.
 func (m *Machine) Types() []journal.EntryType {
 	return []journal.EntryType{TypeSubmit, TypeCancel, TypeVMs, TypeStart, TypeReport, TypeStop, TypeReplace, TypeMove, TypeMoved, TypePublished}
 }
 
-// Apply implements journal.Machine. Its errors are of type *Rejection. A
+// Apply implements journal.StateMachine. Its errors are of type *Rejection. A
 // batch of which anything was accepted returns nil; the events tell of each.
 func (m *Machine) Apply(pos journal.Position, e journal.Entry) error {
 	m.applying.Lock()
--- a/internal/cell/snapshot.go
+++ b/internal/cell/snapshot.go
@@ -77,7 +77,7 @@
 	Claim    *api.Resources
 }
 
-// Snapshot implements journal.Machine. Equal states give equal bytes.
+// Snapshot implements journal.StateMachine. Equal states give equal bytes.
 func (m *Machine) Snapshot() ([]byte, error) {
 	m.applying.Lock()
 	defer m.applying.Unlock()
@@ -156,7 +156,7 @@
 	return image
 }
 
-// Restore implements journal.Machine. A snapshot that contradicts itself is
+// Restore implements journal.StateMachine. A snapshot that contradicts itself is
 // an error; the state is then not to be used.
 func (m *Machine) Restore(data []byte) error {
 	var s snapshot
--- a/internal/config/machine.go
+++ b/internal/config/machine.go
@@ -24,7 +24,7 @@
 	subscribers subscribers
 }
 
-var _ journal.Machine = (*StateMachine)(nil)
+var _ journal.StateMachine = (*StateMachine)(nil)
 
 // tombstone records the deletion of a key.
 type tombstone struct {
@@ -38,12 +38,12 @@
 	return &StateMachine{tables: newTables(), recentPublications: newRecentPublications()}
 }
 
-// Types implements journal.Machine.
+// Types implements journal.StateMachine.
 func (m *StateMachine) Types() []journal.EntryType {
 	return []journal.EntryType{TypePublish}
 }
 
-// Apply implements journal.Machine. Its errors are of type *ConflictError or
+// Apply implements journal.StateMachine. Its errors are of type *ConflictError or
 // *MalformedError. Applying an accepted publication again has no effect and
 // returns no error.
 func (m *StateMachine) Apply(_ journal.Position, e journal.Entry) error {
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -25,7 +25,7 @@
 	Records []storedRecord
 }
 
-// Snapshot implements journal.Machine. The snapshot includes records that this
+// Snapshot implements journal.StateMachine. The snapshot includes records that this
 // binary cannot decode.
 func (m *StateMachine) Snapshot() ([]byte, error) {
 	m.mu.Lock()
@@ -42,7 +42,7 @@
 	return journal.Encode(s), nil
 }
 
-// Restore implements journal.Machine. If the snapshot is older than the state,
+// Restore implements journal.StateMachine. If the snapshot is older than the state,
 // it returns a *StaleSnapshotError and leaves the state unchanged. Otherwise
 // subscribers receive one Change with Restored set.
 func (m *StateMachine) Restore(data []byte) error {
--- a/internal/controller/jobs/jobs_test.go
+++ b/internal/controller/jobs/jobs_test.go
@@ -14,7 +14,7 @@
 )
 
 // direct applies what is proposed at once.
-type direct struct{ machines []journal.Machine }
+type direct struct{ machines []journal.StateMachine }
 
 func (d direct) Propose(_ context.Context, e journal.Entry) error {
 	for _, m := range d.machines {
@@ -34,9 +34,9 @@
 
 func TestPublishedJobIsTakenOnceAtItsHome(t *testing.T) {
 	records, tasks, counters := config.NewStateMachine(), cell.New(holder{}, counter.NewSet()), counter.NewSet()
-	publisher := config.NewPublisher(records, direct{[]journal.Machine{records}})
+	publisher := config.NewPublisher(records, direct{[]journal.StateMachine{records}})
 	home := func(id string, _ []api.DataCentre) api.DataCentre { return api.DataCentre(id[:1]) }
-	c := New(Config{DataCentre: "a", Home: home}, records, tasks, direct{[]journal.Machine{tasks}}, publisher, holder{}, counters, time.Now)
+	c := New(Config{DataCentre: "a", Home: home}, records, tasks, direct{[]journal.StateMachine{tasks}}, publisher, holder{}, counters, time.Now)
 
 	publish := func(rec api.Record) api.Revision {
 		t.Helper()
--- a/internal/entry/bootstrap.go
+++ b/internal/entry/bootstrap.go
@@ -59,7 +59,7 @@
 		return nil
 	}
 	state, err := replica.Export()
-	if errors.Is(err, journal.ErrIncomplete) {
+	if errors.Is(err, journal.ErrIncompleteState) {
 		return nil
 	}
 	if err != nil {
@@ -92,8 +92,8 @@
 // replicas returns the streams that this node follows, by name.
 func (n *Node) replicas() map[string]*journal.Replica {
 	return map[string]*journal.Replica{
-		ConfigStream:                      n.streams.config,
-		CellStream(n.settings.DataCentre): n.streams.cell,
+		ConfigStream:                            n.streams.config,
+		DataCentreStream(n.settings.DataCentre): n.streams.cell,
 	}
 }
 
--- a/internal/entry/cluster_test.go
+++ b/internal/entry/cluster_test.go
@@ -136,7 +136,7 @@
 	logs, err := httplog.NewClient(httplog.Config{BaseURL: s.Log.URLs[0]})
 	must(c.t, err)
 	c.net.revive(s.NodeID)
-	n, err := NewWith(s, c.log, c.net.outside(s.NodeID, Outside{
+	n, err := NewWithAdapters(s, c.log, c.net.outside(s.NodeID, Adapters{
 		Log: logs, VMList: httpvmlist.New(s.VMList.URL), Worker: httpworker.New(workerDialTimeout),
 		Endpoint: httpendpoint.New(httpendpoint.Config{}),
 	}))
--- a/internal/entry/config_test.go
+++ b/internal/entry/config_test.go
@@ -45,11 +45,11 @@
 	}
 }
 
-// TestOperatorsRace: operators publish the same keys through all entry VMs
+// TestConcurrentPublications: operators publish the same keys through all entry VMs
 // while the log loses and delays answers and an entry VM dies. The outcomes
 // are those of one compare-and-set register for each key, and no entry VM
 // shows an older record after a newer one.
-func TestOperatorsRace(t *testing.T) {
+func TestConcurrentPublications(t *testing.T) {
 	c := startCluster(t)
 	victim := c.nodes[3]
 	var operators sync.WaitGroup
--- a/internal/entry/faults_test.go
+++ b/internal/entry/faults_test.go
@@ -94,9 +94,9 @@
 	c.finish()
 }
 
-// TestPeersCut: two entry VMs of a data centre don't reach each other, one way
+// TestPeersPartitioned: two entry VMs of a data centre don't reach each other, one way
 // or both, while the log reaches both.
-func TestPeersCut(t *testing.T) {
+func TestPeersPartitioned(t *testing.T) {
 	for name, ways := range map[string]int{"one way": 1, "both ways": 2} {
 		t.Run(name, func(t *testing.T) {
 			c := startCluster(t)
@@ -141,8 +141,8 @@
 	}
 }
 
-// TestLogCutForOneEntry: one entry VM doesn't reach the log, its peers do.
-func TestLogCutForOneEntry(t *testing.T) {
+// TestOneEntryCutOffFromLog: one entry VM doesn't reach the log, its peers do.
+func TestOneEntryCutOffFromLog(t *testing.T) {
 	c := startCluster(t)
 	a := c.nodes[0].settings.NodeID
 	c.traffic(c.nodes, func() {
@@ -255,9 +255,9 @@
 	c.finish()
 }
 
-// TestLeavingEntryHandsOver: the endpoints of a leaving entry VM take requests
+// TestLeavingEntryReleasesEndpoints: the endpoints of a leaving entry VM take requests
 // of others while one of its own is still in flight.
-func TestLeavingEntryHandsOver(t *testing.T) {
+func TestLeavingEntryReleasesEndpoints(t *testing.T) {
 	c := startCluster(t)
 	victim, other := c.nodes[0], c.nodes[1]
 	if victim.router.Free(service) == 0 {
--- a/internal/entry/fuzz_test.go
+++ b/internal/entry/fuzz_test.go
@@ -18,7 +18,7 @@
 	spec := api.JobSpec{ID: "j", Tasks: 1, Resources: api.Resources{MilliCPU: 1}}
 	f.Add(uint8(journal.TypeCellFirst), cell.SubmitEntry(spec, 1).Body)
 	f.Add(uint8(journal.TypeRequestFirst), journal.Encode(reqkey.Mark{ID: "r", Digest: 1}))
-	f.Add(uint8(journal.TypeOwnershipFirst), journal.Encode(ownership.Join{Who: ownership.Identity{Node: "n", Incarnation: 1}}))
+	f.Add(uint8(journal.TypeOwnershipFirst), journal.Encode(ownership.Join{Process: ownership.Identity{Node: "n", Incarnation: 1}}))
 	f.Add(uint8(journal.TypeCellFirst+3), []byte{0x83, 0x01, 0x80, 0x80})
 	f.Fuzz(func(t *testing.T, kind uint8, body []byte) {
 		entry := journal.Entry{Type: journal.EntryType(kind), Body: body}
@@ -34,8 +34,8 @@
 // fuzzMachines applies an entry twice to fresh machines and returns their
 // snapshots.
 func fuzzMachines(t *testing.T, e journal.Entry) [][]byte {
-	owners := ownership.NewMachine()
-	machines := []journal.Machine{owners, reqkey.NewStateMachine(), cell.New(epochSource{owners: owners}, counter.NewSet())}
+	owners := ownership.NewStateMachine()
+	machines := []journal.StateMachine{owners, reqkey.NewStateMachine(), cell.New(epochSource{owners: owners}, counter.NewSet())}
 	var snapshots [][]byte
 	for _, m := range machines {
 		for range 2 {
@@ -49,7 +49,7 @@
 	return snapshots
 }
 
-func applyTo(m journal.Machine, e journal.Entry) error {
+func applyTo(m journal.StateMachine, e journal.Entry) error {
 	for _, t := range m.Types() {
 		if t == e.Type {
 			return m.Apply(journal.Position{}, e)
@@ -58,7 +58,7 @@
 	return nil
 }
 
-func fuzzSnapshot(t *testing.T, m journal.Machine) []byte {
+func fuzzSnapshot(t *testing.T, m journal.StateMachine) []byte {
 	data, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/entry/jobs_test.go
+++ b/internal/entry/jobs_test.go
@@ -206,9 +206,9 @@
 	return holder
 }
 
-// TestCancellationWave: all jobs are cancelled at once while the log loses
+// TestConcurrentCancellations: all jobs are cancelled at once while the log loses
 // answers; some run, some wait.
-func TestCancellationWave(t *testing.T) {
+func TestConcurrentCancellations(t *testing.T) {
 	c := startCluster(t)
 	w := c.submit("bne", "wave", 15, time.Hour)
 	c.running("bne", 8)
--- a/internal/entry/logwatch_test.go
+++ b/internal/entry/logwatch_test.go
@@ -9,7 +9,7 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-func TestLogWatchTellsAnOutageFromAFailure(t *testing.T) {
+func TestLogHealthDetectsOutage(t *testing.T) {
 	now := time.Now()
 	w := newLogWatch(nil, func() time.Time { return now })
 	fail := func(s *callState) { w.note(s, platform.ErrUnavailable) }
--- a/internal/entry/network_test.go
+++ b/internal/entry/network_test.go
@@ -140,8 +140,8 @@
 }
 
 // outside puts the network between a node and its adapters.
-func (n *network) outside(node api.NodeID, o Outside) Outside {
-	return Outside{
+func (n *network) outside(node api.NodeID, o Adapters) Adapters {
+	return Adapters{
 		Log: netLog{n, node, o.Log}, VMList: netList{n, node, o.VMList},
 		Worker: netWorker{n, node, o.Worker}, Endpoint: netEndpoint{n, node, o.Endpoint}, DialPeer: n.dialer(node),
 	}
@@ -205,12 +205,12 @@
 type netEndpoint struct {
 	net  *network
 	node api.NodeID
-	Endpoint
+	EndpointClient
 }
 
 func (e netEndpoint) Attempt(ctx context.Context, ep api.Endpoint, epoch api.Epoch, req *api.Request, maxAnswer int64) (answer *api.Answer, f platform.Feedback, err error) {
 	sent, cut := e.net.call(ctx, e.node, executorsName, func(ctx context.Context) {
-		answer, f, err = e.Endpoint.Attempt(ctx, ep, epoch, req, maxAnswer)
+		answer, f, err = e.EndpointClient.Attempt(ctx, ep, epoch, req, maxAnswer)
 	})
 	failure := &platform.AttemptError{Certainty: platform.MayHaveRun, Reason: api.ReasonAnswerTimeout, Endpoint: ep.ID, Cause: cut}
 	if !sent {
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -34,17 +34,17 @@
 // workerDialTimeout bounds the connect to a worker agent.
 const workerDialTimeout = time.Second
 
-// Outside holds the adapters to the outside. Tests put fakes in their place.
-type Outside struct {
+// Adapters holds the adapters to the outside. Tests put fakes in their place.
+type Adapters struct {
 	Log      platform.Log
 	VMList   platform.VMList
 	Worker   platform.Worker
-	Endpoint Endpoint
+	Endpoint EndpointClient
 	DialPeer peer.Dialer // nil: TCP
 }
 
-// Endpoint sends requests to endpoints and keeps connections to them.
-type Endpoint interface {
+// EndpointClient sends requests to endpoints and keeps connections to them.
+type EndpointClient interface {
 	platform.Endpoint
 	Retain(held []api.EndpointID)
 }
@@ -56,7 +56,7 @@
 	origin   journal.Origin
 	started  time.Time
 	counters *counter.Set
-	outside  Outside
+	outside  Adapters
 
 	streams    *streams
 	owner      *ownership.Controller
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return NewWith(s, log, Outside{
+	return NewWithAdapters(s, log, Adapters{
 		Log:      logs,
 		VMList:   httpvmlist.New(s.VMList.URL),
 		Worker:   httpworker.New(workerDialTimeout),
@@ -96,8 +96,8 @@
 	})
 }
 
-// NewWith is New with given adapters to the outside.
-func NewWith(s *settings.Settings, log *logrus.Logger, outside Outside) (*Node, error) {
+// NewWithAdapters is New with given adapters to the outside.
+func NewWithAdapters(s *settings.Settings, log *logrus.Logger, outside Adapters) (*Node, error) {
 	n := &Node{
 		settings: s,
 		log:      logging.ForNode(log, s.NodeID, s.DataCentre),
@@ -173,17 +173,17 @@
 		Random:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
 	n.owner = ownership.NewController(ownership.Config{
-		Self:        identityOf(n.origin),
-		Address:     n.advertised(),
-		Timing:      ownership.Timing{Hold: s.Hold.Hold.Std(), Drift: s.Hold.Drift},
-		Machine:     n.streams.owners,
-		Proposer:    n.streams.cell,
-		Follower:    n.streams.cell,
-		Health:      n.members.Health,
-		Unlisted:    n.unlisted,
-		InFlight:    n.inFlight,
-		BeforeCount: func() { n.cell.endpoints.Step() },
-		Log:         n.log,
+		Self:       identityOf(n.origin),
+		Address:    n.advertised(),
+		Timing:     ownership.Timing{HoldDuration: s.Hold.Hold.Std(), MaxClockDrift: s.Hold.Drift},
+		Machine:    n.streams.owners,
+		Proposer:   n.streams.cell,
+		Follower:   n.streams.cell,
+		Health:     n.members.Health,
+		Unlisted:   n.unlisted,
+		InFlight:   n.inFlight,
+		StopNewUse: func() { n.cell.endpoints.Step() },
+		Logger:     n.log,
 	})
 	n.members.Bind(n.owner)
 }
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -62,7 +62,7 @@
 		replica *journal.Replica
 	}{
 		{ConfigStream, n.streams.config},
-		{CellStream(n.settings.DataCentre), n.streams.cell},
+		{DataCentreStream(n.settings.DataCentre), n.streams.cell},
 	} {
 		status.Streams = append(status.Streams, streamStatus(r.name, r.replica, now))
 		if !r.replica.Ready() {
@@ -78,7 +78,7 @@
 
 func streamStatus(name string, r *journal.Replica, now time.Time) api.StreamStatus {
 	age := time.Duration(-1)
-	if confirmed := r.Confirmed(); !confirmed.IsZero() {
+	if confirmed := r.ConfirmedAt(); !confirmed.IsZero() {
 		age = now.Sub(confirmed)
 	}
 	return api.StreamStatus{
@@ -93,16 +93,16 @@
 	var list []api.MemberStatus
 	for _, m := range roster {
 		state := "alive"
-		h := health[m.Who.Node]
+		h := health[m.Process.Node]
 		switch {
-		case m.Who == identityOf(n.origin):
+		case m.Process == identityOf(n.origin):
 			state = "self"
 		case h.Suspected:
 			state = "suspected"
 		case h.Draining:
 			state = "draining"
 		}
-		list = append(list, api.MemberStatus{Node: m.Who.Node, Address: m.Address, State: state})
+		list = append(list, api.MemberStatus{Node: m.Process.Node, Address: m.Address, State: state})
 	}
 	return list
 }
@@ -114,7 +114,7 @@
 			continue
 		}
 		epoch, state := n.owner.Authority(shard, now)
-		list = append(list, api.ShardStatus{Shard: shard.String(), Epoch: epoch, Confirmed: state == ownership.Full})
+		list = append(list, api.ShardStatus{Shard: shard.String(), Epoch: epoch, Confirmed: state == ownership.AccessFull})
 	}
 	return list
 }
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -19,7 +19,7 @@
 	self    api.NodeID
 	address string // of this node's own peer service
 	members *member.Service
-	owners  *ownership.Machine
+	owners  *ownership.StateMachine
 	client  *peer.Client
 	counts  filter.Counters
 }
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -154,7 +154,7 @@
 				return
 			case <-watch.C:
 			}
-			if time.Since(n.streams.cell.Confirmed()) > handOverPatience {
+			if time.Since(n.streams.cell.ConfirmedAt()) > handOverPatience {
 				giveUp(errLogUnread)
 				return
 			}
@@ -234,7 +234,7 @@
 // hand-over goes through.
 func (n *Node) canHandOver() bool {
 	roster, _ := n.streams.owners.Roster()
-	return len(roster) > 1 && time.Since(n.streams.cell.Confirmed()) < n.settings.Hold.Hold.Std()
+	return len(roster) > 1 && time.Since(n.streams.cell.ConfirmedAt()) < n.settings.Hold.Hold.Std()
 }
 
 func (n *Node) drainStep(ctx context.Context, name string, do func(context.Context) error) {
--- a/internal/entry/streams.go
+++ b/internal/entry/streams.go
@@ -19,8 +19,8 @@
 // ConfigStream is the stream of operators' records.
 const ConfigStream = "config"
 
-// CellStream returns the stream of a data centre.
-func CellStream(dc api.DataCentre) string {
+// DataCentreStream returns the stream of a data centre.
+func DataCentreStream(dc api.DataCentre) string {
 	return "dc/" + string(dc)
 }
 
@@ -35,7 +35,7 @@
 // streams are the two streams that an entry VM follows.
 type streams struct {
 	configs *config.StateMachine
-	owners  *ownership.Machine
+	owners  *ownership.StateMachine
 	marks   *reqkey.StateMachine
 	tasks   *cell.Machine
 
@@ -48,27 +48,27 @@
 func newStreams(s *settings.Settings, log platform.Log, origin journal.Origin, entries func() int, counters *counter.Set, logger logrus.FieldLogger) (*streams, error) {
 	st := &streams{
 		configs: config.NewStateMachine(),
-		owners:  ownership.NewMachine(),
+		owners:  ownership.NewStateMachine(),
 		marks:   reqkey.NewStateMachine(),
 	}
 	st.tasks = cell.New(epochSource{owners: st.owners}, counters)
-	replica := func(stream string, share float64, pollWait time.Duration, machines ...journal.Machine) (*journal.Replica, error) {
+	replica := func(stream string, share float64, pollWait time.Duration, machines ...journal.StateMachine) (*journal.Replica, error) {
 		return journal.NewReplica(journal.Config{
-			Stream: stream, Origin: origin, Log: log, Machines: machines, Logger: logger,
+			Stream: stream, Origin: origin, Log: log, StateMachines: machines, Logger: logger,
 			AppendsPerSecond: func() float64 {
 				return share * s.Journal.AppendsPerSecond / float64(max(1, entries()))
 			},
-			FlushInterval:    s.Journal.BatchDelay.Std(),
-			MaxRecordBytes:   s.Journal.BatchBytes,
-			MaxBacklogBytes:  s.Journal.BacklogBytes,
-			ReadMax:          s.Log.ReadRecords,
-			AppendTimeout:    s.Log.AppendTimeout.Std(),
-			PollWait:         pollWait,
-			ReadTimeout:      s.Log.ReadTimeout.Std(),
-			SnapshotEvery:    uint64(s.Journal.SnapshotRecords),
-			SnapshotInterval: s.Journal.SnapshotInterval.Std(),
-			BackoffMin:       s.Log.RetryMin.Std(),
-			BackoffMax:       s.Log.RetryMax.Std(),
+			FlushInterval:       s.Journal.BatchDelay.Std(),
+			MaxRecordBytes:      s.Journal.BatchBytes,
+			MaxBacklogBytes:     s.Journal.BacklogBytes,
+			MaxReadRecords:      s.Log.ReadRecords,
+			AppendTimeout:       s.Log.AppendTimeout.Std(),
+			PollWait:            pollWait,
+			ReadTimeout:         s.Log.ReadTimeout.Std(),
+			MaxSnapshotRecords:  uint64(s.Journal.SnapshotRecords),
+			MaxSnapshotInterval: s.Journal.SnapshotInterval.Std(),
+			BackoffMin:          s.Log.RetryMin.Std(),
+			BackoffMax:          s.Log.RetryMax.Std(),
 		})
 	}
 	readWait := s.Log.ReadWait.Std()
@@ -77,7 +77,7 @@
 	if st.config, err = replica(ConfigStream, configShare, readWait, st.configs); err != nil {
 		return nil, err
 	}
-	if st.cell, err = replica(CellStream(s.DataCentre), 1-configShare, holdWait, st.owners, st.marks, st.tasks); err != nil {
+	if st.cell, err = replica(DataCentreStream(s.DataCentre), 1-configShare, holdWait, st.owners, st.marks, st.tasks); err != nil {
 		return nil, err
 	}
 	return st, nil
@@ -91,7 +91,7 @@
 // epochSource tells the cell's machine which epoch holds the placement shard
 // at the place in the log that is being applied.
 type epochSource struct {
-	owners *ownership.Machine
+	owners *ownership.StateMachine
 }
 
 // CellEpoch implements cell.EpochSource. It is zero while nobody holds the
--- a/internal/entry/together_test.go
+++ b/internal/entry/together_test.go
@@ -64,9 +64,9 @@
 	},
 }
 
-// TestFaultsTogether: faults drawn from a seed come two at a time, under
+// TestCombinedFaults: faults drawn from a seed come two at a time, under
 // requests and jobs.
-func TestFaultsTogether(t *testing.T) {
+func TestCombinedFaults(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			c := startCluster(t)
--- a/internal/entry/world_test.go
+++ b/internal/entry/world_test.go
@@ -13,7 +13,7 @@
 )
 
 // applied applies what is proposed at once.
-type applied struct{ machine journal.Machine }
+type applied struct{ machine journal.StateMachine }
 
 func (a applied) Propose(_ context.Context, e journal.Entry) error {
 	return a.machine.Apply(journal.Position{}, e)
@@ -21,7 +21,7 @@
 
 // A quota that is published or deleted while this node places tasks is in
 // force from the next cycle on.
-func TestQuotaIsInForceWithoutANewTenure(t *testing.T) {
+func TestQuotaChangeAppliesToNextCycle(t *testing.T) {
 	configs := config.NewStateMachine()
 	publisher := config.NewPublisher(configs, applied{configs})
 	w := (&Node{streams: &streams{configs: configs}}).newWorld()
--- a/internal/journal/append.go
+++ b/internal/journal/append.go
@@ -227,7 +227,7 @@
 			r.counters.batchesAbandoned.Add(1)
 			r.finish(o, r.sameForAll(o, ErrUnsettled))
 			return false
-		case r.Ready() && r.Confirmed().After(o.lostAt):
+		case r.Ready() && r.ConfirmedAt().After(o.lostAt):
 			return true
 		}
 		select {
--- a/internal/journal/bench_test.go
+++ b/internal/journal/bench_test.go
@@ -30,9 +30,9 @@
 	})}
 }
 
-// TestPeakFitsTheAppendBudget puts 5,000 starts a second through nine nodes
+// TestPeakLoadFitsAppendBudget puts 5,000 starts a second through nine nodes
 // and a log that refuses more than 200 appends a second, in virtual time.
-func TestPeakFitsTheAppendBudget(t *testing.T) {
+func TestPeakLoadFitsAppendBudget(t *testing.T) {
 	const nodes, budget, perSecond, seconds = 9, 200, 5000, 3
 	synctest.Test(t, func(t *testing.T) {
 		log := logserver.New(logserver.Config{AppendsPerSecond: budget, AppendBurst: budget / 10})
@@ -67,7 +67,7 @@
 	})
 }
 
-func BenchmarkReplay(b *testing.B) {
+func BenchmarkApply(b *testing.B) {
 	const records, perRecord = 2000, 25
 	var all []platform.LogRecord
 	for i := range records {
@@ -79,7 +79,7 @@
 		all = append(all, platform.LogRecord{Offset: platform.Offset(i), Data: data})
 	}
 	for b.Loop() {
-		c := newCore(Config{Machines: []Machine{&starts{}}})
+		c := newCore(Config{StateMachines: []StateMachine{&starts{}}})
 		for _, rec := range all {
 			if _, err := c.apply(rec); err != nil {
 				b.Fatal(err)
@@ -112,7 +112,7 @@
 	for i := range 460_000 / 11 {
 		m.kept = append(m.kept, startEntry(i).Body)
 	}
-	c := newCore(Config{Machines: []Machine{m}})
+	c := newCore(Config{StateMachines: []StateMachine{m}})
 	var st State
 	for b.Loop() {
 		var err error
--- a/internal/journal/codec_test.go
+++ b/internal/journal/codec_test.go
@@ -22,9 +22,9 @@
 	}
 }
 
-// TestDecodeTakesArraysLargerThanTheFleet failed with the library's default
+// TestDecodeAcceptsLargeArrays failed with the library's default
 // bound of 131072 elements.
-func TestDecodeTakesArraysLargerThanTheFleet(t *testing.T) {
+func TestDecodeAcceptsLargeArrays(t *testing.T) {
 	tasks := make([]api.TaskID, 500_000)
 	if err := Decode(Encode(tasks), &tasks); err != nil {
 		t.Fatal(err)
--- a/internal/journal/config.go
+++ b/internal/journal/config.go
@@ -14,29 +14,29 @@
 
 // Defaults of Config.
 const (
-	DefaultFlushInterval    = 5 * time.Millisecond
-	DefaultMaxRecordBytes   = 256 << 10
-	DefaultMaxBacklogBytes  = 4 << 20
-	DefaultAppendsPerSecond = 20
-	DefaultAppendBurst      = 2
-	DefaultAppendTimeout    = 2 * time.Second
-	DefaultReadTimeout      = 2 * time.Second
-	DefaultPollWait         = 500 * time.Millisecond
-	DefaultReadInterval     = 10 * time.Millisecond
-	DefaultReadMax          = 1000
-	DefaultSnapshotEvery    = 20000
-	DefaultSnapshotInterval = 10 * time.Minute
-	DefaultMaxSnapshotBytes = 64 << 20
-	DefaultBackoffMin       = 20 * time.Millisecond
-	DefaultBackoffMax       = 2 * time.Second
+	DefaultFlushInterval       = 5 * time.Millisecond
+	DefaultMaxRecordBytes      = 256 << 10
+	DefaultMaxBacklogBytes     = 4 << 20
+	DefaultAppendsPerSecond    = 20
+	DefaultAppendBurst         = 2
+	DefaultAppendTimeout       = 2 * time.Second
+	DefaultReadTimeout         = 2 * time.Second
+	DefaultPollWait            = 500 * time.Millisecond
+	DefaultReadInterval        = 10 * time.Millisecond
+	DefaultMaxReadRecords      = 1000
+	DefaultMaxSnapshotRecords  = 20000
+	DefaultMaxSnapshotInterval = 10 * time.Minute
+	DefaultMaxSnapshotBytes    = 64 << 20
+	DefaultBackoffMin          = 20 * time.Millisecond
+	DefaultBackoffMax          = 2 * time.Second
 )
 
 // Config holds the settings of a Replica. Zero fields take the defaults.
 type Config struct {
-	Stream   string       // of the platform's log
-	Origin   Origin       // of this process; a new incarnation for each start
-	Log      platform.Log // shared by all replicas of the process
-	Machines []Machine    // fed by the stream; types must not overlap
+	Stream        string         // of the platform's log
+	Origin        Origin         // of this process; a new incarnation for each start
+	Log           platform.Log   // shared by all replicas of the process
+	StateMachines []StateMachine // fed by the stream; types must not overlap
 
 	FlushInterval    time.Duration  // longest wait for more entries before an append
 	MaxRecordBytes   int            // the log's limit for one record
@@ -45,15 +45,15 @@
 	AppendBurst      int            // appends that may follow each other at once
 	AppendTimeout    time.Duration  // of one append
 
-	ReadMax      int           // records in one read
-	PollWait     time.Duration // of a read at the end of the stream; bounds the age of Confirmed
-	ReadInterval time.Duration // shortest time between the starts of two reads
-	ReadTimeout  time.Duration // of one read, besides PollWait
+	MaxReadRecords int           // records in one read
+	PollWait       time.Duration // of a read at the end of the stream; bounds the age of Confirmed
+	ReadInterval   time.Duration // shortest time between the starts of two reads
+	ReadTimeout    time.Duration // of one read, besides PollWait
 
-	SnapshotEvery    uint64        // records between snapshots, at most
-	SnapshotInterval time.Duration // time between snapshots, at most; keep below a quarter of the log's retention
-	RetainRecords    uint64        // that the log keeps, if it counts them; snapshots come within a quarter of them
-	MaxSnapshotBytes int           // larger ones are neither written nor read
+	MaxSnapshotRecords  uint64        // records between snapshots, at most
+	MaxSnapshotInterval time.Duration // time between snapshots, at most; keep below a quarter of the log's retention
+	RetainedRecords     uint64        // that the log keeps, if it counts them; snapshots come within a quarter of them
+	MaxSnapshotBytes    int           // larger ones are neither written nor read
 
 	BackoffMin time.Duration // first pause after a failure
 	BackoffMax time.Duration // longest pause after a failure
@@ -70,12 +70,12 @@
 	defaults.Set(&c.MaxBacklogBytes, DefaultMaxBacklogBytes)
 	defaults.Set(&c.AppendBurst, DefaultAppendBurst)
 	defaults.Set(&c.AppendTimeout, DefaultAppendTimeout)
-	defaults.Set(&c.ReadMax, DefaultReadMax)
+	defaults.Set(&c.MaxReadRecords, DefaultMaxReadRecords)
 	defaults.Set(&c.PollWait, DefaultPollWait)
 	defaults.Set(&c.ReadInterval, DefaultReadInterval)
 	defaults.Set(&c.ReadTimeout, DefaultReadTimeout)
-	defaults.Set(&c.SnapshotEvery, DefaultSnapshotEvery)
-	defaults.Set(&c.SnapshotInterval, DefaultSnapshotInterval)
+	defaults.Set(&c.MaxSnapshotRecords, DefaultMaxSnapshotRecords)
+	defaults.Set(&c.MaxSnapshotInterval, DefaultMaxSnapshotInterval)
 	defaults.Set(&c.MaxSnapshotBytes, DefaultMaxSnapshotBytes)
 	defaults.Set(&c.BackoffMin, DefaultBackoffMin)
 	defaults.Set(&c.BackoffMax, DefaultBackoffMax)
@@ -105,7 +105,7 @@
 	l.Check(c.MaxRecordBytes >= minRecordBytes, "max_record_bytes", c.MaxRecordBytes, "1024 or more")
 	l.Check(c.MaxBacklogBytes >= c.MaxRecordBytes, "max_backlog_bytes", c.MaxBacklogBytes, "max_record_bytes or more")
 	l.Check(c.AppendBurst > 0, "append_burst", c.AppendBurst, "1 or more")
-	l.Check(c.ReadMax > 0, "read_max", c.ReadMax, "1 or more")
+	l.Check(c.MaxReadRecords > 0, "read_max", c.MaxReadRecords, "1 or more")
 	l.Check(c.MaxSnapshotBytes > 0, "max_snapshot_bytes", c.MaxSnapshotBytes, "above zero")
 	l.Check(c.BackoffMax >= c.BackoffMin, "backoff_max", c.BackoffMax, "backoff_min or more")
 	c.checkDurations(&l)
@@ -119,13 +119,13 @@
 	l.Check(c.PollWait > 0, "poll_wait", c.PollWait, "above zero")
 	l.Check(c.ReadInterval > 0, "read_interval", c.ReadInterval, "above zero")
 	l.Check(c.ReadTimeout > 0, "read_timeout", c.ReadTimeout, "above zero")
-	l.Check(c.SnapshotInterval > 0, "snapshot_interval", c.SnapshotInterval, "above zero")
+	l.Check(c.MaxSnapshotInterval > 0, "snapshot_interval", c.MaxSnapshotInterval, "above zero")
 	l.Check(c.BackoffMin > 0, "backoff_min", c.BackoffMin, "above zero")
 }
 
 func (c Config) checkMachines(l *finding.List) {
 	seen := make(map[EntryType]bool)
-	for _, m := range c.Machines {
+	for _, m := range c.StateMachines {
 		l.Check(len(m.Types()) > 0, "machines", nil, "entry types for each")
 		for _, t := range m.Types() {
 			l.Check(!seen[t], "machines", t, "each entry type once")
--- a/internal/journal/core.go
+++ b/internal/journal/core.go
@@ -32,8 +32,8 @@
 // concurrent use.
 type core struct {
 	stream   string
-	machines []Machine
-	byType   map[EntryType]Machine
+	machines []StateMachine
+	byType   map[EntryType]StateMachine
 	seen     *sequencer
 	snaps    *assembler
 	next     platform.Offset // of the first record not yet applied
@@ -44,12 +44,12 @@
 func newCore(cfg Config) *core {
 	c := &core{
 		stream:   cfg.Stream,
-		machines: cfg.Machines,
-		byType:   make(map[EntryType]Machine),
+		machines: cfg.StateMachines,
+		byType:   make(map[EntryType]StateMachine),
 		seen:     newSequencer(),
 		snaps:    newAssembler(cfg.Stream, false, cfg.MaxSnapshotBytes),
 	}
-	for _, m := range cfg.Machines {
+	for _, m := range cfg.StateMachines {
 		for _, t := range m.Types() {
 			c.byType[t] = m
 		}
@@ -125,7 +125,7 @@
 		if !ok {
 			out.unknown++
 			c.foreign = true
-			out.results[i] = ErrNoMachine
+			out.results[i] = ErrUnknownType
 			continue
 		}
 		out.results[i] = m.Apply(Position{Offset: offset, Index: uint32(i)}, e)
--- a/internal/journal/errors.go
+++ b/internal/journal/errors.go
@@ -13,20 +13,20 @@
 	ErrBacklogFull = fmt.Errorf("%w: backlog full", ErrNotWritten)
 	// ErrEntryTooLarge: the entry does not fit into one record.
 	ErrEntryTooLarge = fmt.Errorf("%w: entry too large", ErrNotWritten)
-	// ErrNoMachine: no local machine applies the entry's type.
-	ErrNoMachine = fmt.Errorf("%w: no machine for the entry type", ErrNotWritten)
+	// ErrUnknownType: no local machine applies the entry's type.
+	ErrUnknownType = fmt.Errorf("%w: no machine for the entry type", ErrNotWritten)
 	// ErrStopped: Run has ended.
 	ErrStopped = fmt.Errorf("%w: replica stopped", ErrNotWritten)
 )
 
 // Errors of Export and Import.
 var (
-	// ErrIncomplete: the local state is not complete and can't be exported.
-	ErrIncomplete = errors.New("journal: state not complete")
-	// ErrOlderState: the state stands for an earlier position than the local one.
-	ErrOlderState = errors.New("journal: state is older than the local one")
-	// ErrBadState: the state is damaged or belongs to another stream.
-	ErrBadState = errors.New("journal: state damaged or of another stream")
+	// ErrIncompleteState: the local state is not complete and can't be exported.
+	ErrIncompleteState = errors.New("journal: state not complete")
+	// ErrStaleState: the state stands for an earlier position than the local one.
+	ErrStaleState = errors.New("journal: state is older than the local one")
+	// ErrInvalidState: the state is damaged or belongs to another stream.
+	ErrInvalidState = errors.New("journal: state damaged or of another stream")
 )
 
 // Errors of decoding a record.
--- a/internal/journal/exchange.go
+++ b/internal/journal/exchange.go
@@ -22,7 +22,7 @@
 	r.applying.Lock()
 	defer r.applying.Unlock()
 	if !r.Ready() {
-		return State{}, ErrIncomplete
+		return State{}, ErrIncompleteState
 	}
 	return r.core.snapshot()
 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -41,10 +41,10 @@
 	Index  uint32 // within the record at Offset
 }
 
-// Machine is a deterministic state machine fed by a stream. Every entry VM
+// StateMachine is a deterministic state machine fed by a stream. Every entry VM
 // that applies the same entries holds the same state. A machine guards its
 // own state; Apply is called from one goroutine, reads from any.
-type Machine interface {
+type StateMachine interface {
 	// Types returns the entry types that the machine applies.
 	Types() []EntryType
 	// Apply applies one entry. An error means that the entry was rejected
@@ -86,8 +86,8 @@
 type Follower interface {
 	// Applied is the position after the last applied record.
 	Applied() platform.Offset
-	// Confirmed is the local time at which the latest read that reached the
+	// ConfirmedAt is the local time at which the latest read that reached the
 	// end of the stream was sent: every entry that completed before it has
 	// been applied. It is zero before the first such read.
-	Confirmed() time.Time
+	ConfirmedAt() time.Time
 }
--- a/internal/journal/read.go
+++ b/internal/journal/read.go
@@ -91,7 +91,7 @@
 	ctx, cancel := context.WithTimeout(ctx, r.cfg.PollWait+r.cfg.ReadTimeout)
 	defer cancel()
 	r.counters.reads.Add(1)
-	return r.cfg.Log.Read(ctx, r.cfg.Stream, from, r.cfg.ReadMax, r.cfg.PollWait)
+	return r.cfg.Log.Read(ctx, r.cfg.Stream, from, r.cfg.MaxReadRecords, r.cfg.PollWait)
 }
 
 // pause waits after a failure.
--- a/internal/journal/recovery_test.go
+++ b/internal/journal/recovery_test.go
@@ -56,8 +56,8 @@
 // short makes records, retention and snapshots small.
 func short(c *Config) {
 	c.MaxRecordBytes = minRecordBytes
-	c.SnapshotEvery = 20
-	c.SnapshotInterval = 24 * time.Hour
+	c.MaxSnapshotRecords = 20
+	c.MaxSnapshotInterval = 24 * time.Hour
 	c.FlushInterval = time.Millisecond
 }
 
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestSnapshotsBridgeTheHorizon(t *testing.T) {
+func TestSnapshotsCoverTrimmedRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logserver.New(logserver.Config{RetainRecords: 100})
 		toB := &link{Log: log}
@@ -114,13 +114,13 @@
 	})
 }
 
-func TestQuietStreamsAreSnapshotInTime(t *testing.T) {
+func TestIdleStreamIsSnapshotBeforeTrim(t *testing.T) {
 	inBubble(t, func(t *testing.T, log *logserver.Server) {
 		a := readyNode(t, log, "a", nil)
 		writeMany(t, a, 0, 3)
 		for range 20 { // retention by time, two intervals long
 			end := a.Applied()
-			time.Sleep(2 * DefaultSnapshotInterval)
+			time.Sleep(2 * DefaultMaxSnapshotInterval)
 			log.Trim("dc/a", end)
 		}
 		b := readyNode(t, log, "b", nil)
@@ -128,7 +128,7 @@
 	})
 }
 
-func TestGapStopsTheReplicaUntilAPeerHelps(t *testing.T) {
+func TestGapStopsReplicaUntilImport(t *testing.T) {
 	inBubble(t, func(t *testing.T, log *logserver.Server) {
 		a := readyNode(t, log, "a", nil)
 		writeMany(t, a, 0, 50)
@@ -144,7 +144,7 @@
 		}
 		wantErr(t, b.propose("x", time.Second), ErrNotReady)
 		_, err = b.Export()
-		wantErr(t, err, ErrIncomplete)
+		wantErr(t, err, ErrIncompleteState)
 		wantErr(t, b.Import(old), nil)
 		settleTime()
 		if b.Ready() {
@@ -153,17 +153,17 @@
 		newest, err := a.Export()
 		wantErr(t, err, nil)
 		wantErr(t, b.Import(newest), nil)
-		wantErr(t, b.Import(old), ErrOlderState)
+		wantErr(t, b.Import(old), ErrStaleState)
 		newest.Data[len(newest.Data)/2] ^= 1
 		newest.Position++
-		wantErr(t, b.Import(newest), ErrBadState)
+		wantErr(t, b.Import(newest), ErrInvalidState)
 		settleTime()
 		wantSame(t, a, b)
 		writeMany(t, b, 60, 61)
 	})
 }
 
-func TestStartWithTheLogDownTakesAPeersState(t *testing.T) {
+func TestStartWithLogDownImportsPeerState(t *testing.T) {
 	inBubble(t, func(t *testing.T, log *logserver.Server) {
 		a := readyNode(t, log, "a", nil)
 		writeMany(t, a, 0, 5)
@@ -177,7 +177,7 @@
 		wantErr(t, err, nil)
 		wantErr(t, b.Import(st), nil)
 		wantSame(t, a, b)
-		if !b.Confirmed().IsZero() || time.Since(a.Confirmed()) < time.Hour {
+		if !b.ConfirmedAt().IsZero() || time.Since(a.ConfirmedAt()) < time.Hour {
 			t.Error("confirmed without a read")
 		}
 		if reads := log.Stats().Reads; reads > 6000 {
@@ -201,7 +201,7 @@
 	})
 }
 
-func TestTornRecordsAreSkippedByAll(t *testing.T) {
+func TestTornRecordsAreSkippedByAllReplicas(t *testing.T) {
 	inBubble(t, func(t *testing.T, log *logserver.Server) {
 		toB := &link{Log: log}
 		a, b := readyNode(t, log, "a", nil), readyNode(t, toB, "b", nil)
@@ -226,7 +226,7 @@
 	})
 }
 
-func TestBatchesShrinkToWhatTheLogTakes(t *testing.T) {
+func TestBatchesShrinkToLogLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logserver.New(logserver.Config{MaxRecordBytes: 2000})
 		a := readyNode(t, log, "a", nil)
@@ -242,7 +242,7 @@
 	})
 }
 
-func TestAssemblerTakesOnlyWholeSnapshots(t *testing.T) {
+func TestAssemblerReturnsOnlyCompleteSnapshots(t *testing.T) {
 	st := State{Stream: "s", Position: 5, Checksum: 0, Data: []byte("0123456789")}
 	st.Checksum = xxhash.Sum64(st.Data)
 	parts := split(st, 1, 4)
@@ -276,10 +276,10 @@
 	}
 }
 
-// TestAnswersStayTrueUnderRandomFaults runs three nodes through random
+// TestResultsAreCorrectUnderRandomFaults runs three nodes through random
 // faults, restarts and a short retention, and checks every answer against the
 // final state.
-func TestAnswersStayTrueUnderRandomFaults(t *testing.T) {
+func TestResultsAreCorrectUnderRandomFaults(t *testing.T) {
 	var scans uint64
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -369,9 +369,9 @@
 	}
 }
 
-// TestStopEndsTheRetryOfABatch hung: the append loop went on sending a batch
+// TestStopEndsBatchRetry hung: the append loop went on sending a batch
 // of unknown fate after its context had ended, without a pause.
-func TestStopEndsTheRetryOfABatch(t *testing.T) {
+func TestStopEndsBatchRetry(t *testing.T) {
 	inBubble(t, func(t *testing.T, log *logserver.Server) {
 		toA := &link{Log: log}
 		a := readyNode(t, toA, "a", nil)
@@ -388,19 +388,19 @@
 	})
 }
 
-func TestConfirmedMeansReadToTheEnd(t *testing.T) {
+func TestConfirmedAtRequiresReadToEnd(t *testing.T) {
 	inBubble(t, func(t *testing.T, log *logserver.Server) {
 		a := readyNode(t, log, "a", nil)
 		writeMany(t, a, 0, 10)
 		log.SetFaults(logserver.Faults{Slow: time.Second})
-		b := startNode(t, log, "b", func(c *Config) { c.ReadMax = 1 })
+		b := startNode(t, log, "b", func(c *Config) { c.MaxReadRecords = 1 })
 		time.Sleep(5500 * time.Millisecond)
-		if got := b.Applied(); got == 0 || got >= a.Applied() || b.Ready() || !b.Confirmed().IsZero() {
-			t.Errorf("applied %d of %d, ready %v, confirmed %v", got, a.Applied(), b.Ready(), b.Confirmed())
+		if got := b.Applied(); got == 0 || got >= a.Applied() || b.Ready() || !b.ConfirmedAt().IsZero() {
+			t.Errorf("applied %d of %d, ready %v, confirmed %v", got, a.Applied(), b.Ready(), b.ConfirmedAt())
 		}
 		for range 200 {
 			time.Sleep(70 * time.Millisecond)
-			if age := time.Since(b.Confirmed()); age < time.Second {
+			if age := time.Since(b.ConfirmedAt()); age < time.Second {
 				t.Fatalf("confirmed %v ago by a read that took a second", age)
 			}
 		}
@@ -408,7 +408,7 @@
 	})
 }
 
-func TestReadOvertakenByAPeersState(t *testing.T) {
+func TestImportDuringRead(t *testing.T) {
 	inBubble(t, func(t *testing.T, log *logserver.Server) {
 		a := readyNode(t, log, "a", nil)
 		writeMany(t, a, 0, 10)
--- a/internal/journal/replica.go
+++ b/internal/journal/replica.go
@@ -75,7 +75,7 @@
 	}
 	r.recordLimit.Store(int64(cfg.MaxRecordBytes))
 	r.schedule = schedule{
-		every: cfg.SnapshotEvery, interval: cfg.SnapshotInterval, retain: cfg.RetainRecords, random: cfg.Random,
+		every: cfg.MaxSnapshotRecords, interval: cfg.MaxSnapshotInterval, retain: cfg.RetainedRecords, random: cfg.Random,
 	}
 	r.schedule.completed(0, cfg.Now())
 	return r, nil
@@ -128,7 +128,7 @@
 // enqueue checks p and queues it for the append loop.
 func (r *Replica) enqueue(p *proposal) error {
 	if _, ok := r.core.byType[p.entry.Type]; !ok {
-		return fmt.Errorf("%w: %d", ErrNoMachine, p.entry.Type)
+		return fmt.Errorf("%w: %d", ErrUnknownType, p.entry.Type)
 	}
 	if p.size > entryRoom(r.cfg.MaxRecordBytes, r.cfg.Origin) {
 		return fmt.Errorf("%w: %d bytes", ErrEntryTooLarge, p.size)
@@ -175,8 +175,8 @@
 	return platform.Offset(r.applied.Load())
 }
 
-// Confirmed implements Follower.
-func (r *Replica) Confirmed() time.Time {
+// ConfirmedAt implements Follower.
+func (r *Replica) ConfirmedAt() time.Time {
 	if t := r.confirmed.Load(); t != nil {
 		return *t
 	}
--- a/internal/journal/replica_test.go
+++ b/internal/journal/replica_test.go
@@ -63,11 +63,11 @@
 	t.Helper()
 	n := &node{machine: &tally{}, ended: make(chan struct{})}
 	cfg := Config{
-		Stream:   "dc/a",
-		Origin:   Origin{Node: api.NodeID(name), Incarnation: 1},
-		Log:      log,
-		Machines: []Machine{n.machine},
-		Random:   func() float64 { return 0.5 },
+		Stream:        "dc/a",
+		Origin:        Origin{Node: api.NodeID(name), Incarnation: 1},
+		Log:           log,
+		StateMachines: []StateMachine{n.machine},
+		Random:        func() float64 { return 0.5 },
 	}
 	if change != nil {
 		change(&cfg)
@@ -132,7 +132,7 @@
 	synctest.Wait()
 }
 
-func TestReplicasAgreeAndReturnTheMachinesVerdict(t *testing.T) {
+func TestReplicasAgreeAndReturnResults(t *testing.T) {
 	inBubble(t, func(t *testing.T, log *logserver.Server) {
 		a, b := startNode(t, log, "a", nil), startNode(t, log, "b", nil)
 		wantErr(t, a.propose("early", time.Second), ErrNotReady)
@@ -150,7 +150,7 @@
 		if appends := log.Stats().Appends; appends > 10 {
 			t.Errorf("201 entries took %d appends", appends)
 		}
-		if age := time.Since(a.Confirmed()); age > 2*DefaultPollWait {
+		if age := time.Since(a.ConfirmedAt()); age > 2*DefaultPollWait {
 			t.Errorf("confirmed %v ago", age)
 		}
 		a.stopAndWait()
@@ -159,7 +159,7 @@
 	})
 }
 
-func TestLostAnswersNeverDoubleOrLoseAnEntry(t *testing.T) {
+func TestEntriesAreAppliedOnceDespiteLostAnswers(t *testing.T) {
 	faults := map[string]logserver.Faults{
 		"answer lost after the write": {LoseAnswers: 3},
 		"append lost before it":       {DropAppends: 3},
@@ -182,7 +182,7 @@
 	}
 }
 
-func TestNotWrittenIsSaidOnlyWhenItIsCertain(t *testing.T) {
+func TestNotWrittenOnlyWhenCertain(t *testing.T) {
 	inBubble(t, func(t *testing.T, log *logserver.Server) {
 		a := readyNode(t, log, "a", nil)
 
@@ -205,7 +205,7 @@
 	})
 }
 
-func TestBacklogIsBoundedWhileTheLogIsDown(t *testing.T) {
+func TestBacklogIsBoundedWhileLogIsDown(t *testing.T) {
 	inBubble(t, func(t *testing.T, log *logserver.Server) {
 		a := startNode(t, log, "a", func(c *Config) { c.MaxRecordBytes, c.MaxBacklogBytes = 2048, 2048 })
 		settleTime()
@@ -229,9 +229,9 @@
 	})
 }
 
-// TestNoShareOfTheBudgetIsNotForever hung: the append loop waited without end
+// TestAppendsResumeAfterZeroBudgetShare hung: the append loop waited without end
 // for a share of zero, also after the share had grown.
-func TestNoShareOfTheBudgetIsNotForever(t *testing.T) {
+func TestAppendsResumeAfterZeroBudgetShare(t *testing.T) {
 	inBubble(t, func(t *testing.T, log *logserver.Server) {
 		began := time.Now()
 		a := startNode(t, log, "a", func(c *Config) {
--- a/internal/journal/state.go
+++ b/internal/journal/state.go
@@ -34,14 +34,14 @@
 	Data []byte
 }
 
-func sectionType(m Machine) EntryType {
+func sectionType(m StateMachine) EntryType {
 	return slices.Min(m.Types())
 }
 
 // snapshot returns the state at c.next.
 func (c *core) snapshot() (State, error) {
 	if c.damaged || c.foreign {
-		return State{}, ErrIncomplete
+		return State{}, ErrIncompleteState
 	}
 	body := stateBody{Stream: c.stream, Position: c.next, Origins: c.seen.export()}
 	for _, m := range c.machines {
@@ -89,16 +89,16 @@
 func (c *core) checkState(st State) (stateBody, error) {
 	var body stateBody
 	if xxhash.Sum64(st.Data) != st.Checksum {
-		return body, fmt.Errorf("%w: checksum", ErrBadState)
+		return body, fmt.Errorf("%w: checksum", ErrInvalidState)
 	}
 	if err := Decode(st.Data, &body); err != nil {
-		return body, fmt.Errorf("%w: %v", ErrBadState, err)
+		return body, fmt.Errorf("%w: %v", ErrInvalidState, err)
 	}
 	if body.Stream != c.stream || body.Position != st.Position {
-		return body, fmt.Errorf("%w: stream %q position %d", ErrBadState, body.Stream, body.Position)
+		return body, fmt.Errorf("%w: stream %q position %d", ErrInvalidState, body.Stream, body.Position)
 	}
 	if body.Position < c.next {
-		return body, fmt.Errorf("%w: position %d, local %d", ErrOlderState, body.Position, c.next)
+		return body, fmt.Errorf("%w: position %d, local %d", ErrStaleState, body.Position, c.next)
 	}
 	return body, nil
 }
--- a/internal/member/digest.go
+++ b/internal/member/digest.go
@@ -43,10 +43,10 @@
 
 // Digest is the state that a process reports in each heartbeat.
 type Digest struct {
-	_       struct{}        `cbor:",toarray"`
-	Ask     ownership.Ask   // the process's identity and the table version that it has applied
-	Applied platform.Offset // of the data centre's stream
-	Roster  uint32          // fingerprint of its roster
+	_       struct{}               `cbor:",toarray"`
+	Ask     ownership.GrantRequest // the process's identity and the table version that it has applied
+	Applied platform.Offset        // of the data centre's stream
+	Roster  uint32                 // fingerprint of its roster
 	Flags   uint8
 	Free    []ServiceFree // at most MaxServices
 	Ages    []byte        // time since each member of its roster was heard from, by node, in ageUnit
@@ -71,8 +71,8 @@
 func fingerprint(roster []ownership.Member) uint32 {
 	sum := crc32.NewIEEE()
 	for _, m := range roster {
-		sum.Write([]byte(m.Who.Node))
-		sum.Write(strconv.AppendUint([]byte{0}, uint64(m.Who.Incarnation), 16))
+		sum.Write([]byte(m.Process.Node))
+		sum.Write(strconv.AppendUint([]byte{0}, uint64(m.Process.Incarnation), 16))
 	}
 	return sum.Sum32()
 }
--- a/internal/member/handler.go
+++ b/internal/member/handler.go
@@ -20,7 +20,7 @@
 	s.mu.Unlock()
 	reply.Exchange = request.Exchange
 	if request.Digest.Flags&flagWantsGrant != 0 {
-		reply.Granted = s.granter.Answer(ask, now)
+		reply.Granted = s.granter.HandleGrantRequest(ask, now)
 		s.countAnswer(reply.Granted)
 	}
 	reply.Digest = s.digest(now)
--- a/internal/member/liveness.go
+++ b/internal/member/liveness.go
@@ -80,15 +80,15 @@
 	l.rosterFingerprint = fingerprint(roster)
 	newPeers := make(map[api.NodeID]*peer, len(roster))
 	for _, m := range roster {
-		if m.Who == l.self {
+		if m.Process == l.self {
 			continue
 		}
-		p := l.peers[m.Who.Node]
-		if p == nil || p.member.Who != m.Who {
+		p := l.peers[m.Process.Node]
+		if p == nil || p.member.Process != m.Process {
 			p = &peer{lastHeard: now, aliveSince: now}
 		}
 		p.member = m
-		newPeers[m.Who.Node] = p
+		newPeers[m.Process.Node] = p
 	}
 	l.peers = newPeers
 }
@@ -119,8 +119,8 @@
 // ObserveDigest handles a digest received from a member. A digest from another
 // incarnation than the one in the roster is ignored.
 func (l *Liveness) ObserveDigest(d Digest, now time.Time) {
-	p := l.peers[d.Ask.Who.Node]
-	if p == nil || p.member.Who != d.Ask.Who {
+	p := l.peers[d.Ask.Process.Node]
+	if p == nil || p.member.Process != d.Ask.Process {
 		return
 	}
 	if now.After(p.lastHeard) {
@@ -137,7 +137,7 @@
 		return
 	}
 	for i, m := range l.roster {
-		p := l.peers[m.Who.Node]
+		p := l.peers[m.Process.Node]
 		if p == nil || d.Ages[i] == ageUnknown {
 			continue
 		}
@@ -152,7 +152,7 @@
 func (l *Liveness) Ages(now time.Time) []byte {
 	ages := make([]byte, len(l.roster))
 	for i, m := range l.roster {
-		if p := l.peers[m.Who.Node]; p != nil {
+		if p := l.peers[m.Process.Node]; p != nil {
 			ages[i] = encodeAge(now.Sub(p.lastHeard))
 		}
 	}
@@ -164,7 +164,7 @@
 	health := make(map[api.NodeID]ownership.Health, len(l.peers))
 	for node, p := range l.peers {
 		health[node] = ownership.Health{
-			Who:       p.member.Who,
+			Process:   p.member.Process,
 			Suspected: l.suspected(p, now),
 			Draining:  p.digest.Flags&flagDraining != 0,
 			AliveFor:  now.Sub(p.aliveSince),
@@ -195,7 +195,7 @@
 func (l *Liveness) shuffled(random *rand.Rand) []*peer {
 	peers := make([]*peer, 0, len(l.peers))
 	for _, m := range l.roster {
-		if p := l.peers[m.Who.Node]; p != nil {
+		if p := l.peers[m.Process.Node]; p != nil {
 			peers = append(peers, p)
 		}
 	}
@@ -216,7 +216,7 @@
 // time.
 func (l *Liveness) RecordGrant(who ownership.Identity, started time.Time) {
 	p := l.peers[who.Node]
-	if p != nil && p.member.Who == who && started.After(p.lastGranted) {
+	if p != nil && p.member.Process == who && started.After(p.lastGranted) {
 		p.lastGranted = started
 	}
 }
@@ -226,12 +226,12 @@
 func (l *Liveness) Candidates(service string, now time.Time) []PeerLoad {
 	var loads []PeerLoad
 	for _, m := range l.roster {
-		p := l.peers[m.Who.Node]
+		p := l.peers[m.Process.Node]
 		if p == nil || p.digestAt.IsZero() || l.suspected(p, now) || p.digest.Flags&flagDraining != 0 {
 			continue
 		}
 		if free := p.digest.free(service); free > 0 {
-			loads = append(loads, PeerLoad{Node: m.Who.Node, Address: m.Address, Free: free, Age: now.Sub(p.digestAt)})
+			loads = append(loads, PeerLoad{Node: m.Process.Node, Address: m.Address, Free: free, Age: now.Sub(p.digestAt)})
 		}
 	}
 	slices.SortStableFunc(loads, func(a, b PeerLoad) int { return b.Free - a.Free })
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -13,7 +13,7 @@
 func roster(nodes int) []ownership.Member {
 	members := make([]ownership.Member, nodes)
 	for i := range members {
-		members[i].Who = ownership.Identity{Node: api.NodeID(fmt.Sprintf("entry-%d", i)), Incarnation: 1}
+		members[i].Process = ownership.Identity{Node: api.NodeID(fmt.Sprintf("entry-%d", i)), Incarnation: 1}
 	}
 	return members
 }
@@ -24,7 +24,7 @@
 func TestLiveness(t *testing.T) {
 	members := roster(3)
 	start := time.Unix(1000, 0)
-	l := NewLiveness(Timing{}, members[0].Who)
+	l := NewLiveness(Timing{}, members[0].Process)
 	l.SetRoster(members, start)
 	suspects := func(after time.Duration) [2]bool {
 		h := l.Health(start.Add(after))
@@ -34,8 +34,8 @@
 	for ms := 0; ms <= 900; ms += 250 {
 		l.Tick(start.Add(at(ms)))
 	}
-	fresh := Digest{Ask: ownership.Ask{Who: members[1].Who}, Roster: l.rosterFingerprint, Ages: []byte{0, 0, 2}}
-	otherIncarnation := Digest{Ask: ownership.Ask{Who: ownership.Identity{Node: "entry-2", Incarnation: 2}}}
+	fresh := Digest{Ask: ownership.GrantRequest{Process: members[1].Process}, Roster: l.rosterFingerprint, Ages: []byte{0, 0, 2}}
+	otherIncarnation := Digest{Ask: ownership.GrantRequest{Process: ownership.Identity{Node: "entry-2", Incarnation: 2}}}
 	otherRoster := fresh
 	otherRoster.Roster++
 	otherRoster.Ages = []byte{0, 0, 0}
@@ -57,14 +57,14 @@
 // Every peer is a target within a bounded number of rounds.
 func TestTargetsReachEveryPeer(t *testing.T) {
 	const nodes = 90
-	l := NewLiveness(Timing{}, roster(1)[0].Who)
+	l := NewLiveness(Timing{}, roster(1)[0].Process)
 	now := time.Unix(1000, 0)
 	l.SetRoster(roster(nodes), now)
 	random := rand.New(rand.NewPCG(1, 1))
 	seen := make(map[api.NodeID]bool)
 	for round := range nodes - 1 {
 		for _, m := range l.Targets(now.Add(time.Duration(round)*time.Second), random, false, 0) {
-			seen[m.Who.Node] = true
+			seen[m.Process.Node] = true
 		}
 	}
 	few, all := len(l.Targets(now, random, false, 0)), len(l.Targets(now, random, true, time.Second))
--- a/internal/member/service.go
+++ b/internal/member/service.go
@@ -42,10 +42,10 @@
 
 // Granter asks for and gives grants. *ownership.Controller implements it.
 type Granter interface {
-	Ask() ownership.Ask
+	GrantRequest() ownership.GrantRequest
 	NeedsGrants(now time.Time) bool
-	Answer(ask ownership.Ask, now time.Time) bool
-	Granted(from ownership.Identity, started time.Time)
+	HandleGrantRequest(ask ownership.GrantRequest, now time.Time) bool
+	RecordGrant(from ownership.Identity, started time.Time)
 }
 
 // Config holds the settings and dependencies of a Service.
@@ -70,7 +70,7 @@
 // withDefaults returns c with defaults for zero fields.
 func (c Config) withDefaults() Config {
 	c.Timing = c.Timing.withDefaults()
-	defaults.Set(&c.Hold, ownership.DefaultHold)
+	defaults.Set(&c.Hold, ownership.DefaultHoldDuration)
 	if c.FreeSlots == nil {
 		c.FreeSlots = func() []ServiceFree { return nil }
 	}
@@ -190,7 +190,7 @@
 		return
 	}
 	s.vars.Add("exchanges", 1)
-	if reply.Exchange != request.Exchange || reply.Digest.Ask.Who != m.Who {
+	if reply.Exchange != request.Exchange || reply.Digest.Ask.Process != m.Process {
 		s.vars.Add("exchange_mismatches", 1)
 		return
 	}
@@ -203,12 +203,12 @@
 	s.mu.Lock()
 	s.liveness.ObserveDigest(reply.Digest, s.cfg.Now())
 	if granted {
-		s.liveness.RecordGrant(reply.Digest.Ask.Who, started)
+		s.liveness.RecordGrant(reply.Digest.Ask.Process, started)
 	}
 	s.mu.Unlock()
 	if granted {
 		s.vars.Add("grants_received", 1)
-		s.granter.Granted(reply.Digest.Ask.Who, started)
+		s.granter.RecordGrant(reply.Digest.Ask.Process, started)
 	}
 }
 
@@ -222,7 +222,7 @@
 
 // digest returns this process's digest at now.
 func (s *Service) digest(now time.Time) Digest {
-	d := Digest{Ask: s.granter.Ask(), Applied: s.cfg.Applied(), Free: s.cfg.FreeSlots()}
+	d := Digest{Ask: s.granter.GrantRequest(), Applied: s.cfg.Applied(), Free: s.cfg.FreeSlots()}
 	d.Free = d.Free[:min(len(d.Free), MaxServices)]
 	if s.cfg.IsDraining() {
 		d.Flags |= flagDraining
--- a/internal/ownership/controller.go
+++ b/internal/ownership/controller.go
@@ -16,7 +16,7 @@
 
 // Defaults of Config.
 const (
-	DefaultTick           = 100 * time.Millisecond
+	DefaultPlanInterval   = 100 * time.Millisecond
 	DefaultProposeTimeout = 2 * time.Second
 )
 
@@ -26,10 +26,10 @@
 	Address        string        // IP:port of this process's peer service
 	Timing         Timing        // zero fields take their defaults
 	Limits         PlanLimits    // the zero value takes the defaults
-	Tick           time.Duration // longest time between two plans; zero takes the default
+	PlanInterval   time.Duration // longest time between two plans; zero takes the default
 	ProposeTimeout time.Duration // longest wait for an entry to be read back; zero takes the default
 
-	Machine  *Machine
+	Machine  *StateMachine
 	Proposer journal.Proposer
 	Follower journal.Follower
 
@@ -45,24 +45,24 @@
 	// before it asks for authority, so that it is seen here or sees that the
 	// shard is closed.
 	InFlight func(Shard) int
-	// BeforeCount is called before InFlight is asked, after the use of the
+	// StopNewUse is called before InFlight is asked, after the use of the
 	// shards was stopped: when it returns, nothing new starts for them. Nil
 	// means that this holds at once.
-	BeforeCount func()
+	StopNewUse func()
 
-	Now func() time.Time // nil means time.Now
-	Log *logrus.Entry    // nil means the standard logger
+	Now    func() time.Time // nil means time.Now
+	Logger *logrus.Entry    // nil means the standard logger
 }
 
 // withDefaults fills what is zero.
 func (c Config) withDefaults() Config {
-	defaults.Set(&c.Timing.Hold, DefaultHold)
-	defaults.Set(&c.Timing.Send, DefaultSend)
-	defaults.Set(&c.Timing.Drift, DefaultDrift)
+	defaults.Set(&c.Timing.HoldDuration, DefaultHoldDuration)
+	defaults.Set(&c.Timing.MaxSendDelay, DefaultMaxSendDelay)
+	defaults.Set(&c.Timing.MaxClockDrift, DefaultMaxClockDrift)
 	if c.Limits == (PlanLimits{}) {
 		c.Limits = DefaultPlanLimits()
 	}
-	defaults.Set(&c.Tick, DefaultTick)
+	defaults.Set(&c.PlanInterval, DefaultPlanInterval)
 	defaults.Set(&c.ProposeTimeout, DefaultProposeTimeout)
 	if c.Unlisted == nil {
 		c.Unlisted = func(time.Time) map[api.NodeID]time.Duration { return nil }
@@ -76,8 +76,8 @@
 	if c.Now == nil {
 		c.Now = time.Now
 	}
-	if c.Log == nil {
-		c.Log = logrus.NewEntry(logrus.StandardLogger())
+	if c.Logger == nil {
+		c.Logger = logrus.NewEntry(logrus.StandardLogger())
 	}
 	return c
 }
@@ -114,7 +114,7 @@
 func (c *Controller) Run(ctx context.Context) error {
 	var proposals sync.WaitGroup
 	defer proposals.Wait()
-	ticker := time.NewTicker(c.cfg.Tick)
+	ticker := time.NewTicker(c.cfg.PlanInterval)
 	defer ticker.Stop()
 	for {
 		for _, action := range c.plan() {
@@ -139,7 +139,7 @@
 	inFlight := c.inFlight(table)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	view := View{
+	view := PlanInput{
 		Table: table, Evidence: c.evidence, Timing: c.cfg.Timing, Limits: c.cfg.Limits,
 		Address: c.cfg.Address, Draining: c.draining,
 		Health: health, Unlisted: unlisted, InFlight: inFlight,
@@ -151,9 +151,9 @@
 func (c *Controller) observe(now time.Time) *Table {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	confirmed := c.cfg.Follower.Confirmed()
+	confirmed := c.cfg.Follower.ConfirmedAt()
 	table := c.table()
-	c.evidence.Confirmed = confirmed
+	c.evidence.ConfirmedAt = confirmed
 	c.evidence.Observe(table, now)
 	c.noteLeft(table)
 	return table
@@ -166,8 +166,8 @@
 	c.mu.RLock()
 	shards := releasable(t, c.evidence)
 	c.mu.RUnlock()
-	if len(shards) > 0 && c.cfg.BeforeCount != nil {
-		c.cfg.BeforeCount()
+	if len(shards) > 0 && c.cfg.StopNewUse != nil {
+		c.cfg.StopNewUse()
 	}
 	counts := make(map[Shard]int, len(shards))
 	for _, s := range shards {
@@ -223,7 +223,7 @@
 // close stops the local use of shards. c.mu is held.
 func (c *Controller) close(a Close) {
 	for _, at := range a.Shards {
-		c.evidence.Closed[at.Shard] = at.Epoch
+		c.evidence.ClosedEpochs[at.Shard] = at.Epoch
 	}
 	c.wakeUp()
 }
@@ -234,7 +234,7 @@
 // holder gets no grant. c.mu is held.
 func (c *Controller) noteClaiming(a Claim) {
 	for _, at := range a.Shards {
-		c.evidence.Claiming[at.Shard] = true
+		c.evidence.PendingClaims[at.Shard] = true
 	}
 }
 
@@ -254,7 +254,7 @@
 	c.mu.Lock()
 	delete(c.proposing, kind)
 	if kind == TypeClaim {
-		clear(c.evidence.Claiming)
+		clear(c.evidence.PendingClaims)
 	}
 	c.mu.Unlock()
 	c.count(action, err)
@@ -265,7 +265,7 @@
 func (c *Controller) count(action Action, err error) {
 	name := actionName(action)
 	c.vars.Add(name+"_"+outcomeName(err), 1)
-	entry := c.cfg.Log.WithField("entry", name)
+	entry := c.cfg.Logger.WithField("entry", name)
 	if err != nil {
 		entry.WithError(err).Info("ownership entry not applied")
 		return
--- a/internal/ownership/entry.go
+++ b/internal/ownership/entry.go
@@ -20,16 +20,16 @@
 
 // Rejections of an entry, the same on every reader.
 var (
-	ErrMalformed      = errors.New("ownership: malformed entry")
-	ErrAlreadyMember  = errors.New("ownership: already a member")
-	ErrNotMember      = errors.New("ownership: not a member")
-	ErrStaleEpoch     = errors.New("ownership: based on a superseded epoch")
-	ErrStaleVersion   = errors.New("ownership: acknowledges nothing new")
-	ErrAlreadyHolder  = errors.New("ownership: holds the shard already")
-	ErrNotHolder      = errors.New("ownership: neither holds nor held the shard")
-	ErrHolderAlive    = errors.New("ownership: holder has no unanswered challenge")
-	ErrAlreadyOwing   = errors.New("ownership: already challenged")
-	ErrUnacknowledged = errors.New("ownership: not acknowledged by every member")
+	ErrMalformed         = errors.New("ownership: malformed entry")
+	ErrAlreadyMember     = errors.New("ownership: already a member")
+	ErrNotMember         = errors.New("ownership: not a member")
+	ErrStaleEpoch        = errors.New("ownership: based on a superseded epoch")
+	ErrStaleVersion      = errors.New("ownership: acknowledges nothing new")
+	ErrAlreadyHolder     = errors.New("ownership: holds the shard already")
+	ErrNotHolder         = errors.New("ownership: neither holds nor held the shard")
+	ErrHolderAlive       = errors.New("ownership: holder has no unanswered challenge")
+	ErrAlreadyChallenged = errors.New("ownership: already challenged")
+	ErrUnacknowledged    = errors.New("ownership: not acknowledged by every member")
 )
 
 // Identity is one run of an entry VM's process.
@@ -43,7 +43,7 @@
 // node held or had left to it; the joiner waits for those like any claimant.
 type Join struct {
 	_       struct{} `cbor:",toarray"`
-	Who     Identity
+	Process Identity
 	Address string // IP:port of its peer service
 }
 
@@ -51,7 +51,7 @@
 // thereby knows every member that joined up to there. It answers a challenge.
 type Acknowledge struct {
 	_       struct{} `cbor:",toarray"`
-	Who     Identity
+	Process Identity
 	Version uint64
 	Members uint32 // most members that it has seen; bounds its floor share
 }
@@ -59,21 +59,21 @@
 // Challenge asks a silent member to show by an Acknowledge that it still
 // follows the log. Its shards can be claimed only while it owes one.
 type Challenge struct {
-	_    struct{} `cbor:",toarray"`
-	From Identity
-	Who  Identity // the member that is challenged
+	_       struct{} `cbor:",toarray"`
+	From    Identity
+	Process Identity // the member that is challenged
 }
 
 // Leave removes the sender, which has stopped using every shard.
 type Leave struct {
-	_   struct{} `cbor:",toarray"`
-	Who Identity
+	_       struct{} `cbor:",toarray"`
+	Process Identity
 }
 
 // Expel removes a member that the platform's VM list has dropped.
 type Expel struct {
-	_   struct{} `cbor:",toarray"`
-	Who Identity // the member that is removed
+	_       struct{} `cbor:",toarray"`
+	Process Identity // the member that is removed
 }
 
 // ShardAt is a shard together with the epoch that a change is based on.
@@ -86,9 +86,9 @@
 // Claim takes shards, each at the epoch after the one given. It is accepted
 // whole or rejected whole.
 type Claim struct {
-	_      struct{} `cbor:",toarray"`
-	Who    Identity
-	Shards []ShardAt
+	_       struct{} `cbor:",toarray"`
+	Process Identity
+	Shards  []ShardAt
 }
 
 // ShardRelease is one shard that is given up.
@@ -104,7 +104,7 @@
 // flight any more and starts nothing new.
 type Release struct {
 	_       struct{} `cbor:",toarray"`
-	Who     Identity
+	Process Identity
 	Shards  []ShardRelease
 	Leaving bool // the sender is to leave the roster and wants no shards
 }
--- a/internal/ownership/failover_test.go
+++ b/internal/ownership/failover_test.go
@@ -49,7 +49,7 @@
 	world      *world
 	id         ownership.Identity
 	address    string
-	machine    *ownership.Machine
+	machine    *ownership.StateMachine
 	controller *ownership.Controller
 	service    *member.Service
 	server     *peer.Server
@@ -63,7 +63,7 @@
 	confirmed time.Time
 }
 
-func (n *entryVM) Confirmed() time.Time {
+func (n *entryVM) ConfirmedAt() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.confirmed
@@ -137,7 +137,7 @@
 
 // boot starts one entry VM.
 func (w *world) boot(i int) *entryVM {
-	n := &entryVM{world: w, machine: ownership.NewMachine(), address: fmt.Sprintf("10.0.0.%d:7400", i)}
+	n := &entryVM{world: w, machine: ownership.NewStateMachine(), address: fmt.Sprintf("10.0.0.%d:7400", i)}
 	n.id = ownership.Identity{Node: api.NodeID(fmt.Sprintf("entry-%02d", i)), Incarnation: api.Incarnation(1<<60 + i)}
 	n.server = peer.NewServer(peer.Limits{}, nil)
 	n.client = peer.NewClient(peer.Limits{}, w.dial)
@@ -203,7 +203,7 @@
 const allShards = ownership.EndpointShards + 1
 
 // whole reports whether every shard is in full use.
-func (w *world) whole() bool { return count(w.nodes)[ownership.Full] == allShards }
+func (w *world) whole() bool { return count(w.nodes)[ownership.AccessFull] == allShards }
 
 // until returns how long it takes until ok.
 func until(t *testing.T, limit time.Duration, ok func() bool) time.Duration {
@@ -263,7 +263,7 @@
 			roster, _ := w.nodes[0].machine.Roster()
 			for _, m := range roster {
 				if m.Challenged != 0 {
-					t.Fatalf("%s challenged while all were alive", m.Who.Node)
+					t.Fatalf("%s challenged while all were alive", m.Process.Node)
 				}
 			}
 			w.kill(w.nodes[n-1])
@@ -308,11 +308,11 @@
 		took := until(t, 10*time.Second, func() bool { return slots(rest) == want })
 		t.Logf("all free slots in use %v after the start of the drain", took)
 		time.Sleep(2 * time.Second)
-		if len(left) != 0 || slots(w.nodes) != want || count([]*entryVM{leaver})[ownership.Full] != 0 {
+		if len(left) != 0 || slots(w.nodes) != want || count([]*entryVM{leaver})[ownership.AccessFull] != 0 {
 			t.Fatal("left, or used more, with requests in flight")
 		}
 		leaver.inFlight.Store(0)
-		took = until(t, 10*time.Second, func() bool { return slots(rest) == allSlots && count(rest)[ownership.Full] == allShards })
+		took = until(t, 10*time.Second, func() bool { return slots(rest) == allSlots && count(rest)[ownership.AccessFull] == allShards })
 		t.Logf("all slots in use %v after the last request ended", took)
 		if err := <-left; err != nil {
 			t.Fatal(err)
@@ -341,8 +341,8 @@
 		t.Logf("log down: %d B/s a node", w.rate())
 		w.kill(w.nodes[8])
 		w.nodes = w.nodes[:8]
-		took := until(t, 10*time.Second, func() bool { return count(w.nodes)[ownership.Full] == 0 })
-		floors := count(w.nodes)[ownership.Floor]
+		took := until(t, 10*time.Second, func() bool { return count(w.nodes)[ownership.AccessFull] == 0 })
+		floors := count(w.nodes)[ownership.AccessFloor]
 		t.Logf("log down and one dead: %d shards on their floor after %v", floors, took)
 		w.down.Store(false)
 		took = until(t, 10*time.Second, w.whole)
@@ -351,7 +351,7 @@
 }
 
 // No heartbeat arrives anywhere, but the log does: nobody loses a shard.
-func TestPeersCut(t *testing.T) {
+func TestHeartbeatsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := grow(t, 3)
 		defer w.end()
@@ -382,7 +382,7 @@
 		w.mu.Unlock()
 		w.nodes = w.nodes[:2]
 		fresh := w.boot(3)
-		took := until(t, 30*time.Second, func() bool { return count([]*entryVM{fresh})[ownership.Full] > 0 })
+		took := until(t, 30*time.Second, func() bool { return count([]*entryVM{fresh})[ownership.AccessFull] > 0 })
 		t.Logf("first share of the replacement after %v", took)
 		until(t, 30*time.Second, w.whole)
 		loads := w.nodes[0].service.Candidates("torquebench")
--- a/internal/ownership/machine.go
+++ b/internal/ownership/machine.go
@@ -7,28 +7,28 @@
 	"github.com/skylarklock/skylarklock/internal/journal"
 )
 
-// Machine feeds a Table from one data centre's stream. It implements
-// journal.Machine.
-type Machine struct {
+// StateMachine feeds a Table from one data centre's stream. It implements
+// journal.StateMachine.
+type StateMachine struct {
 	mu      sync.RWMutex
 	table   *Table
 	changed chan struct{}
 }
 
-var _ journal.Machine = (*Machine)(nil)
+var _ journal.StateMachine = (*StateMachine)(nil)
 
-// NewMachine returns a machine with an empty table.
-func NewMachine() *Machine {
-	return &Machine{table: NewTable(), changed: make(chan struct{}, 1)}
+// NewStateMachine returns a machine with an empty table.
+func NewStateMachine() *StateMachine {
+	return &StateMachine{table: NewTable(), changed: make(chan struct{}, 1)}
 }
 
-// Types implements journal.Machine.
-func (m *Machine) Types() []journal.EntryType {
+// Types implements journal.StateMachine.
+func (m *StateMachine) Types() []journal.EntryType {
 	return []journal.EntryType{TypeJoin, TypeAcknowledge, TypeLeave, TypeExpel, TypeClaim, TypeRelease, TypeChallenge}
 }
 
-// Apply implements journal.Machine. Rejections are the package's errors.
-func (m *Machine) Apply(_ journal.Position, e journal.Entry) error {
+// Apply implements journal.StateMachine. Rejections are the package's errors.
+func (m *StateMachine) Apply(_ journal.Position, e journal.Entry) error {
 	action, err := decodeEntry(e)
 	if err != nil {
 		return err
@@ -43,7 +43,7 @@
 }
 
 // notify wakes the controller.
-func (m *Machine) notify() {
+func (m *StateMachine) notify() {
 	select {
 	case m.changed <- struct{}{}:
 	default:
@@ -51,31 +51,31 @@
 }
 
 // Changed receives after the table has changed.
-func (m *Machine) Changed() <-chan struct{} { return m.changed }
+func (m *StateMachine) Changed() <-chan struct{} { return m.changed }
 
 // View calls read with the table, which must not be kept or changed.
-func (m *Machine) View(read func(*Table)) {
+func (m *StateMachine) View(read func(*Table)) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	read(m.table)
 }
 
 // Holder returns what the log says of s.
-func (m *Machine) Holder(s Shard) Hold {
+func (m *StateMachine) Holder(s Shard) Hold {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.table.Holds[s]
 }
 
 // Roster returns the members ordered by node, and the table's version.
-func (m *Machine) Roster() ([]Member, uint64) {
+func (m *StateMachine) Roster() ([]Member, uint64) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.table.Roster(), m.table.Version
 }
 
 // Member returns the member on node.
-func (m *Machine) Member(node api.NodeID) (Member, bool) {
+func (m *StateMachine) Member(node api.NodeID) (Member, bool) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	member, ok := m.table.Members[node]
@@ -91,8 +91,8 @@
 	Holds   []Hold // of Shards, in the same order
 }
 
-// Snapshot implements journal.Machine.
-func (m *Machine) Snapshot() ([]byte, error) {
+// Snapshot implements journal.StateMachine.
+func (m *StateMachine) Snapshot() ([]byte, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	img := image{Version: m.table.Version, Members: m.table.Roster()}
@@ -105,8 +105,8 @@
 	return journal.Encode(img), nil
 }
 
-// Restore implements journal.Machine.
-func (m *Machine) Restore(data []byte) error {
+// Restore implements journal.StateMachine.
+func (m *StateMachine) Restore(data []byte) error {
 	var img image
 	if err := journal.Decode(data, &img); err != nil {
 		return err
@@ -117,7 +117,7 @@
 	table := NewTable()
 	table.Version = img.Version
 	for _, member := range img.Members {
-		table.Members[member.Who.Node] = member
+		table.Members[member.Process.Node] = member
 	}
 	table.sortMembers()
 	for i, s := range img.Shards {
--- a/internal/ownership/query.go
+++ b/internal/ownership/query.go
@@ -12,7 +12,7 @@
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	evidence := *c.evidence
-	evidence.Confirmed = c.cfg.Follower.Confirmed()
+	evidence.ConfirmedAt = c.cfg.Follower.ConfirmedAt()
 	c.cfg.Machine.View(func(t *Table) { read(t, &evidence) })
 }
 
@@ -23,9 +23,9 @@
 }
 
 // Authority says what this process may do with s at now, and at which epoch.
-func (c *Controller) Authority(s Shard, now time.Time) (api.Epoch, State) {
+func (c *Controller) Authority(s Shard, now time.Time) (api.Epoch, Access) {
 	a := c.decide(s, now)
-	return a.Epoch, a.State
+	return a.Epoch, a.Access
 }
 
 // SlotLimit says how many of ep's slots this process may use at once at now,
@@ -48,7 +48,7 @@
 // ShardHolder is HolderOf for a shard.
 func (c *Controller) ShardHolder(s Shard) (node api.NodeID, ok bool) {
 	h := c.cfg.Machine.Holder(s)
-	return h.Who.Node, h.Status == StatusHeld
+	return h.Process.Node, h.Status == StatusHeld
 }
 
 // CellAuthority says whether this process may place tasks and renew leases at
@@ -57,12 +57,12 @@
 // and until the end of its hold if not.
 func (c *Controller) CellAuthority(now time.Time) (epoch api.Epoch, ok bool, takeoverAt time.Time) {
 	a := c.decide(Cell, now)
-	return a.Epoch, a.State == Full, a.Takeover
+	return a.Epoch, a.Access == AccessFull, a.ClaimedAt
 }
 
-// Ask returns what this process tells when it asks for grants.
-func (c *Controller) Ask() Ask {
-	ask := Ask{Who: c.cfg.Self}
+// GrantRequest returns what this process tells when it asks for grants.
+func (c *Controller) GrantRequest() GrantRequest {
+	ask := GrantRequest{Process: c.cfg.Self}
 	c.cfg.Machine.View(func(t *Table) { ask.Version = t.Version })
 	return ask
 }
@@ -70,33 +70,33 @@
 // NeedsGrants reports whether the log's confirmation at now is old enough
 // that every member of the roster should be asked for a grant.
 func (c *Controller) NeedsGrants(now time.Time) bool {
-	return now.Sub(c.cfg.Follower.Confirmed()) >= c.cfg.Timing.Hold/grantAfter
+	return now.Sub(c.cfg.Follower.ConfirmedAt()) >= c.cfg.Timing.HoldDuration/grantAfter
 }
 
 // grantAfter divides the hold time into the age of a confirmation at which
 // grants are asked for beside it.
 const grantAfter = 2
 
-// Answer answers a member that asks for a grant at now. When it says true
+// HandleGrantRequest answers a member that asks for a grant at now. When it says true
 // the promise has been noted.
-func (c *Controller) Answer(ask Ask, now time.Time) (granted bool) {
+func (c *Controller) HandleGrantRequest(ask GrantRequest, now time.Time) (granted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cfg.Machine.View(func(t *Table) { granted = MayGrant(t, c.evidence, ask) })
+	c.cfg.Machine.View(func(t *Table) { granted = CanGrant(t, c.evidence, ask) })
 	if granted {
-		c.cfg.Timing.Promise(c.evidence, ask.Who.Node, now)
+		c.cfg.Timing.RecordPromise(c.evidence, ask.Process.Node, now)
 	}
 	return granted
 }
 
-// Granted notes a grant from a member, in an exchange that this process
+// RecordGrant notes a grant from a member, in an exchange that this process
 // started at the given time.
-func (c *Controller) Granted(from Identity, started time.Time) {
+func (c *Controller) RecordGrant(from Identity, started time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	former := c.evidence.Grants[from.Node]
-	if former.From == from && !started.After(former.Started) {
+	if former.From == from && !started.After(former.RequestedAt) {
 		return
 	}
-	c.evidence.Grants[from.Node] = Grant{From: from, Started: started}
+	c.evidence.Grants[from.Node] = Grant{From: from, RequestedAt: started}
 }
--- a/internal/ownership/safety_test.go
+++ b/internal/ownership/safety_test.go
@@ -39,7 +39,7 @@
 
 // A holder is alone, slots are never oversubscribed, and once the faults end
 // every shard is held again, whatever the log, the peers and the clocks do.
-func TestHoldsUnderFaults(t *testing.T) {
+func TestSafetyAndRecoveryUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 4).Draw(t, "nodes")
 		s := newSim(nodes, rapid.Uint64().Draw(t, "seed"), sabotage{})
@@ -54,7 +54,7 @@
 }
 
 // Each rule is needed: without it the same simulation finds a violation.
-func TestBrokenRulesAreCaught(t *testing.T) {
+func TestDisabledRulesCauseViolations(t *testing.T) {
 	cut := []fault{ // the first node from its peers, and for longer from the log
 		{Kind: faultCutLog, Node: 0, At: 100, Steps: 290},
 		{Kind: faultCutPeer, Node: 0, Peer: 1, At: 100, Steps: 150},
@@ -99,19 +99,19 @@
 	t = NewTable()
 	a, b, c = Identity{Node: "a", Incarnation: 1}, Identity{Node: "b", Incarnation: 2}, Identity{Node: "c", Incarnation: 3}
 	for _, who := range []Identity{a, b, c} {
-		must(t.Apply(Join{Who: who}))
+		must(t.Apply(Join{Process: who}))
 	}
 	for _, who := range []Identity{a, b} { // joining acknowledges for c
-		must(t.Apply(Acknowledge{Who: who, Version: 3, Members: 3}))
+		must(t.Apply(Acknowledge{Process: who, Version: 3, Members: 3}))
 	}
-	must(t.Apply(Claim{Who: a, Shards: []ShardAt{{Shard: 0}}}))
+	must(t.Apply(Claim{Process: a, Shards: []ShardAt{{Shard: 0}}}))
 	return t, a, b, c
 }
 
 // seize lets who take shard 0 at an epoch from a holder that is silent.
 func seize(t *Table, who, holder Identity, epoch api.Epoch) error {
-	must(t.Apply(Challenge{From: who, Who: holder}))
-	return t.Apply(Claim{Who: who, Shards: []ShardAt{{Shard: 0, Epoch: epoch}}})
+	must(t.Apply(Challenge{From: who, Process: holder}))
+	return t.Apply(Claim{Process: who, Shards: []ShardAt{{Shard: 0, Epoch: epoch}}})
 }
 
 func must(err error) {
@@ -121,70 +121,70 @@
 }
 
 // Two former holders that know nothing of their loss use a floor each.
-func TestFloorsOfAllFormerHolders(t *testing.T) {
+func TestSlotLimitLeavesFloorsToFormerHolders(t *testing.T) {
 	table, a, b, c := trio()
 	seenByA := table.Clone()
 	must(seize(table, b, a, 1))
 	seenByB := table.Clone()
 	must(seize(table, c, b, 2))
-	limit := func(t *Table, who Identity, s State) int {
-		return SlotLimit(t, NewEvidence(who), 0, Authority{State: s}, 9)
+	limit := func(t *Table, who Identity, s Access) int {
+		return SlotLimit(t, NewEvidence(who), 0, Authority{Access: s}, 9)
 	}
-	got := [3]int{limit(seenByA, a, Floor), limit(seenByB, b, Floor), limit(table, c, Full)}
+	got := [3]int{limit(seenByA, a, AccessFloor), limit(seenByB, b, AccessFloor), limit(table, c, AccessFull)}
 	if got != [3]int{3, 3, 3} {
 		t.Fatalf("limits of a, b and c: %v", got)
 	}
-	must(table.Apply(Release{Who: a, Shards: []ShardRelease{{Epoch: 3}}}))
-	must(table.Apply(Expel{Who: b}))
-	if got := limit(table, c, Full); got != 9 {
+	must(table.Apply(Release{Process: a, Shards: []ShardRelease{{Epoch: 3}}}))
+	must(table.Apply(Expel{Process: b}))
+	if got := limit(table, c, AccessFull); got != 9 {
 		t.Fatalf("c may use %d after a gave up and b left", got)
 	}
 }
 
 // A holder that is cut off divides by the roster it knew; so must the others.
-func TestFloorByWhatTheFormerHolderHasSeen(t *testing.T) {
+func TestFloorUsesRosterOfFormerHolder(t *testing.T) {
 	table, a, b, _ := trio()
 	seenByA := table.Clone()
 	for i := range 6 {
-		must(table.Apply(Join{Who: Identity{Node: api.NodeID(rune('d' + i)), Incarnation: 9}}))
+		must(table.Apply(Join{Process: Identity{Node: api.NodeID(rune('d' + i)), Incarnation: 9}}))
 	}
 	must(seize(table, b, a, 1))
-	ofA := SlotLimit(seenByA, NewEvidence(a), 0, Authority{State: Floor}, 9)
-	ofB := SlotLimit(table, NewEvidence(b), 0, Authority{State: Full}, 9)
+	ofA := SlotLimit(seenByA, NewEvidence(a), 0, Authority{Access: AccessFloor}, 9)
+	ofB := SlotLimit(table, NewEvidence(b), 0, Authority{Access: AccessFull}, 9)
 	if ofA != 3 || ofB != 6 {
 		t.Fatalf("a may use %d, b %d of 9", ofA, ofB)
 	}
 	evidence := NewEvidence(a)
 	evidence.Observe(table, time.Now())
 	evidence.Observe(seenByA, time.Now()) // the roster shrinks again
-	if got := SlotLimit(seenByA, evidence, 0, Authority{State: Floor}, 9); got != 1 {
+	if got := SlotLimit(seenByA, evidence, 0, Authority{Access: AccessFloor}, 9); got != 1 {
 		t.Fatalf("a that has seen 9 members may use %d", got)
 	}
 }
 
 // A claimant that releases before its wait is over would let the next holder
 // start beside the one before it.
-func TestNoReleaseDuringTheWait(t *testing.T) {
+func TestNoReleaseDuringTakeoverWait(t *testing.T) {
 	table, a, b, _ := trio()
 	must(seize(table, b, a, 1))
 	start := time.Unix(1000, 0)
 	evidence := NewEvidence(b)
 	evidence.Observe(table, start)
-	evidence.Closed[0] = 2
+	evidence.ClosedEpochs[0] = 2
 	released := func(after time.Duration) bool {
 		now := start.Add(after)
-		evidence.Confirmed = now
-		actions := Plan(now, View{Table: table, Evidence: evidence, Timing: simTiming, Draining: true})
+		evidence.ConfirmedAt = now
+		actions := Plan(now, PlanInput{Table: table, Evidence: evidence, Timing: simTiming, Draining: true})
 		return slices.ContainsFunc(actions, func(a Action) bool { _, ok := a.(Release); return ok })
 	}
-	wait := simTiming.Stretched(simTiming.Hold)
+	wait := simTiming.WithDrift(simTiming.HoldDuration)
 	if released(wait-1) || !released(wait) {
 		t.Fatal("release does not follow the wait")
 	}
 }
 
 // Rejections are typed, change nothing, and a snapshot holds the whole state.
-func TestRejections(t *testing.T) {
+func TestRejectionsAndSnapshot(t *testing.T) {
 	table, a, b, c := trio()
 	stranger := Identity{Node: "s", Incarnation: 7}
 	restarted := Identity{Node: "a", Incarnation: 8}
@@ -194,25 +194,25 @@
 		action Action
 		want   error
 	}{
-		{Join{Who: a}, ErrAlreadyMember},
-		{Claim{Who: stranger, Shards: at(1)}, ErrNotMember},
-		{Claim{Who: b, Shards: at(0)}, ErrStaleEpoch},
-		{Claim{Who: a, Shards: at(1)}, ErrAlreadyHolder},
-		{Claim{Who: b, Shards: at(1)}, ErrHolderAlive},
-		{Challenge{From: b, Who: a}, nil},
-		{Challenge{From: c, Who: a}, ErrAlreadyOwing},
-		{Acknowledge{Who: a, Version: table.Version + 1, Members: 3}, nil},
-		{Claim{Who: b, Shards: at(1)}, ErrHolderAlive},
-		{Acknowledge{Who: a, Version: 1}, ErrStaleVersion},
-		{Release{Who: b, Shards: given(1)}, ErrNotHolder},
-		{Join{Who: restarted}, nil},
-		{Claim{Who: restarted, Shards: at(1)}, ErrUnacknowledged},
-		{Claim{Who: b, Shards: at(1)}, nil}, // ended by the restart, not released
-		{Release{Who: b, Shards: given(1)}, ErrStaleEpoch},
-		{Release{Who: b, Shards: given(2)}, nil},
-		{Claim{Who: restarted, Shards: at(2)}, nil}, // released: no acknowledgement needed
-		{Leave{Who: a}, ErrNotMember},
-		{Claim{Who: b, Shards: []ShardAt{{Shard: EndpointShards}}}, ErrMalformed},
+		{Join{Process: a}, ErrAlreadyMember},
+		{Claim{Process: stranger, Shards: at(1)}, ErrNotMember},
+		{Claim{Process: b, Shards: at(0)}, ErrStaleEpoch},
+		{Claim{Process: a, Shards: at(1)}, ErrAlreadyHolder},
+		{Claim{Process: b, Shards: at(1)}, ErrHolderAlive},
+		{Challenge{From: b, Process: a}, nil},
+		{Challenge{From: c, Process: a}, ErrAlreadyChallenged},
+		{Acknowledge{Process: a, Version: table.Version + 1, Members: 3}, nil},
+		{Claim{Process: b, Shards: at(1)}, ErrHolderAlive},
+		{Acknowledge{Process: a, Version: 1}, ErrStaleVersion},
+		{Release{Process: b, Shards: given(1)}, ErrNotHolder},
+		{Join{Process: restarted}, nil},
+		{Claim{Process: restarted, Shards: at(1)}, ErrUnacknowledged},
+		{Claim{Process: b, Shards: at(1)}, nil}, // ended by the restart, not released
+		{Release{Process: b, Shards: given(1)}, ErrStaleEpoch},
+		{Release{Process: b, Shards: given(2)}, nil},
+		{Claim{Process: restarted, Shards: at(2)}, nil}, // released: no acknowledgement needed
+		{Leave{Process: a}, ErrNotMember},
+		{Claim{Process: b, Shards: []ShardAt{{Shard: EndpointShards}}}, ErrMalformed},
 	}
 	for i, step := range steps {
 		before := table.Version
@@ -223,10 +223,10 @@
 			t.Fatalf("step %d: version changed: %v", i, changed)
 		}
 	}
-	if h := table.Holds[0]; h.Wait || h.Epoch != 3 || h.Who != restarted {
+	if h := table.Holds[0]; h.MustWait || h.Epoch != 3 || h.Process != restarted {
 		t.Fatalf("hold %+v", h)
 	}
-	from, to := NewMachine(), NewMachine()
+	from, to := NewStateMachine(), NewStateMachine()
 	from.table = table
 	data, err := from.Snapshot()
 	if err = errors.Join(err, to.Restore(data)); err != nil || !reflect.DeepEqual(table, to.table) || to.Restore([]byte{0xff}) == nil {
@@ -235,7 +235,7 @@
 }
 
 // Adding a node moves only its share of the shards.
-func TestRendezvousMovesOnlyTheShare(t *testing.T) {
+func TestNewNodeMovesOnlyItsShare(t *testing.T) {
 	for _, n := range []int{1, 3, 9, 90} {
 		nodes := make([]api.NodeID, n+1)
 		for i := range nodes {
@@ -243,7 +243,7 @@
 		}
 		moved := 0
 		for _, s := range Shards() {
-			before, after := Wanted(s, nodes[:n]), Wanted(s, nodes)
+			before, after := PreferredNode(s, nodes[:n]), PreferredNode(s, nodes)
 			if before == after {
 				continue
 			}
--- a/internal/ownership/shard.go
+++ b/internal/ownership/shard.go
@@ -54,10 +54,10 @@
 	return append(all, Cell)
 }
 
-// Wanted returns which of nodes should hold s, by rendezvous hashing: adding
+// PreferredNode returns which of nodes should hold s, by rendezvous hashing: adding
 // or removing a node moves only that node's share. It returns "" when there
 // are no nodes.
-func Wanted(s Shard, nodes []api.NodeID) api.NodeID {
+func PreferredNode(s Shard, nodes []api.NodeID) api.NodeID {
 	var key [2]byte
 	binary.BigEndian.PutUint16(key[:], uint16(s))
 	return chosen(key[:], nodes)
--- a/internal/ownership/sim_test.go
+++ b/internal/ownership/sim_test.go
@@ -20,11 +20,11 @@
 	simSilent             = 500 * time.Millisecond
 )
 
-var simTiming = Timing{Hold: time.Second, Drift: 0.1}
+var simTiming = Timing{HoldDuration: time.Second, MaxClockDrift: 0.1}
 
 var simLimits = PlanLimits{
-	ChallengeFor: 200 * time.Millisecond, Rechallenge: time.Second, Settle: time.Second / 2, MaxMoves: 30,
-	ExpelAfter: time.Second / 2, ExpelSuspect: 2 * time.Second,
+	ChallengeTimeout: 200 * time.Millisecond, ChallengeInterval: time.Second, MinAliveTime: time.Second / 2, MaxMoves: 30,
+	ExpelDelay: time.Second / 2, SuspiciousListExpelDelay: 2 * time.Second,
 }
 
 type faultKind int
@@ -103,7 +103,7 @@
 	s.lastInc++
 	return &simNode{
 		slot: slot, evidence: NewEvidence(Identity{Node: name, Incarnation: s.lastInc}), table: NewTable(),
-		rate:  1 + simTiming.Drift*s.random.Float64(),
+		rate:  1 + simTiming.MaxClockDrift*s.random.Float64(),
 		heard: make(map[Identity]time.Time), alive: make(map[Identity]time.Time),
 		proposing: make(map[string]*simEntry),
 	}
@@ -181,7 +181,7 @@
 			for ; n.applied < end; n.applied++ {
 				n.table.Apply(s.log[n.applied])
 			}
-			n.evidence.Confirmed = sent
+			n.evidence.ConfirmedAt = sent
 			s.observe(n)
 		})
 	})
@@ -191,7 +191,7 @@
 	n.evidence.Observe(n.table, s.now(n))
 	if s.bad.noWait {
 		for shard, own := range n.evidence.Claims {
-			own.ReadBack = time.Time{}
+			own.ReadBackAt = time.Time{}
 			n.evidence.Claims[shard] = own
 		}
 	}
@@ -210,9 +210,9 @@
 		return
 	}
 	if claim, ok := action.(Claim); ok {
-		clear(n.evidence.Claiming)
+		clear(n.evidence.PendingClaims)
 		for _, at := range claim.Shards {
-			n.evidence.Claiming[at.Shard] = true
+			n.evidence.PendingClaims[at.Shard] = true
 		}
 	}
 	p := &simEntry{doneBy: s.step + 30}
@@ -240,7 +240,7 @@
 			}
 			n.heard[id] = now
 		}
-		if now.Sub(n.evidence.Confirmed) >= simTiming.Hold/2 && s.step%5 == 0 {
+		if now.Sub(n.evidence.ConfirmedAt) >= simTiming.HoldDuration/2 && s.step%5 == 0 {
 			s.exchange(n, p, now)
 		}
 	}
@@ -248,15 +248,15 @@
 
 // exchange asks p for a grant to n.
 func (s *sim) exchange(n, p *simNode, started time.Time) {
-	ask := Ask{Who: n.evidence.Self, Version: n.table.Version}
+	ask := GrantRequest{Process: n.evidence.Self, Version: n.table.Version}
 	s.send(p, 0, 6, func() {
-		if !s.bad.grantAnyway && !MayGrant(p.table, p.evidence, ask) {
+		if !s.bad.grantAnyway && !CanGrant(p.table, p.evidence, ask) {
 			return
 		}
-		simTiming.Promise(p.evidence, ask.Who.Node, s.now(p))
+		simTiming.RecordPromise(p.evidence, ask.Process.Node, s.now(p))
 		s.send(n, 0, 6, func() {
-			if g := n.evidence.Grants[p.evidence.Self.Node]; started.After(g.Started) {
-				n.evidence.Grants[p.evidence.Self.Node] = Grant{From: p.evidence.Self, Started: started}
+			if g := n.evidence.Grants[p.evidence.Self.Node]; started.After(g.RequestedAt) {
+				n.evidence.Grants[p.evidence.Self.Node] = Grant{From: p.evidence.Self, RequestedAt: started}
 			}
 		})
 	})
@@ -266,8 +266,8 @@
 	now := s.now(n)
 	health := make(map[api.NodeID]Health)
 	for node, m := range n.table.Members {
-		silent := now.Sub(n.heard[m.Who]) >= simSilent
-		health[node] = Health{Who: m.Who, Suspected: silent, AliveFor: now.Sub(n.alive[m.Who])}
+		silent := now.Sub(n.heard[m.Process]) >= simSilent
+		health[node] = Health{Process: m.Process, Suspected: silent, AliveFor: now.Sub(n.alive[m.Process])}
 	}
 	inFlight := make(map[Shard]int)
 	for shard, using := range n.using {
@@ -284,13 +284,13 @@
 			unlisted[l.evidence.Self.Node] = time.Duration(s.step-l.leaveAt-simRunOn) * simStep
 		}
 	}
-	for _, action := range Plan(now, View{
+	for _, action := range Plan(now, PlanInput{
 		Table: n.table, Evidence: n.evidence, Timing: simTiming, Limits: simLimits,
 		Health: health, Unlisted: unlisted, Draining: n.leaveAt > 0, InFlight: inFlight,
 	}) {
 		if c, ok := action.(Close); ok {
 			for _, at := range c.Shards {
-				n.evidence.Closed[at.Shard] = at.Epoch
+				n.evidence.ClosedEpochs[at.Shard] = at.Epoch
 			}
 			continue
 		}
@@ -304,7 +304,7 @@
 // leftIn is how many of a slots n still uses in a shard that it gave up.
 func (n *simNode) leftIn(shard Shard, step int) int {
 	h := n.table.Holds[shard]
-	lost := slices.ContainsFunc(h.Previous, func(f Former) bool { return f.Lost && f.Who == n.evidence.Self })
+	lost := slices.ContainsFunc(h.Previous, func(f FormerHolder) bool { return f.Lost && f.Process == n.evidence.Self })
 	if lost || !n.using[shard] || !n.runsOn(step) || h.HeldBy(n.evidence.Self) {
 		return 0
 	}
@@ -324,7 +324,7 @@
 			}
 			sum += n.leftIn(shard, s.step)
 			a := simTiming.Decide(n.table, n.evidence, shard, s.now(n))
-			if a.State == Full {
+			if a.Access == AccessFull {
 				holders++
 			}
 			sum += SlotLimit(n.table, n.evidence, shard, a, simSlots)
--- a/internal/ownership/status.go
+++ b/internal/ownership/status.go
@@ -15,26 +15,26 @@
 	Suspected   bool            `json:"suspected"`  // silent for too long
 	Challenged  bool            `json:"challenged"` // owes an answer in the log
 	Leaving     bool            `json:"leaving"`
-	Behind      uint64          `json:"behind"` // table versions that it has not acknowledged
+	VersionLag  uint64          `json:"behind"` // table versions that it has not acknowledged
 }
 
 // ShardStatus is one shard as this process sees it.
 type ShardStatus struct {
-	Shard    string     `json:"shard"`
-	Status   string     `json:"status"` // "free", "held", "released" or "ended"
-	Holder   api.NodeID `json:"holder,omitempty"`
-	Epoch    api.Epoch  `json:"epoch"`
-	State    string     `json:"state"`               // what this process may do: "none", "floor" or "full"
-	WaitMs   int64      `json:"wait_ms,omitempty"`   // until its claim may be used
-	Closed   bool       `json:"closed,omitempty"`    // it is giving the shard up
-	ByGrants bool       `json:"by_grants,omitempty"` // confirmed by the members, not by the log
-	LeftTo   []LeftTo   `json:"left_to,omitempty"`   // earlier holders that may still use slots
-	Silent   bool       `json:"silent,omitempty"`    // the holder is suspected
-	Unlisted bool       `json:"unlisted,omitempty"`  // the holder is not in the VM list
+	Shard           string               `json:"shard"`
+	Status          string               `json:"status"` // "free", "held", "released" or "ended"
+	Holder          api.NodeID           `json:"holder,omitempty"`
+	Epoch           api.Epoch            `json:"epoch"`
+	Access          string               `json:"state"`               // what this process may do: "none", "floor" or "full"
+	WaitMs          int64                `json:"wait_ms,omitempty"`   // until its claim may be used
+	Closed          bool                 `json:"closed,omitempty"`    // it is giving the shard up
+	ByGrants        bool                 `json:"by_grants,omitempty"` // confirmed by the members, not by the log
+	FormerHolders   []FormerHolderStatus `json:"left_to,omitempty"`   // earlier holders that may still use slots
+	HolderSuspected bool                 `json:"silent,omitempty"`    // the holder is suspected
+	Unlisted        bool                 `json:"unlisted,omitempty"`  // the holder is not in the VM list
 }
 
-// LeftTo is what an earlier holder may still use.
-type LeftTo struct {
+// FormerHolderStatus is what an earlier holder may still use.
+type FormerHolderStatus struct {
 	Node     api.NodeID `json:"node"`
 	Lost     bool       `json:"lost"`      // it lost the shard and may use its floor share
 	InFlight int        `json:"in_flight"` // else: requests at each endpoint
@@ -76,7 +76,7 @@
 		for _, s := range Shards() {
 			shard := c.shardStatus(t, e, s, now)
 			_, shard.Unlisted = unlisted[shard.Holder]
-			shard.Silent = health[shard.Holder].Suspected
+			shard.HolderSuspected = health[shard.Holder].Suspected
 			status.Shards = append(status.Shards, shard)
 		}
 	})
@@ -85,10 +85,10 @@
 
 // confirmedAge is the age of the log's confirmation in milliseconds.
 func confirmedAge(e *Evidence, now time.Time) int64 {
-	if e.Confirmed.IsZero() {
+	if e.ConfirmedAt.IsZero() {
 		return -1
 	}
-	return now.Sub(e.Confirmed).Milliseconds()
+	return now.Sub(e.ConfirmedAt).Milliseconds()
 }
 
 // memberStatuses describes the roster.
@@ -96,20 +96,20 @@
 	shards := make(map[Identity]int)
 	for _, h := range t.Holds {
 		if h.Status == StatusHeld {
-			shards[h.Who]++
+			shards[h.Process]++
 		}
 	}
 	members := make([]MemberStatus, 0, len(t.Members))
 	for _, m := range t.Roster() {
 		members = append(members, MemberStatus{
-			Node:        m.Who.Node,
-			Incarnation: m.Who.Incarnation,
+			Node:        m.Process.Node,
+			Incarnation: m.Process.Incarnation,
 			Address:     m.Address,
-			Shards:      shards[m.Who],
-			Suspected:   health[m.Who.Node].Suspected,
+			Shards:      shards[m.Process],
+			Suspected:   health[m.Process.Node].Suspected,
 			Challenged:  m.Challenged > m.Acked,
-			Leaving:     m.Leaving || health[m.Who.Node].Draining,
-			Behind:      t.Version - m.Acked,
+			Leaving:     m.Leaving || health[m.Process.Node].Draining,
+			VersionLag:  t.Version - m.Acked,
 		})
 	}
 	return members
@@ -123,19 +123,19 @@
 		Shard:    s.String(),
 		Status:   h.Status.String(),
 		Epoch:    h.Epoch,
-		State:    a.State.String(),
-		Closed:   h.HeldBy(e.Self) && e.Closed[s] == h.Epoch,
-		ByGrants: a.Granted,
+		Access:   a.Access.String(),
+		Closed:   h.HeldBy(e.Self) && e.ClosedEpochs[s] == h.Epoch,
+		ByGrants: a.ByGrants,
 	}
 	if h.Status == StatusHeld {
-		status.Holder = h.Who.Node
+		status.Holder = h.Process.Node
 	}
 	if a.UsableAt.After(now) {
 		status.WaitMs = a.UsableAt.Sub(now).Milliseconds()
 	}
 	for _, f := range h.Previous {
-		if t.IsMember(f.Who) {
-			status.LeftTo = append(status.LeftTo, LeftTo{Node: f.Who.Node, Lost: f.Lost, InFlight: int(f.InFlight)})
+		if t.IsMember(f.Process) {
+			status.FormerHolders = append(status.FormerHolders, FormerHolderStatus{Node: f.Process.Node, Lost: f.Lost, InFlight: int(f.InFlight)})
 		}
 	}
 	return status
--- a/internal/ownership/table.go
+++ b/internal/ownership/table.go
@@ -20,23 +20,23 @@
 
 // Hold is what the log says of one shard.
 type Hold struct {
-	_      struct{} `cbor:",toarray"`
-	Who    Identity // the latest holder
-	Epoch  api.Epoch
-	Status HoldStatus
-	// Wait is set when the holder took the shard over without a release, so
+	_       struct{} `cbor:",toarray"`
+	Process Identity // the latest holder
+	Epoch   api.Epoch
+	Status  HoldStatus
+	// MustWait is set when the holder took the shard over without a release, so
 	// that it waits before the first use.
-	Wait bool
+	MustWait bool
 	// Previous are the earlier holders that may still use slots: those that
 	// lost the shard, and those that released it with requests in flight.
 	// Those no longer in the roster count for nothing.
-	Previous []Former
+	Previous []FormerHolder
 }
 
-// Former is an earlier holder of a shard.
-type Former struct {
+// FormerHolder is an earlier holder of a shard.
+type FormerHolder struct {
 	_        struct{} `cbor:",toarray"`
-	Who      Identity
+	Process  Identity
 	Lost     bool   // it did not release the shard; it may use its floor share
 	Members  uint32 // that divide the slots into that share, as of the loss
 	InFlight uint16 // else: it may use so many slots of each endpoint
@@ -45,12 +45,12 @@
 // isFormer reports whether who is among the earlier holders that may still
 // use slots.
 func (h Hold) isFormer(who Identity) bool {
-	return slices.ContainsFunc(h.Previous, func(f Former) bool { return f.Who == who })
+	return slices.ContainsFunc(h.Previous, func(f FormerHolder) bool { return f.Process == who })
 }
 
 // without returns the earlier holders but who.
-func (h Hold) without(who Identity) []Former {
-	return slices.DeleteFunc(slices.Clone(h.Previous), func(f Former) bool { return f.Who == who })
+func (h Hold) without(who Identity) []FormerHolder {
+	return slices.DeleteFunc(slices.Clone(h.Previous), func(f FormerHolder) bool { return f.Process == who })
 }
 
 // Released reports whether the shard may be claimed without a wait.
@@ -60,13 +60,13 @@
 
 // HeldBy reports whether who holds the shard now.
 func (h Hold) HeldBy(who Identity) bool {
-	return h.Status == StatusHeld && h.Who == who
+	return h.Status == StatusHeld && h.Process == who
 }
 
 // Member is one entry VM in the roster.
 type Member struct {
 	_       struct{} `cbor:",toarray"`
-	Who     Identity
+	Process Identity
 	Address string // IP:port of its peer service
 	Joined  uint64 // table version of its join
 	Acked   uint64 // table version that it has acknowledged
@@ -114,7 +114,7 @@
 // IsMember reports whether who, in this very incarnation, is in the roster.
 func (t *Table) IsMember(who Identity) bool {
 	m, ok := t.Members[who.Node]
-	return ok && m.Who == who
+	return ok && m.Process == who
 }
 
 // Acknowledged reports whether every member has acknowledged the membership
@@ -142,9 +142,9 @@
 	case Acknowledge:
 		return t.acknowledge(a)
 	case Leave:
-		return t.remove(a.Who)
+		return t.remove(a.Process)
 	case Expel:
-		return t.remove(a.Who)
+		return t.remove(a.Process)
 	case Claim:
 		return t.claim(a)
 	case Release:
@@ -158,23 +158,23 @@
 
 // join adds a member, in place of an earlier incarnation.
 func (t *Table) join(j Join) error {
-	if j.Who.Node == "" || j.Who.Incarnation == 0 {
+	if j.Process.Node == "" || j.Process.Incarnation == 0 {
 		return ErrMalformed
 	}
-	former, known := t.Members[j.Who.Node]
-	if known && former.Who == j.Who {
+	former, known := t.Members[j.Process.Node]
+	if known && former.Process == j.Process {
 		return ErrAlreadyMember
 	}
 	t.Version++
 	if known {
-		t.endHolds(former.Who)
+		t.endHolds(former.Process)
 	}
 	members := uint32(len(t.Members))
 	if !known {
 		members++
 	}
-	t.Members[j.Who.Node] = Member{
-		Who: j.Who, Address: j.Address,
+	t.Members[j.Process.Node] = Member{
+		Process: j.Process, Address: j.Address,
 		Joined: t.Version, Acked: t.Version, Members: members,
 		LostAt: t.Version, // whatever it held before, under any incarnation
 	}
@@ -184,32 +184,32 @@
 
 // acknowledge records how far a member has read.
 func (t *Table) acknowledge(a Acknowledge) error {
-	if !t.IsMember(a.Who) {
+	if !t.IsMember(a.Process) {
 		return ErrNotMember
 	}
-	m := t.Members[a.Who.Node]
+	m := t.Members[a.Process.Node]
 	if a.Version <= m.Acked || a.Version > t.Version {
 		return ErrStaleVersion
 	}
 	t.Version++
 	m.Acked = a.Version
 	m.Members = max(m.Members, a.Members)
-	t.Members[a.Who.Node] = m
+	t.Members[a.Process.Node] = m
 	return nil
 }
 
 // challenge makes a member owe an acknowledgement.
 func (t *Table) challenge(c Challenge) error {
-	if !t.IsMember(c.From) || !t.IsMember(c.Who) {
+	if !t.IsMember(c.From) || !t.IsMember(c.Process) {
 		return ErrNotMember
 	}
-	m := t.Members[c.Who.Node]
+	m := t.Members[c.Process.Node]
 	if m.Challenged > m.Acked {
-		return ErrAlreadyOwing
+		return ErrAlreadyChallenged
 	}
 	t.Version++
 	m.Challenged = t.Version
-	t.Members[c.Who.Node] = m
+	t.Members[c.Process.Node] = m
 	return nil
 }
 
@@ -237,17 +237,17 @@
 
 // claim takes every shard of c or none.
 func (t *Table) claim(c Claim) error {
-	if !t.IsMember(c.Who) {
+	if !t.IsMember(c.Process) {
 		return ErrNotMember
 	}
 	for _, at := range c.Shards {
-		if err := t.checkClaim(c.Who, at); err != nil {
+		if err := t.checkClaim(c.Process, at); err != nil {
 			return err
 		}
 	}
 	t.Version++
 	for _, at := range c.Shards {
-		t.take(c.Who, at.Shard)
+		t.take(c.Process, at.Shard)
 	}
 	return nil
 }
@@ -264,7 +264,7 @@
 		return ErrAlreadyHolder
 	case !h.Released() && !t.Acknowledged(who):
 		return ErrUnacknowledged
-	case h.Status == StatusHeld && !t.owing(h.Who):
+	case h.Status == StatusHeld && !t.owing(h.Process):
 		return ErrHolderAlive
 	default:
 		return nil
@@ -284,40 +284,40 @@
 	if h.HeldBy(who) {
 		return
 	}
-	next := Hold{Who: who, Epoch: h.Epoch + 1, Status: StatusHeld, Wait: !h.Released()}
+	next := Hold{Process: who, Epoch: h.Epoch + 1, Status: StatusHeld, MustWait: !h.Released()}
 	next.Previous = t.leftBehind(h, who)
 	t.Holds[s] = next
 	if h.Status == StatusHeld {
-		loser := t.Members[h.Who.Node]
+		loser := t.Members[h.Process.Node]
 		loser.LostAt = t.Version
-		t.Members[h.Who.Node] = loser
+		t.Members[h.Process.Node] = loser
 	}
 }
 
 // leftBehind returns the earlier holders that may use slots after who has
 // taken over h.
-func (t *Table) leftBehind(h Hold, who Identity) []Former {
+func (t *Table) leftBehind(h Hold, who Identity) []FormerHolder {
 	former := h.without(who)
 	if h.Status == StatusHeld {
-		former = append(former, Former{Who: h.Who, Lost: true, Members: t.Members[h.Who.Node].Members})
+		former = append(former, FormerHolder{Process: h.Process, Lost: true, Members: t.Members[h.Process.Node].Members})
 	}
-	return slices.DeleteFunc(former, func(f Former) bool { return !t.IsMember(f.Who) })
+	return slices.DeleteFunc(former, func(f FormerHolder) bool { return !t.IsMember(f.Process) })
 }
 
 // release gives up every shard of r or none.
 func (t *Table) release(r Release) error {
 	for _, at := range r.Shards {
-		if err := t.checkRelease(r.Who, at); err != nil {
+		if err := t.checkRelease(r.Process, at); err != nil {
 			return err
 		}
 	}
 	t.Version++
 	for _, at := range r.Shards {
-		t.giveUp(r.Who, at)
+		t.giveUp(r.Process, at)
 	}
-	if m := t.Members[r.Who.Node]; r.Leaving && m.Who == r.Who {
+	if m := t.Members[r.Process.Node]; r.Leaving && m.Process == r.Process {
 		m.Leaving = true
-		t.Members[r.Who.Node] = m
+		t.Members[r.Process.Node] = m
 	}
 	return nil
 }
@@ -347,7 +347,7 @@
 		h.Status = StatusReleased
 	}
 	if held && at.InFlight > 0 {
-		h.Previous = append(h.Previous, Former{Who: who, InFlight: at.InFlight})
+		h.Previous = append(h.Previous, FormerHolder{Process: who, InFlight: at.InFlight})
 	}
 	t.Holds[at.Shard] = h
 }
--- a/internal/reqkey/machine.go
+++ b/internal/reqkey/machine.go
@@ -63,7 +63,7 @@
 	writerIndex map[journal.Origin]uint32
 }
 
-var _ journal.Machine = (*StateMachine)(nil)
+var _ journal.StateMachine = (*StateMachine)(nil)
 
 // NewStateMachine returns an empty StateMachine with DefaultLimits.
 func NewStateMachine() *StateMachine {
@@ -87,12 +87,12 @@
 	m.writersMu.Unlock()
 }
 
-// Types implements journal.Machine.
+// Types implements journal.StateMachine.
 func (m *StateMachine) Types() []journal.EntryType {
 	return []journal.EntryType{TypeMark, TypeOutcome, TypeRelease, TypeGeneration}
 }
 
-// Apply implements journal.Machine. Rejections have the error types of this
+// Apply implements journal.StateMachine. Rejections have the error types of this
 // package.
 func (m *StateMachine) Apply(_ journal.Position, e journal.Entry) error {
 	m.apply.Lock()
--- a/internal/reqkey/snapshot.go
+++ b/internal/reqkey/snapshot.go
@@ -33,7 +33,7 @@
 	record record
 }
 
-// Snapshot implements journal.Machine. Machines that applied the same entries
+// Snapshot implements journal.StateMachine. Machines that applied the same entries
 // return equal snapshots.
 func (m *StateMachine) Snapshot() ([]byte, error) {
 	m.apply.Lock()
@@ -76,7 +76,7 @@
 	return answers
 }
 
-// Restore implements journal.Machine. An invalid snapshot leaves the state
+// Restore implements journal.StateMachine. An invalid snapshot leaves the state
 // unchanged.
 func (m *StateMachine) Restore(data []byte) error {
 	var in snapshot
