--- a/internal/journal/append.go
+++ b/internal/journal/append.go
@@ -12,14 +12,14 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// appender is the state of the append loop.
+// appender holds the state of the append loop.
 type appender struct {
 	r            *Replica
 	backoff      backoff
-	lastWasChunk bool // snapshots and entries take turns
+	lastWasChunk bool // snapshot chunks and batches of entries alternate
 }
 
-// appendLoop sends batches, one at a time, until ctx ends.
+// appendLoop appends one record at a time until ctx ends.
 func (r *Replica) appendLoop(ctx context.Context) error {
 	a := &appender{r: r, backoff: r.newBackoff()}
 	for ctx.Err() == nil {
@@ -33,7 +33,7 @@
 	return ctx.Err()
 }
 
-// appendNext sends a chunk of a snapshot or a batch of entries.
+// appendNext appends a snapshot chunk or a batch of entries.
 func (a *appender) appendNext(ctx context.Context) {
 	c, ok := a.nextChunk()
 	a.lastWasChunk = ok
@@ -48,21 +48,22 @@
 	return backoff{min: r.cfg.BackoffMin, max: r.cfg.BackoffMax, random: r.cfg.Random}
 }
 
-// waitForWork returns when a batch is full, its oldest entry has waited for
-// the flush interval, or a snapshot is to be written.
+// waitForWork returns when a batch is full, the oldest entry has waited for the
+// flush interval, or a snapshot is to be written.
 func (a *appender) waitForWork(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait, ok := a.untilFlush()
+		wait, ok := a.flushDelay()
 		if ok && wait <= 0 {
 			return
 		}
-		a.waitWoken(ctx, wait, ok)
+		a.waitForWakeup(ctx, wait, ok)
 	}
 }
 
-// untilFlush returns how long the pending entries may still wait, false when
-// there are none, or the replica couldn't read them back.
-func (a *appender) untilFlush() (time.Duration, bool) {
+// flushDelay returns how much longer the pending entries may wait. It returns
+// false if there are none, or if the replica is not ready and could not read
+// them back.
+func (a *appender) flushDelay() (time.Duration, bool) {
 	r := a.r
 	if !r.Ready() {
 		return 0, false
@@ -72,18 +73,18 @@
 	if r.snapshot != nil {
 		return 0, true
 	}
-	since, ok := r.batcher.oldest()
+	proposedAt, ok := r.batcher.oldestPending()
 	if !ok {
 		return 0, false
 	}
-	if r.batcher.waiting >= r.room() {
+	if r.batcher.pendingBytes >= r.batchCapacity() {
 		return 0, true
 	}
-	return r.cfg.FlushInterval - r.cfg.Now().Sub(since), true
+	return r.cfg.FlushInterval - r.cfg.Now().Sub(proposedAt), true
 }
 
-// waitWoken waits for news and, when bounded, at most for wait.
-func (a *appender) waitWoken(ctx context.Context, wait time.Duration, bounded bool) {
+// waitForWakeup waits for a notification, for at most wait if bounded is set.
+func (a *appender) waitForWakeup(ctx context.Context, wait time.Duration, bounded bool) {
 	var expired <-chan time.Time
 	if bounded {
 		timer := time.NewTimer(wait)
@@ -97,11 +98,11 @@
 	}
 }
 
-// minAppendsPerSecond is the least share that a node takes, so that a wait
-// never outlasts a change of its share by more than two seconds.
+// minAppendsPerSecond is the minimum append rate of a node, so that a wait
+// continues for at most two seconds after the node's share has changed.
 const minAppendsPerSecond = 0.5
 
-// appendLimit returns the limit for a share of the budget.
+// appendLimit returns the rate limit for a share of the budget.
 func appendLimit(share float64) rate.Limit {
 	if share > minAppendsPerSecond {
 		return rate.Limit(share)
@@ -109,30 +110,31 @@
 	return minAppendsPerSecond
 }
 
-// waitForBudget takes one append from this node's share of the log's budget.
+// waitForBudget waits until this node's share of the log's budget allows
+// another append.
 func (a *appender) waitForBudget(ctx context.Context) {
 	limiter := a.r.limiter
 	if limit := appendLimit(a.r.cfg.AppendsPerSecond()); limit != limiter.Limit() {
 		limiter.SetLimit(limit)
 	}
-	_ = limiter.Wait(ctx) // fails only when ctx ends, which the caller checks
+	_ = limiter.Wait(ctx) // fails only if ctx ends, which the caller checks
 }
 
-// appendBatch sends one batch and stays with it until its fate is known or
-// nobody asks for it any more.
+// appendBatch appends one batch and retries it until its outcome is known or
+// every proposer has abandoned it.
 func (a *appender) appendBatch(ctx context.Context) {
-	o := a.r.takeBatch(a.r.room())
-	if o == nil {
+	b := a.r.takeBatch(a.r.batchCapacity())
+	if b == nil {
 		return
 	}
 	for {
-		offset, err := a.send(ctx, o.data)
+		offset, err := a.send(ctx, b.data)
 		if err == nil {
 			a.backoff.reset()
-			a.r.markAcked(o, offset)
+			a.r.markAcked(b, offset)
 			return
 		}
-		if !a.failed(ctx, o, err) {
+		if !a.handleFailure(ctx, b, err) {
 			return
 		}
 		a.waitForBudget(ctx)
@@ -143,7 +145,7 @@
 	}
 }
 
-// send does one append.
+// send makes one append call.
 func (a *appender) send(ctx context.Context, data []byte) (platform.Offset, error) {
 	r := a.r
 	ctx, cancel := context.WithTimeout(ctx, r.cfg.AppendTimeout)
@@ -153,31 +155,31 @@
 	return r.cfg.Log.Append(ctx, r.cfg.Stream, data)
 }
 
-// failed deals with a failed append of o and reports whether the same batch
-// is to be sent again.
-func (a *appender) failed(ctx context.Context, o *outgoing, err error) bool {
+// handleFailure handles a failed append of b and reports whether the same batch
+// must be sent again.
+func (a *appender) handleFailure(ctx context.Context, b *inFlightBatch, err error) bool {
 	r := a.r
 	switch {
 	case errors.Is(err, platform.ErrTooLarge):
 		r.counters.appendTooLarge.Add(1)
-		a.shrink(o)
+		a.handleTooLarge(b)
 		return false
-	case errors.Is(err, platform.ErrUnavailable) && !o.uncertain:
+	case errors.Is(err, platform.ErrUnavailable) && !b.uncertain:
 		r.countFailure(err)
-		r.returnBatch(o)
+		r.requeueBatch(b)
 		a.pause(ctx, err)
 		return false
 	case !errors.Is(err, platform.ErrUnavailable):
-		o.uncertain = true
-		o.lostAt = r.cfg.Now()
-		r.markSent(o)
+		b.uncertain = true
+		b.answerLostAt = r.cfg.Now()
+		r.markSent(b)
 	}
 	r.countFailure(err)
 	a.pause(ctx, err)
-	return a.settle(ctx, o)
+	return a.awaitOutcome(ctx, b)
 }
 
-// countFailure counts an append that failed, other than for its size.
+// countFailure counts an append that failed for a reason other than its size.
 func (r *Replica) countFailure(err error) {
 	if errors.Is(err, platform.ErrUnavailable) {
 		r.counters.appendUnavailable.Add(1)
@@ -186,19 +188,20 @@
 	r.counters.appendUncertain.Add(1)
 }
 
-// shrink makes the following batches smaller. An entry that is too large by
-// itself is answered; a batch that may be in the log is left unsettled.
-func (a *appender) shrink(o *outgoing) {
-	if o.uncertain {
-		a.r.finish(o, a.r.sameForAll(o, ErrUnsettled))
+// handleTooLarge handles a batch that the log refused as too large. It reduces
+// the size of later batches and queues the proposals again. A batch of a single
+// entry fails, and a batch that may already be in the log ends with ErrUnsettled.
+func (a *appender) handleTooLarge(b *inFlightBatch) {
+	if b.uncertain {
+		a.r.finish(b, a.r.repeatError(b, ErrUnsettled))
 		return
 	}
-	if len(o.proposals) == 1 {
-		a.r.finish(o, []error{ErrEntryTooLarge})
+	if len(b.proposals) == 1 {
+		a.r.finish(b, []error{ErrEntryTooLarge})
 		return
 	}
-	a.r.lowerLimit(len(o.data))
-	a.r.returnBatch(o)
+	a.r.reduceRecordLimit(len(b.data))
+	a.r.requeueBatch(b)
 }
 
 // pause waits after a failure.
@@ -208,26 +211,26 @@
 	pause.For(ctx, wait)
 }
 
-// settle waits until the fate of o is known, by reading. It reports whether
-// o is to be sent again under the same sequence: a read that was sent after
-// the answer was lost has come to the end without it. A first copy that
-// still turns up later is then dropped by the readers as a repeat, or is the
-// one that counts.
-func (a *appender) settle(ctx context.Context, o *outgoing) bool {
+// awaitOutcome waits until reads have shown the outcome of b. It returns true
+// if b must be sent again with the same sequence: a read that was sent after
+// the answer was lost has reached the end of the stream without finding b. If
+// the first copy still appears later, readers apply whichever copy comes first
+// and drop the other as a duplicate.
+func (a *appender) awaitOutcome(ctx context.Context, b *inFlightBatch) bool {
 	r := a.r
 	for {
 		r.mu.Lock()
 		progress := r.progress
-		finished, deserted := o.finished, o.deserted()
+		finished, isAbandoned := b.finished, b.isAbandoned()
 		r.mu.Unlock()
 		switch {
 		case finished || ctx.Err() != nil:
 			return false
-		case deserted || r.Applied() > o.startedAt+resendRetention:
+		case isAbandoned || r.Applied() > b.appliedAtStart+resendRetention:
 			r.counters.batchesAbandoned.Add(1)
-			r.finish(o, r.sameForAll(o, ErrUnsettled))
+			r.finish(b, r.repeatError(b, ErrUnsettled))
 			return false
-		case r.Ready() && r.ConfirmedAt().After(o.lostAt):
+		case r.Ready() && r.ConfirmedAt().After(b.answerLostAt):
 			return true
 		}
 		select {
--- a/internal/journal/batcher.go
+++ b/internal/journal/batcher.go
@@ -5,87 +5,89 @@
 	"time"
 )
 
-// proposal is one entry that a local proposer waits for.
+// proposal is one entry whose result a local proposer waits for.
 type proposal struct {
-	entry Entry
-	size  int
-	since time.Time     // when it was proposed
-	done  chan error    // gets the result, once
-	place *list.Element // in the batcher; nil once taken
-	left  bool          // the proposer has gone with ErrUnsettled
+	entry      Entry
+	size       int
+	proposedAt time.Time
+	done       chan error    // receives the result once
+	element    *list.Element // in the batcher's list; nil once taken
+	abandoned  bool          // the proposer has returned with ErrUnsettled
 }
 
 func newProposal(e Entry, now time.Time) *proposal {
-	return &proposal{entry: e, size: entrySize(e), since: now, done: make(chan error, 1)}
+	return &proposal{entry: e, size: entrySize(e), proposedAt: now, done: make(chan error, 1)}
 }
 
-// batcher holds proposals that have not been sent, in order. It counts the
-// bytes of those and of the ones taken but not yet settled against one bound.
-// It is not safe for concurrent use.
+// batcher queues proposals that have not been sent. One limit applies to the
+// size of the queued proposals and those in flight, which were taken and have
+// no result yet. It is not safe for concurrent use.
 type batcher struct {
-	pending  list.List
-	waiting  int // bytes pending
-	taken    int // bytes taken and not settled
-	maxBytes int
+	pending       list.List // of *proposal, oldest first
+	pendingBytes  int
+	inFlightBytes int
+	maxBytes      int
 }
 
-// add queues p and reports whether it fitted.
+// add queues p. It returns false if p would exceed the size limit.
 func (b *batcher) add(p *proposal) bool {
-	if b.waiting+b.taken+p.size > b.maxBytes {
+	if b.pendingBytes+b.inFlightBytes+p.size > b.maxBytes {
 		return false
 	}
-	p.place = b.pending.PushBack(p)
-	b.waiting += p.size
+	p.element = b.pending.PushBack(p)
+	b.pendingBytes += p.size
 	return true
 }
 
-// remove withdraws p and reports whether it was still pending.
+// remove removes p from the queue and reports whether it was still pending.
 func (b *batcher) remove(p *proposal) bool {
-	if p.place == nil {
+	if p.element == nil {
 		return false
 	}
-	b.pending.Remove(p.place)
-	p.place = nil
-	b.waiting -= p.size
+	b.pending.Remove(p.element)
+	p.element = nil
+	b.pendingBytes -= p.size
 	return true
 }
 
-// take removes the oldest proposals that fit into room bytes, at least one.
-func (b *batcher) take(room int) []*proposal {
+// take removes and returns the oldest proposals that fit into capacity bytes,
+// and at least one if there is any.
+func (b *batcher) take(capacity int) []*proposal {
 	var out []*proposal
 	size := 0
 	for b.pending.Len() > 0 {
 		p := b.pending.Front().Value.(*proposal)
-		if len(out) > 0 && size+p.size > room {
+		if len(out) > 0 && size+p.size > capacity {
 			break
 		}
 		b.remove(p)
-		b.taken += p.size
+		b.inFlightBytes += p.size
 		size += p.size
 		out = append(out, p)
 	}
 	return out
 }
 
-// putBack returns taken proposals to the front, in their order.
-func (b *batcher) putBack(ps []*proposal) {
+// requeue puts taken proposals back at the front of the queue, in order.
+func (b *batcher) requeue(ps []*proposal) {
 	for i := len(ps) - 1; i >= 0; i-- {
 		p := ps[i]
-		p.place = b.pending.PushFront(p)
-		b.waiting += p.size
-		b.taken -= p.size
+		p.element = b.pending.PushFront(p)
+		b.pendingBytes += p.size
+		b.inFlightBytes -= p.size
 	}
 }
 
-// settle frees the bytes of a taken proposal.
-func (b *batcher) settle(p *proposal) {
-	b.taken -= p.size
+// release releases the bytes of a proposal that is no longer in flight.
+func (b *batcher) release(p *proposal) {
+	b.inFlightBytes -= p.size
 }
 
-// oldest returns when the oldest pending proposal came, false when none is.
-func (b *batcher) oldest() (time.Time, bool) {
+// oldestPending returns when the oldest pending proposal was made, or false if
+// none is pending.
+func (b *batcher) oldestPending() (time.Time, bool) {
 	if b.pending.Len() == 0 {
 		return time.Time{}, false
 	}
-	return b.pending.Front().Value.(*proposal).since, true
+	return b.pending.Front().Value.(*proposal).proposedAt, true
 }
--- a/internal/journal/bench_test.go
+++ b/internal/journal/bench_test.go
@@ -13,7 +13,7 @@
 	"github.com/skylarklock/skylarklock/internal/standin/logserver"
 )
 
-// startBody is of the size of a task's start.
+// startBody has the size of a task's start entry.
 type startBody struct {
 	_       struct{} `cbor:",toarray"`
 	Task    api.TaskID
@@ -30,8 +30,8 @@
 	})}
 }
 
-// TestPeakLoadFitsAppendBudget puts 5,000 starts a second through nine nodes
-// and a log that refuses more than 200 appends a second, in virtual time.
+// TestPeakLoadFitsAppendBudget proposes 5,000 starts a second through nine
+// nodes while the log refuses more than 200 appends a second, in virtual time.
 func TestPeakLoadFitsAppendBudget(t *testing.T) {
 	const nodes, budget, perSecond, seconds = 9, 200, 5000, 3
 	synctest.Test(t, func(t *testing.T) {
@@ -42,8 +42,8 @@
 				c.AppendsPerSecond = func() float64 { return 0.95 * budget / nodes }
 			}))
 		}
-		settleTime()
-		began, before := time.Now(), log.Stats()
+		waitIdle()
+		start, before := time.Now(), log.Stats()
 		waits := make([]time.Duration, perSecond*seconds)
 		var wg sync.WaitGroup
 		for i := range waits {
@@ -55,14 +55,14 @@
 			time.Sleep(time.Second / perSecond)
 		}
 		wg.Wait()
-		spent, stats := time.Since(began).Seconds(), log.Stats()
+		elapsed, stats := time.Since(start).Seconds(), log.Stats()
 		appends := float64(stats.Appends - before.Appends)
 		slices.Sort(waits)
 		n := len(waits)
-		t.Logf("%d entries, %.0f appends/s, %.1f bytes an entry, wait p50 %v p99 %v max %v", n, appends/spent,
+		t.Logf("%d entries, %.0f appends/s, %.1f bytes per entry, wait p50 %v p99 %v max %v", n, appends/elapsed,
 			float64(stats.AppendBytes-before.AppendBytes)/float64(n), waits[n/2], waits[n*99/100], waits[n-1])
-		if appends/spent > budget {
-			t.Errorf("%.0f appends/s", appends/spent)
+		if appends/elapsed > budget {
+			t.Errorf("%.0f appends/s, want at most 200", appends/elapsed)
 		}
 	})
 }
@@ -79,7 +79,7 @@
 		all = append(all, platform.LogRecord{Offset: platform.Offset(i), Data: data})
 	}
 	for b.Loop() {
-		c := newCore(Config{StateMachines: []StateMachine{&starts{}}})
+		c := newCore(Config{StateMachines: []StateMachine{&startMachine{}}})
 		for _, rec := range all {
 			if _, err := c.apply(rec); err != nil {
 				b.Fatal(err)
@@ -89,26 +89,27 @@
 	b.ReportMetric(float64(b.N*records*perRecord)/b.Elapsed().Seconds(), "entries/s")
 }
 
-// starts is a machine that decodes every start, and keeps some.
-type starts struct {
+// startMachine is a state machine that decodes every start. Its state is set by
+// the benchmark.
+type startMachine struct {
 	kept [][]byte
 }
 
-func (m *starts) Types() []EntryType { return []EntryType{TypeCellFirst} }
+func (m *startMachine) Types() []EntryType { return []EntryType{TypeCellFirst} }
 
-func (m *starts) Apply(_ Position, e Entry) error { return Decode(e.Body, &startBody{}) }
+func (m *startMachine) Apply(_ Position, e Entry) error { return Decode(e.Body, &startBody{}) }
 
-func (m *starts) Snapshot() ([]byte, error) { return Encode(m.kept), nil }
+func (m *startMachine) Snapshot() ([]byte, error) { return Encode(m.kept), nil }
 
-func (m *starts) Restore(data []byte) error {
+func (m *startMachine) Restore(data []byte) error {
 	m.kept = nil
 	return Decode(data, &m.kept)
 }
 
-// BenchmarkSnapshot takes and restores the state of a data centre's share of
-// 460,000 running tasks.
+// BenchmarkSnapshot writes and restores the state of one data centre, which
+// runs an eleventh of 460,000 tasks.
 func BenchmarkSnapshot(b *testing.B) {
-	m := &starts{}
+	m := &startMachine{}
 	for i := range 460_000 / 11 {
 		m.kept = append(m.kept, startEntry(i).Body)
 	}
@@ -124,5 +125,5 @@
 		}
 	}
 	b.ReportMetric(float64(len(st.Data)), "bytes")
-	b.ReportMetric(float64(len(split(st, 1, DefaultMaxRecordBytes))), "chunks")
+	b.ReportMetric(float64(len(splitState(st, 1, DefaultMaxRecordBytes))), "chunks")
 }
--- a/internal/journal/codec.go
+++ b/internal/journal/codec.go
@@ -6,8 +6,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// decoder takes arrays and maps of any length: what is read is bounded in
-// bytes, and the library's own bound is below the number of running tasks.
+// decoder accepts arrays and maps of any length: the input is bounded in
+// bytes, and the library's default limit is below the number of running tasks.
 var decoder = newDecoder()
 
 func newDecoder() cbor.DecMode {
@@ -18,8 +18,8 @@
 	return mode
 }
 
-// Encode returns v as CBOR. It panics for types that CBOR cannot hold, which
-// is a fault of the program, not of its input.
+// Encode returns v as CBOR. It panics for types that CBOR cannot represent,
+// because that is a bug in the program, not bad input.
 func Encode(v any) []byte {
 	data, err := cbor.Marshal(v)
 	if err != nil {
@@ -28,7 +28,7 @@
 	return data
 }
 
-// Decode reads CBOR into v.
+// Decode decodes CBOR data into v.
 func Decode(data []byte, v any) error {
 	return decoder.Unmarshal(data, v)
 }
--- a/internal/journal/codec_test.go
+++ b/internal/journal/codec_test.go
@@ -10,7 +10,7 @@
 	e := Entry{Type: TypeCellFirst, Body: Encode(api.TaskID{Job: "j", Index: 7})}
 	data := Encode(e)
 	if len(data) > 12 {
-		t.Fatalf("entry takes %d bytes", len(data))
+		t.Fatalf("entry has %d bytes, want at most 12", len(data))
 	}
 	var back Entry
 	if err := Decode(data, &back); err != nil {
@@ -22,8 +22,8 @@
 	}
 }
 
-// TestDecodeAcceptsLargeArrays failed with the library's default
-// bound of 131072 elements.
+// TestDecodeAcceptsLargeArrays guards against the library's default limit of
+// 131072 elements, which is below the number of running tasks.
 func TestDecodeAcceptsLargeArrays(t *testing.T) {
 	tasks := make([]api.TaskID, 500_000)
 	if err := Decode(Encode(tasks), &tasks); err != nil {
--- a/internal/journal/config.go
+++ b/internal/journal/config.go
@@ -31,39 +31,39 @@
 	DefaultBackoffMax          = 2 * time.Second
 )
 
-// Config holds the settings of a Replica. Zero fields take the defaults.
+// Config holds the settings of a Replica. Zero fields get the defaults.
 type Config struct {
-	Stream        string         // of the platform's log
-	Origin        Origin         // of this process; a new incarnation for each start
+	Stream        string         // name of the stream in the platform's log
+	Origin        Origin         // this process; each start has a new incarnation
 	Log           platform.Log   // shared by all replicas of the process
-	StateMachines []StateMachine // fed by the stream; types must not overlap
+	StateMachines []StateMachine // fed by the stream; their entry types must not overlap
 
-	FlushInterval    time.Duration  // longest wait for more entries before an append
-	MaxRecordBytes   int            // the log's limit for one record
-	MaxBacklogBytes  int            // of entries not yet settled
-	AppendsPerSecond func() float64 // this node's present share of the log's budget; 0.5 at least
-	AppendBurst      int            // appends that may follow each other at once
-	AppendTimeout    time.Duration  // of one append
+	FlushInterval    time.Duration  // maximum wait for more entries before an append
+	MaxRecordBytes   int            // the log's size limit of a record
+	MaxBacklogBytes  int            // maximum size of all entries whose outcome is not yet known
+	AppendsPerSecond func() float64 // this node's current share of the log's append budget; values below 0.5 count as 0.5
+	AppendBurst      int            // appends that may be sent without a pause
+	AppendTimeout    time.Duration  // timeout of one append
 
-	MaxReadRecords int           // records in one read
-	PollWait       time.Duration // of a read at the end of the stream; bounds the age of Confirmed
-	ReadInterval   time.Duration // shortest time between the starts of two reads
-	ReadTimeout    time.Duration // of one read, besides PollWait
+	MaxReadRecords int           // maximum number of records in one read
+	PollWait       time.Duration // how long a read waits at the end of the stream; bounds the age of ConfirmedAt
+	ReadInterval   time.Duration // minimum time between the starts of two reads
+	ReadTimeout    time.Duration // timeout of one read, in addition to PollWait
 
-	MaxSnapshotRecords  uint64        // records between snapshots, at most
-	MaxSnapshotInterval time.Duration // time between snapshots, at most; keep below a quarter of the log's retention
-	RetainedRecords     uint64        // that the log keeps, if it counts them; snapshots come within a quarter of them
-	MaxSnapshotBytes    int           // larger ones are neither written nor read
+	MaxSnapshotRecords  uint64        // maximum number of records between snapshots
+	MaxSnapshotInterval time.Duration // maximum time between snapshots; keep it below a quarter of the log's retention
+	RetainedRecords     uint64        // records that the log keeps, if it counts them; a snapshot is written at least every quarter of them
+	MaxSnapshotBytes    int           // larger snapshots are neither written nor read
 
-	BackoffMin time.Duration // first pause after a failure
-	BackoffMax time.Duration // longest pause after a failure
+	BackoffMin time.Duration // backoff after the first failure
+	BackoffMax time.Duration // maximum backoff after a failure
 
-	Random func() float64   // in [0, 1), safe for concurrent use; jitter
-	Now    func() time.Time // local clock, with its monotonic reading
+	Random func() float64   // returns jitter in [0, 1); safe for concurrent use
+	Now    func() time.Time // local clock with a monotonic reading
 	Logger logrus.FieldLogger
 }
 
-// withDefaults returns c with every zero field set.
+// withDefaults returns c with the zero fields set to their defaults.
 func (c Config) withDefaults() Config {
 	defaults.Set(&c.FlushInterval, DefaultFlushInterval)
 	defaults.Set(&c.MaxRecordBytes, DefaultMaxRecordBytes)
@@ -94,7 +94,8 @@
 	return c
 }
 
-// Validate reports every fault of c, after defaults, as a *finding.List.
+// Validate returns every invalid field of c, after the defaults are applied,
+// as a *finding.List.
 func (c Config) Validate() error {
 	c = c.withDefaults()
 	var l finding.List
@@ -108,12 +109,12 @@
 	l.Check(c.MaxReadRecords > 0, "read_max", c.MaxReadRecords, "1 or more")
 	l.Check(c.MaxSnapshotBytes > 0, "max_snapshot_bytes", c.MaxSnapshotBytes, "above zero")
 	l.Check(c.BackoffMax >= c.BackoffMin, "backoff_max", c.BackoffMax, "backoff_min or more")
-	c.checkDurations(&l)
-	c.checkMachines(&l)
+	c.validateDurations(&l)
+	c.validateStateMachines(&l)
 	return l.Err()
 }
 
-func (c Config) checkDurations(l *finding.List) {
+func (c Config) validateDurations(l *finding.List) {
 	l.Check(c.FlushInterval > 0, "flush_interval", c.FlushInterval, "above zero")
 	l.Check(c.AppendTimeout > 0, "append_timeout", c.AppendTimeout, "above zero")
 	l.Check(c.PollWait > 0, "poll_wait", c.PollWait, "above zero")
@@ -123,7 +124,7 @@
 	l.Check(c.BackoffMin > 0, "backoff_min", c.BackoffMin, "above zero")
 }
 
-func (c Config) checkMachines(l *finding.List) {
+func (c Config) validateStateMachines(l *finding.List) {
 	seen := make(map[EntryType]bool)
 	for _, m := range c.StateMachines {
 		l.Check(len(m.Types()) > 0, "machines", nil, "entry types for each")
--- a/internal/journal/core.go
+++ b/internal/journal/core.go
@@ -6,48 +6,47 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// recordKind says what a record turned out to be.
+// recordKind classifies a record that has been read.
 type recordKind uint8
 
 const (
-	recordApplied recordKind = iota + 1 // a new batch
-	recordRepeat                        // a second copy, dropped
-	recordTorn                          // damaged, skipped by every reader
-	recordChunk                         // a piece of a snapshot
+	recordApplied   recordKind = iota + 1 // a new batch
+	recordDuplicate                       // a second copy of a batch, dropped
+	recordTorn                            // corrupted, skipped by every reader
+	recordChunk                           // a snapshot chunk
 )
 
-// appliedRecord is what became of one record.
+// appliedRecord is the result of applying one record.
 type appliedRecord struct {
-	kind     recordKind
-	origin   Origin
-	sequence uint64
-	results  []error // of each entry, as returned by its machine
-	unknown  int     // entries whose type no local machine knows
-	started  bool    // the first chunk of a snapshot
-	snapshot *State  // that the record completed, without its data
+	kind           recordKind
+	origin         Origin
+	sequence       uint64
+	results        []error // of each entry, as returned by its state machine
+	unknown        int     // number of entries that no local state machine applies
+	startsSnapshot bool    // the record holds the first chunk of a snapshot
+	snapshot       *State  // the snapshot that the record completes, without its data
 }
 
-// core is the deterministic part of a replica: records in, state out. Every
-// core that is fed the same records holds the same state. It is not safe for
-// concurrent use.
+// core is the deterministic part of a replica. Every core that is fed the same
+// records holds the same state. It is not safe for concurrent use.
 type core struct {
-	stream   string
-	machines []StateMachine
-	byType   map[EntryType]StateMachine
-	seen     *sequencer
-	snaps    *assembler
-	next     platform.Offset // of the first record not yet applied
-	damaged  bool            // a restore broke off; nothing may be applied
-	foreign  bool            // holds less than the stream says: entries of unknown types were passed over
+	stream         string
+	machines       []StateMachine
+	byType         map[EntryType]StateMachine
+	dedup          *sequencer
+	snapshots      *assembler
+	next           platform.Offset // of the first record not yet applied
+	damaged        bool            // a restore failed halfway; nothing may be applied
+	skippedUnknown bool            // entries of unknown types were skipped, so the state lacks their effects
 }
 
 func newCore(cfg Config) *core {
 	c := &core{
-		stream:   cfg.Stream,
-		machines: cfg.StateMachines,
-		byType:   make(map[EntryType]StateMachine),
-		seen:     newSequencer(),
-		snaps:    newAssembler(cfg.Stream, false, cfg.MaxSnapshotBytes),
+		stream:    cfg.Stream,
+		machines:  cfg.StateMachines,
+		byType:    make(map[EntryType]StateMachine),
+		dedup:     newSequencer(),
+		snapshots: newAssembler(cfg.Stream, false, cfg.MaxSnapshotBytes),
 	}
 	for _, m := range cfg.StateMachines {
 		for _, t := range m.Types() {
@@ -57,12 +56,12 @@
 	return c
 }
 
-// apply applies the record at c.next. It fails, and changes nothing, when
-// the record is not the next one, is torn (errTorn) or of a newer format
+// apply applies the record at c.next. It fails and changes nothing if the
+// record is not the next one, is torn (errTorn) or has a newer format
 // (errNewerFormat).
 func (c *core) apply(rec platform.LogRecord) (appliedRecord, error) {
 	if rec.Offset != c.next || c.damaged {
-		return appliedRecord{}, fmt.Errorf("journal: record %d where %d was due", rec.Offset, c.next)
+		return appliedRecord{}, fmt.Errorf("journal: got record %d, expected %d", rec.Offset, c.next)
 	}
 	b, err := decodeRecord(rec.Data)
 	if err != nil {
@@ -70,31 +69,31 @@
 	}
 	var out appliedRecord
 	if b.Sequence == unsequenced {
-		out = c.followChunks(rec.Offset, b)
+		out = c.trackChunks(rec.Offset, b)
 	} else {
 		out = c.applyBatch(rec.Offset, b)
 	}
-	c.pass()
+	c.advance()
 	return out, nil
 }
 
-// skip passes over the record at c.next, which is torn.
+// skip skips the record at c.next, which is torn.
 func (c *core) skip() appliedRecord {
-	c.pass()
+	c.advance()
 	return appliedRecord{kind: recordTorn}
 }
 
-func (c *core) pass() {
-	c.seen.passed(c.next)
+func (c *core) advance() {
+	c.dedup.expireOrigins(c.next)
 	c.next++
 }
 
-// followChunks notes how far snapshots have come, without keeping their data.
-func (c *core) followChunks(offset platform.Offset, b batch) appliedRecord {
+// trackChunks tracks the progress of snapshots without keeping their data.
+func (c *core) trackChunks(offset platform.Offset, b batch) appliedRecord {
 	out := appliedRecord{kind: recordChunk, origin: b.Origin}
 	for _, part := range chunksOf(b) {
-		out.started = out.started || part.Index == 0
-		if done := c.snaps.add(b.Origin, offset, part); done != nil {
+		out.startsSnapshot = out.startsSnapshot || part.Index == 0
+		if done := c.snapshots.add(b.Origin, offset, part); done != nil {
 			out.snapshot = done
 		}
 	}
@@ -114,8 +113,8 @@
 }
 
 func (c *core) applyBatch(offset platform.Offset, b batch) appliedRecord {
-	out := appliedRecord{kind: recordRepeat, origin: b.Origin, sequence: b.Sequence}
-	if !c.seen.accept(b.Origin, b.Sequence, offset) {
+	out := appliedRecord{kind: recordDuplicate, origin: b.Origin, sequence: b.Sequence}
+	if !c.dedup.accept(b.Origin, b.Sequence, offset) {
 		return out
 	}
 	out.kind = recordApplied
@@ -124,7 +123,7 @@
 		m, ok := c.byType[e.Type]
 		if !ok {
 			out.unknown++
-			c.foreign = true
+			c.skippedUnknown = true
 			out.results[i] = ErrUnknownType
 			continue
 		}
--- a/internal/journal/frame.go
+++ b/internal/journal/frame.go
@@ -8,27 +8,29 @@
 )
 
 // Layout of a record: checksum, format, body. The checksum covers format and
-// body, so a damaged record is told from one of a newer format.
+// body, so that a corrupted record can be distinguished from one of a newer
+// format.
 const (
 	checksumBytes   = 8
 	frameOverhead   = checksumBytes + 1
 	formatBatch     = 1
-	batchOverhead   = 64 // bytes of a batch besides origin's node and its entries, at most
-	entryOverhead   = 8  // bytes of an entry besides its body, at most
+	batchOverhead   = 64 // maximum bytes of a batch besides the origin's node and the entries
+	entryOverhead   = 8  // maximum bytes of an entry besides its body
 	unsequenced     = 0  // Sequence of records that need no duplicate detection
 	minRecordBytes  = 1 << 10
 	firstSequenceNo = 1
 )
 
-// batch is the body of a record: entries of one writer, applied together.
+// batch is the body of a record: entries of one writer that are applied
+// together.
 type batch struct {
 	_        struct{} `cbor:",toarray"`
 	Origin   Origin
-	Sequence uint64 // grows with each batch of an origin; unsequenced for snapshot chunks
+	Sequence uint64 // increases with each batch of an origin; unsequenced for snapshot chunks
 	Entries  []Entry
 }
 
-// encodeRecord returns b as the data of one log record.
+// encodeRecord returns b encoded as one log record.
 func encodeRecord(b batch) []byte {
 	body := Encode(b)
 	data := make([]byte, frameOverhead, frameOverhead+len(body))
@@ -46,7 +48,7 @@
 		return b, fmt.Errorf("%w: %d bytes", errTorn, len(data))
 	}
 	if binary.BigEndian.Uint64(data) != xxhash.Sum64(data[checksumBytes:]) {
-		return b, fmt.Errorf("%w: checksum", errTorn)
+		return b, fmt.Errorf("%w: checksum mismatch", errTorn)
 	}
 	if format := data[checksumBytes]; format != formatBatch {
 		return b, fmt.Errorf("%w: format %d", errNewerFormat, format)
@@ -57,12 +59,13 @@
 	return b, nil
 }
 
-// entrySize bounds the bytes that e takes within a record.
+// entrySize returns an upper bound of e's size within a record.
 func entrySize(e Entry) int {
 	return len(e.Body) + entryOverhead
 }
 
-// entryRoom is how many bytes of entries fit into a record of limit bytes.
-func entryRoom(limit int, origin Origin) int {
+// entryCapacity returns how many bytes of entries fit into a record of at most
+// limit bytes.
+func entryCapacity(limit int, origin Origin) int {
 	return limit - frameOverhead - batchOverhead - len(origin.Node)
 }
--- a/internal/journal/http_test.go
+++ b/internal/journal/http_test.go
@@ -11,8 +11,8 @@
 	"github.com/skylarklock/skylarklock/internal/standin/logserver"
 )
 
-// TestReplicasOverHTTP runs two replicas over real sockets while the log
-// loses every answer for a while.
+// TestReplicasOverHTTP runs two replicas over real sockets while the log loses
+// its next four answers.
 func TestReplicasOverHTTP(t *testing.T) {
 	log := logserver.New(logserver.Config{})
 	server := httptest.NewServer(log.Handler())
@@ -37,9 +37,9 @@
 	}
 	wg.Wait()
 	// Each node has applied everything before its own last entry.
-	writeMany(t, nodes[0], 200, 201)
-	writeMany(t, nodes[1], 201, 202)
-	writeMany(t, nodes[0], 202, 203)
+	proposeRange(t, nodes[0], 200, 201)
+	proposeRange(t, nodes[1], 201, 202)
+	proposeRange(t, nodes[0], 202, 203)
 	if a, b := nodes[0].machine.list(), nodes[1].machine.list(); len(a) != 203 || len(b) < 202 || fmt.Sprint(a[:202]) != fmt.Sprint(b[:202]) {
 		t.Errorf("replicas differ: %d and %d entries", len(a), len(b))
 	}
--- a/internal/journal/read.go
+++ b/internal/journal/read.go
@@ -12,40 +12,41 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// errLogBehind: the log ends before what has been applied. It isn't the log
-// that the state came from, or it has lost records.
+// errLogBehind means that the log ends before the applied position: it isn't
+// the log that the state came from, or it has lost records.
 var errLogBehind = errors.New("journal: log ends before the applied position")
 
-// reader is the state of the read loop.
+// reader holds the state of the read loop.
 type reader struct {
 	r       *Replica
 	backoff backoff
-	scan    *scan // set while looking for a snapshot to start from
-	suspect suspect
+	scan    *scan // not nil while searching for a snapshot to restore
+	suspect unreadableRecord
 }
 
-// tornReads is how many reads must bring the same unreadable bytes before a
-// record is passed over.
-const tornReads = 3
-
-// suspect is a record that could not be read. It is passed over only when
-// several reads bring the same bytes, so that damage on the way to one reader
-// doesn't make it differ from the others.
-type suspect struct {
-	offset platform.Offset
-	sum    uint64
-	reads  int
+// requiredTornReads is how many reads must return the same unreadable bytes
+// before a record is skipped.
+const requiredTornReads = 3
+
+// unreadableRecord counts the reads of a record that could not be decoded. The
+// record is skipped only after several reads have returned the same bytes, so
+// that corruption in transit to one reader doesn't make its state differ from
+// the others'.
+type unreadableRecord struct {
+	offset   platform.Offset
+	checksum uint64
+	reads    int
 }
 
-// confirmed reports whether rec has now been read often enough with the same
-// bytes.
-func (s *suspect) confirmed(rec platform.LogRecord) bool {
-	sum := xxhash.Sum64(rec.Data)
-	if s.offset != rec.Offset || s.sum != sum {
-		*s = suspect{offset: rec.Offset, sum: sum}
+// observe counts a read of rec and reports whether rec has been read often
+// enough with the same bytes.
+func (s *unreadableRecord) observe(rec platform.LogRecord) bool {
+	checksum := xxhash.Sum64(rec.Data)
+	if s.offset != rec.Offset || s.checksum != checksum {
+		*s = unreadableRecord{offset: rec.Offset, checksum: checksum}
 	}
 	s.reads++
-	return s.reads >= tornReads
+	return s.reads >= requiredTornReads
 }
 
 // readLoop reads and applies until ctx ends.
@@ -63,11 +64,11 @@
 	return ctx.Err()
 }
 
-// readOnce does one read and applies what it brought, or searches it for a
+// readOnce makes one read and applies the records, or searches them for a
 // snapshot.
 func (l *reader) readOnce(ctx context.Context, sent time.Time) error {
 	r := l.r
-	l.dropOldScan()
+	l.dropStaleScan()
 	from := r.Applied()
 	if l.scan != nil {
 		from = l.scan.next
@@ -105,19 +106,19 @@
 	pause.For(ctx, wait)
 }
 
-// follow applies the records of a read from offset from that was sent at the
-// given time.
+// follow applies the records of a read that started at offset from and was
+// sent at the given time.
 func (l *reader) follow(sent time.Time, from platform.Offset, got platform.LogBatch) error {
 	r := l.r
 	r.firstKept.Store(uint64(got.First))
 	r.applying.Lock()
 	defer r.applying.Unlock()
 	if r.core.next != from {
-		return nil // a peer's state came in meanwhile
+		return nil // a peer's state was imported in the meantime
 	}
 	if r.logBehind || got.Next < from {
 		r.logBehind = true
-		r.breakDown(errLogBehind)
+		r.markIncomplete(errLogBehind)
 		return errLogBehind
 	}
 	for _, rec := range got.Records {
@@ -125,57 +126,58 @@
 			return err
 		}
 	}
-	r.giveUpPassed(r.core.next)
+	r.finishMissing(r.core.next)
 	if got.Next == r.core.next {
 		r.reachedEnd(sent)
 	}
-	r.maybeSnapshot(got.First)
+	r.startSnapshotIfDue(got.First)
 	return nil
 }
 
-// applyRecord applies one record and answers the local proposers.
+// applyRecord applies one record and returns the results to local proposers.
 func (l *reader) applyRecord(rec platform.LogRecord) error {
 	r := l.r
 	out, err := r.core.apply(rec)
 	switch {
-	case errors.Is(err, errTorn) && !l.suspect.confirmed(rec):
-		return err // read it once more
+	case errors.Is(err, errTorn) && !l.suspect.observe(rec):
+		return err // read it again
 	case errors.Is(err, errTorn):
 		out = r.core.skip()
-		r.noteTorn(rec, err)
+		r.addTornRecord(rec, err)
 	case err != nil:
-		r.breakDown(err)
+		r.markIncomplete(err)
 		return err
 	}
 	r.applied.Store(uint64(r.core.next))
 	r.counters.countRecord(out)
 	if out.kind == recordApplied && out.origin == r.cfg.Origin {
-		r.readBack(out)
+		r.deliverResults(out)
 	}
-	r.noteRecord(out)
+	r.updateSchedule(out)
 	return nil
 }
 
-// reachedEnd notes a read that came to the end of the stream.
+// reachedEnd records that a read, sent at the given time, has reached the end
+// of the stream.
 func (r *Replica) reachedEnd(sent time.Time) {
 	r.confirmed.Store(&sent)
-	r.becomeReady("log")
+	r.markReady("log")
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.broadcastLocked()
 }
 
-// becomeReady notes that the state is complete.
-func (r *Replica) becomeReady(source string) {
+// markReady records that the state is complete.
+func (r *Replica) markReady(source string) {
 	if r.ready.Swap(true) {
 		return
 	}
-	r.wakeAppender()
+	r.notifyAppender()
 	r.log.WithFields(logrus.Fields{"event": "ready", "applied": r.core.next, "source": source}).Info("state complete")
 }
 
-// breakDown notes a gap that the log can't bridge now.
-func (r *Replica) breakDown(err error) {
+// markIncomplete records a gap that the log can't fill at the moment.
+func (r *Replica) markIncomplete(err error) {
 	r.ready.Store(false)
 	r.counters.gaps.Add(1)
 	r.log.WithFields(logrus.Fields{"event": "gap", "applied": r.core.next, "error": err}).Error("state incomplete")
--- a/internal/journal/replica.go
+++ b/internal/journal/replica.go
@@ -14,11 +14,11 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// Replica follows one stream, feeds the local machines and appends the
+// Replica follows one stream, feeds the local state machines and appends the
 // entries of local proposers. It implements Proposer and Follower.
 //
-// Run drives it with two loops: one reads and applies, the other appends,
-// one record at a time.
+// Run runs two loops: one reads and applies records, the other appends one
+// record at a time.
 type Replica struct {
 	cfg      Config
 	log      logrus.FieldLogger
@@ -28,27 +28,27 @@
 	applied   atomic.Uint64             // platform.Offset
 	confirmed atomic.Pointer[time.Time] // see Follower
 	ready     atomic.Bool
-	firstKept atomic.Uint64 // platform.Offset; the oldest that the log kept at the latest read
+	firstKept atomic.Uint64 // platform.Offset; the oldest in the log at the latest read
 
-	applying   sync.Mutex // guards what follows up to mu, and is taken before it
+	applying   sync.Mutex // guards the fields up to mu; locked before mu
 	core       *core
-	generation uint64 // counts the states that replaced core's
-	logBehind  bool   // the log was seen to end before core.next
+	generation uint64 // number of times that core's state was replaced
+	logBehind  bool   // a read has shown that the log ends before core.next
 
-	mu       sync.Mutex // guards what follows
-	batcher  batcher
-	unread   map[uint64]*outgoing // sent or being sent and not yet read back, by sequence
-	lastSent uint64               // highest sequence that may be in the log
-	stopped  bool
-	progress chan struct{} // closed and renewed when a read reached the end
-	schedule schedule
-	snapshot *snapshotWriter // nil when none is being written
-	torn     []TornRecord
+	mu               sync.Mutex // guards the fields below
+	batcher          batcher
+	inFlight         map[uint64]*inFlightBatch // sent or being sent, not yet read back; by sequence
+	lastSentSequence uint64                    // highest sequence that may be in the log
+	stopped          bool
+	progress         chan struct{} // closed and replaced to signal progress, see broadcastLocked
+	schedule         snapshotSchedule
+	snapshot         *snapshotWriter // nil unless a snapshot is being written
+	tornRecords      []TornRecord
 
-	snapshotID  uint64       // of the latest snapshot written here; guarded by mu
-	recordLimit atomic.Int64 // bytes of one record; lowered when the log refuses one as too large
+	snapshotID  uint64       // of the latest snapshot written by this replica; guarded by mu
+	recordLimit atomic.Int64 // maximum size of a record in bytes; reduced when the log refuses one as too large
 
-	wake chan struct{} // tells the append loop that there may be work
+	wake chan struct{} // signals the append loop that there may be work
 }
 
 var (
@@ -56,8 +56,8 @@
 	_ Follower = (*Replica)(nil)
 )
 
-// NewReplica returns a replica that does nothing before Run. It fails with
-// a *finding.List when cfg is not valid.
+// NewReplica returns a replica that is started by Run. It fails with a
+// *finding.List if cfg is not valid.
 func NewReplica(cfg Config) (*Replica, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -69,21 +69,21 @@
 		limiter:  rate.NewLimiter(appendLimit(cfg.AppendsPerSecond()), cfg.AppendBurst),
 		core:     newCore(cfg),
 		batcher:  batcher{maxBytes: cfg.MaxBacklogBytes},
-		unread:   make(map[uint64]*outgoing),
+		inFlight: make(map[uint64]*inFlightBatch),
 		progress: make(chan struct{}),
 		wake:     make(chan struct{}, 1),
 	}
 	r.recordLimit.Store(int64(cfg.MaxRecordBytes))
-	r.schedule = schedule{
-		every: cfg.MaxSnapshotRecords, interval: cfg.MaxSnapshotInterval, retain: cfg.RetainedRecords, random: cfg.Random,
+	r.schedule = snapshotSchedule{
+		maxRecords: cfg.MaxSnapshotRecords, maxInterval: cfg.MaxSnapshotInterval, retainedRecords: cfg.RetainedRecords, random: cfg.Random,
 	}
 	r.schedule.completed(0, cfg.Now())
 	return r, nil
 }
 
-// Run reads and appends until ctx ends, and returns the reason. Proposers
-// that still wait get ErrStopped, or ErrUnsettled when their entry may have
-// been sent. Run may be called once.
+// Run reads and appends until ctx ends, and returns the context's error.
+// Proposers that still wait get ErrStopped, or ErrUnsettled if their entry may
+// have been sent. Run must not be called more than once.
 func (r *Replica) Run(ctx context.Context) error {
 	defer r.stop()
 	var g run.Group
@@ -94,16 +94,16 @@
 	return g.Run()
 }
 
-// stop answers every proposer that still waits.
+// stop ends every proposal that still waits for its result.
 func (r *Replica) stop() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stopped = true
-	for _, o := range r.unread {
-		r.finishLocked(o, r.sameForAll(o, ErrUnsettled))
+	for _, b := range r.inFlight {
+		r.finishLocked(b, r.repeatError(b, ErrUnsettled))
 	}
 	for _, p := range r.batcher.take(r.cfg.MaxBacklogBytes) {
-		r.batcher.settle(p)
+		r.batcher.release(p)
 		p.done <- ErrStopped
 	}
 }
@@ -121,7 +121,7 @@
 	case err := <-p.done:
 		return err
 	case <-ctx.Done():
-		return r.leave(ctx, p)
+		return r.abandonProposal(ctx, p)
 	}
 }
 
@@ -130,7 +130,7 @@
 	if _, ok := r.core.byType[p.entry.Type]; !ok {
 		return fmt.Errorf("%w: %d", ErrUnknownType, p.entry.Type)
 	}
-	if p.size > entryRoom(r.cfg.MaxRecordBytes, r.cfg.Origin) {
+	if p.size > entryCapacity(r.cfg.MaxRecordBytes, r.cfg.Origin) {
 		return fmt.Errorf("%w: %d bytes", ErrEntryTooLarge, p.size)
 	}
 	if !r.Ready() {
@@ -146,12 +146,12 @@
 		return ErrBacklogFull
 	}
 	r.counters.proposed.Add(1)
-	r.wakeAppender()
+	r.notifyAppender()
 	return nil
 }
 
-// leave answers a proposer whose context has ended.
-func (r *Replica) leave(ctx context.Context, p *proposal) error {
+// abandonProposal returns the result for a proposer whose context has ended.
+func (r *Replica) abandonProposal(ctx context.Context, p *proposal) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	select {
@@ -164,7 +164,7 @@
 		r.counters.withdrawn.Add(1)
 		return fmt.Errorf("%w: withdrawn: %w", ErrNotWritten, cause)
 	}
-	p.left = true
+	p.abandoned = true
 	r.broadcastLocked()
 	r.counters.unsettled.Add(1)
 	return fmt.Errorf("%w: %w", ErrUnsettled, cause)
@@ -183,9 +183,9 @@
 	return time.Time{}
 }
 
-// Ready reports whether the state is complete: the replica has once come to
-// the end of the stream without a gap, or has taken in a peer's state. It
-// turns false when the replica finds a gap that it can't bridge.
+// Ready reports whether the state is complete: the replica has reached the end
+// of the stream without a gap, or has imported a peer's state. It becomes false
+// when the replica finds a gap that it can't fill.
 func (r *Replica) Ready() bool {
 	return r.ready.Load()
 }
@@ -193,36 +193,36 @@
 func (r *Replica) backlogBytes() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.batcher.waiting + r.batcher.taken
+	return r.batcher.pendingBytes + r.batcher.inFlightBytes
 }
 
-// snapshotPosition is what the newest complete snapshot stands for.
+// snapshotPosition returns the position of the newest complete snapshot.
 func (r *Replica) snapshotPosition() platform.Offset {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.schedule.position
 }
 
-// room is how many bytes of entries fit into one record.
-func (r *Replica) room() int {
-	return entryRoom(int(r.recordLimit.Load()), r.cfg.Origin)
+// batchCapacity returns how many bytes of entries fit into one record.
+func (r *Replica) batchCapacity() int {
+	return entryCapacity(int(r.recordLimit.Load()), r.cfg.Origin)
 }
 
-// lowerLimit makes the following records smaller than one of size bytes that
-// the log refused.
-func (r *Replica) lowerLimit(size int) {
+// reduceRecordLimit limits later records to half of size bytes, the size of a
+// record that the log refused as too large.
+func (r *Replica) reduceRecordLimit(size int) {
 	r.recordLimit.Store(int64(max(size/2, minRecordBytes)))
 }
 
-// wakeAppender tells the append loop that there may be work.
-func (r *Replica) wakeAppender() {
+// notifyAppender signals the append loop that there may be work.
+func (r *Replica) notifyAppender() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// broadcastLocked wakes everybody who waits for progress.
+// broadcastLocked wakes all waiters for progress. The caller holds r.mu.
 func (r *Replica) broadcastLocked() {
 	close(r.progress)
 	r.progress = make(chan struct{})
--- a/internal/journal/replica_test.go
+++ b/internal/journal/replica_test.go
@@ -15,53 +15,55 @@
 	"github.com/skylarklock/skylarklock/internal/standin/logserver"
 )
 
-// errOdd is what tally returns for bodies that it rejects.
-var errOdd = errors.New("rejected by the machine")
+// errRejected is the error of recordingMachine for bodies that it rejects.
+var errRejected = errors.New("rejected by the state machine")
 
-// tally is a machine that keeps every body in order and rejects "bad".
-type tally struct {
+// recordingMachine is a state machine that records every body in order and
+// rejects "bad".
+type recordingMachine struct {
 	mu     sync.Mutex
 	bodies []string
 }
 
-func (m *tally) Types() []EntryType { return []EntryType{TypeCellFirst} }
+func (m *recordingMachine) Types() []EntryType { return []EntryType{TypeCellFirst} }
 
-func (m *tally) Apply(_ Position, e Entry) error {
+func (m *recordingMachine) Apply(_ Position, e Entry) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if string(e.Body) == "bad" {
-		return errOdd
+		return errRejected
 	}
 	m.bodies = append(m.bodies, string(e.Body))
 	return nil
 }
 
-func (m *tally) Snapshot() ([]byte, error) { return Encode(m.list()), nil }
+func (m *recordingMachine) Snapshot() ([]byte, error) { return Encode(m.list()), nil }
 
-func (m *tally) Restore(data []byte) error {
+func (m *recordingMachine) Restore(data []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.bodies = nil
 	return Decode(data, &m.bodies)
 }
 
-func (m *tally) list() []string {
+func (m *recordingMachine) list() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return append([]string(nil), m.bodies...)
 }
 
-// node is one replica with its machine, running in a synctest bubble.
+// node is one replica with its state machine. Most tests run it in a synctest
+// bubble.
 type node struct {
 	*Replica
-	machine *tally
-	stopRun context.CancelFunc
-	ended   chan struct{}
+	machine *recordingMachine
+	cancel  context.CancelFunc
+	done    chan struct{}
 }
 
 func startNode(t *testing.T, log platform.Log, name string, change func(*Config)) *node {
 	t.Helper()
-	n := &node{machine: &tally{}, ended: make(chan struct{})}
+	n := &node{machine: &recordingMachine{}, done: make(chan struct{})}
 	cfg := Config{
 		Stream:        "dc/a",
 		Origin:        Origin{Node: api.NodeID(name), Incarnation: 1},
@@ -79,35 +81,35 @@
 	n.Replica = r
 	t.Cleanup(n.stopAndWait)
 	var ctx context.Context
-	ctx, n.stopRun = context.WithCancel(t.Context())
+	ctx, n.cancel = context.WithCancel(t.Context())
 	go func() {
-		defer close(n.ended)
+		defer close(n.done)
 		_ = r.Run(ctx)
 	}()
 	return n
 }
 
-// readyNode starts a node and lets it read to the end of the stream.
+// readyNode starts a node and gives it time to read to the end of the stream.
 func readyNode(t *testing.T, log platform.Log, name string, change func(*Config)) *node {
 	t.Helper()
 	n := startNode(t, log, name, change)
-	settleTime()
+	waitIdle()
 	return n
 }
 
-// inBubble runs f in virtual time with an empty log.
-func inBubble(t *testing.T, f func(*testing.T, *logserver.Server)) {
+// runInBubble runs f in virtual time with an empty log.
+func runInBubble(t *testing.T, f func(*testing.T, *logserver.Server)) {
 	synctest.Test(t, func(t *testing.T) { f(t, logserver.New(logserver.Config{})) })
 }
 
 func (n *node) stopAndWait() {
-	n.stopRun()
-	<-n.ended
+	n.cancel()
+	<-n.done
 }
 
-// propose proposes body and gives up after limit.
-func (n *node) propose(body string, limit time.Duration) error {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+// propose proposes body with a timeout.
+func (n *node) propose(body string, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return n.Propose(ctx, Entry{Type: TypeCellFirst, Body: []byte(body)})
 }
@@ -126,32 +128,32 @@
 	}
 }
 
-// settleTime lets every loop come to rest, several polls long.
-func settleTime() {
+// waitIdle waits until every loop is idle, for the time of several polls.
+func waitIdle() {
 	time.Sleep(5 * time.Second)
 	synctest.Wait()
 }
 
 func TestReplicasAgreeAndReturnResults(t *testing.T) {
-	inBubble(t, func(t *testing.T, log *logserver.Server) {
+	runInBubble(t, func(t *testing.T, log *logserver.Server) {
 		a, b := startNode(t, log, "a", nil), startNode(t, log, "b", nil)
 		wantErr(t, a.propose("early", time.Second), ErrNotReady)
-		settleTime()
+		waitIdle()
 		var wg sync.WaitGroup
 		for i := range 200 {
 			wg.Go(func() { wantErr(t, []*node{a, b}[i%2].propose(fmt.Sprint(i), time.Second), nil) })
 		}
 		wg.Wait()
-		wantErr(t, a.propose("bad", time.Second), errOdd)
-		settleTime()
+		wantErr(t, a.propose("bad", time.Second), errRejected)
+		waitIdle()
 		if got := a.machine.list(); len(got) != 200 || !reflect.DeepEqual(got, b.machine.list()) {
-			t.Errorf("replicas differ or lack entries: %d", len(got))
+			t.Errorf("replicas differ or lack entries: a has %d, want 200", len(got))
 		}
 		if appends := log.Stats().Appends; appends > 10 {
-			t.Errorf("201 entries took %d appends", appends)
+			t.Errorf("201 entries took %d appends, want at most 10", appends)
 		}
 		if age := time.Since(a.ConfirmedAt()); age > 2*DefaultPollWait {
-			t.Errorf("confirmed %v ago", age)
+			t.Errorf("confirmed %v ago, want at most two polls", age)
 		}
 		a.stopAndWait()
 		b.stopAndWait()
@@ -161,20 +163,20 @@
 
 func TestEntriesAreAppliedOnceDespiteLostAnswers(t *testing.T) {
 	faults := map[string]logserver.Faults{
-		"answer lost after the write": {LoseAnswers: 3},
-		"append lost before it":       {DropAppends: 3},
-		"write lands after the retry": {LateAppends: 2, LateBy: 3 * time.Second},
-		"writes refused for a while":  {RefuseWrites: true},
+		"answers are lost after the write": {LoseAnswers: 3},
+		"appends are lost":                 {DropAppends: 3},
+		"write completes after the retry":  {LateAppends: 2, LateBy: 3 * time.Second},
+		"writes are refused temporarily":   {RefuseWrites: true},
 	}
 	for name, f := range faults {
 		t.Run(name, func(t *testing.T) {
-			inBubble(t, func(t *testing.T, log *logserver.Server) {
+			runInBubble(t, func(t *testing.T, log *logserver.Server) {
 				a, b := readyNode(t, log, "a", nil), readyNode(t, log, "b", nil)
 				log.SetFaults(f)
 				time.AfterFunc(2*time.Second, func() { log.SetFaults(logserver.Faults{}) })
 				wantErr(t, a.propose("1", time.Minute), nil)
 				wantErr(t, a.propose("2", time.Minute), nil)
-				settleTime()
+				waitIdle()
 				wantBodies(t, a, "1", "2")
 				wantBodies(t, b, "1", "2")
 			})
@@ -183,7 +185,7 @@
 }
 
 func TestNotWrittenOnlyWhenCertain(t *testing.T) {
-	inBubble(t, func(t *testing.T, log *logserver.Server) {
+	runInBubble(t, func(t *testing.T, log *logserver.Server) {
 		a := readyNode(t, log, "a", nil)
 
 		log.SetFaults(logserver.Faults{RefuseWrites: true})
@@ -197,7 +199,8 @@
 		wantErr(t, a.propose("after", time.Minute), nil)
 		time.Sleep(20 * time.Second)
 
-		// The abandoned batch lands behind a later one and is a repeat to all.
+		// The abandoned batch is appended after a later one, and every reader
+		// drops it as a duplicate.
 		wantBodies(t, a, "before", "after")
 		if s := a.Stats(); s.RecordsRepeated != 1 || s.BatchesAbandoned != 1 || s.BacklogBytes != 0 {
 			t.Errorf("stats %+v", s)
@@ -206,9 +209,9 @@
 }
 
 func TestBacklogIsBoundedWhileLogIsDown(t *testing.T) {
-	inBubble(t, func(t *testing.T, log *logserver.Server) {
+	runInBubble(t, func(t *testing.T, log *logserver.Server) {
 		a := startNode(t, log, "a", func(c *Config) { c.MaxRecordBytes, c.MaxBacklogBytes = 2048, 2048 })
-		settleTime()
+		waitIdle()
 		log.SetFaults(logserver.Faults{Down: true})
 		var wg sync.WaitGroup
 		for range 20 {
@@ -216,12 +219,12 @@
 		}
 		synctest.Wait()
 		if full := a.Stats().BacklogFull; full != 16 {
-			t.Errorf("%d proposals refused at once, want 16", full)
+			t.Errorf("%d proposals were refused immediately, want 16", full)
 		}
 		calls := log.Stats().AppendCalls
 		wg.Wait()
 		if more := log.Stats().AppendCalls - calls; more > 30 {
-			t.Errorf("%d appends tried in 30 s of outage", more)
+			t.Errorf("%d appends in 30 s of outage, want at most 30", more)
 		}
 		wantErr(t, a.propose(string(make([]byte, 4000)), time.Second), ErrEntryTooLarge)
 		a.stopAndWait()
@@ -229,16 +232,16 @@
 	})
 }
 
-// TestAppendsResumeAfterZeroBudgetShare hung: the append loop waited without end
-// for a share of zero, also after the share had grown.
+// TestAppendsResumeAfterZeroBudgetShare guards against an append loop that
+// waited forever on a budget share of zero, even after the share had grown.
 func TestAppendsResumeAfterZeroBudgetShare(t *testing.T) {
-	inBubble(t, func(t *testing.T, log *logserver.Server) {
-		began := time.Now()
+	runInBubble(t, func(t *testing.T, log *logserver.Server) {
+		start := time.Now()
 		a := startNode(t, log, "a", func(c *Config) {
 			c.AppendBurst = 1
-			c.AppendsPerSecond = func() float64 { return max(0, time.Since(began).Seconds()-10) }
+			c.AppendsPerSecond = func() float64 { return max(0, time.Since(start).Seconds()-10) }
 		})
-		settleTime()
+		waitIdle()
 		wantErr(t, a.propose("1", time.Minute), nil)
 		wantErr(t, a.propose("2", time.Minute), nil)
 		time.Sleep(10 * time.Second)
--- a/internal/journal/scan.go
+++ b/internal/journal/scan.go
@@ -8,22 +8,22 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// errNoSnapshot: the records from the applied position on are gone and the
-// log holds no complete snapshot that bridges the gap.
-var errNoSnapshot = errors.New("journal: no snapshot bridges the gap")
+// errNoSnapshot means that the records after the applied position were trimmed
+// and the log holds no complete snapshot that fills the gap.
+var errNoSnapshot = errors.New("journal: no snapshot fills the gap")
 
-// scan looks for the newest snapshot of a stream, from the oldest record
-// kept to the end. When there is none it goes on with what is appended.
+// scan searches a stream for its newest snapshot, from the oldest record to the
+// end. If it finds none, it continues with records appended later.
 type scan struct {
-	next       platform.Offset // of the first record not yet looked at
-	generation uint64          // of the replica's state when the scan began
-	snaps      *assembler
-	best       *State
-	reported   bool // the gap has been counted
+	next        platform.Offset // of the first record not yet searched
+	generation  uint64          // of the replica's state at the start of the scan
+	snapshots   *assembler
+	best        *State
+	gapReported bool // the gap has been logged and counted
 }
 
-// look searches the records of one read.
-func (s *scan) look(records []platform.LogRecord) {
+// search searches the records of one read for snapshot chunks.
+func (s *scan) search(records []platform.LogRecord) {
 	for _, rec := range records {
 		s.next = rec.Offset + 1
 		b, err := decodeRecord(rec.Data)
@@ -31,7 +31,7 @@
 			continue
 		}
 		for _, part := range chunksOf(b) {
-			s.consider(s.snaps.add(b.Origin, rec.Offset, part))
+			s.consider(s.snapshots.add(b.Origin, rec.Offset, part))
 		}
 	}
 }
@@ -43,8 +43,8 @@
 	s.best = st
 }
 
-// usable returns the best snapshot if the records after it, from first on,
-// are still there and it is not older than the local state.
+// usable returns the best snapshot, or nil if records after it were trimmed
+// (first is the oldest offset in the log) or it is older than the local state.
 func (s *scan) usable(first, local platform.Offset) *State {
 	if s.best == nil || s.best.Position < first || s.best.Position < local {
 		return nil
@@ -52,8 +52,8 @@
 	return s.best
 }
 
-// startScan begins to look for a snapshot after the applied position, or the
-// place of an earlier scan, has been trimmed.
+// startScan starts the search for a snapshot after the records at the applied
+// position, or at the position of an earlier scan, have been trimmed.
 func (l *reader) startScan(trimmed *platform.TrimmedError) {
 	r := l.r
 	r.applying.Lock()
@@ -61,17 +61,17 @@
 	r.ready.Store(false)
 	r.counters.scans.Add(1)
 	r.log.WithFields(logrus.Fields{"event": "trimmed", "from": trimmed.From, "first": trimmed.First}).Warn("looking for a snapshot")
-	reported := l.scan != nil && l.scan.reported
+	gapReported := l.scan != nil && l.scan.gapReported
 	l.scan = &scan{
-		next:       trimmed.First,
-		generation: r.generation,
-		snaps:      newAssembler(r.cfg.Stream, true, r.cfg.MaxSnapshotBytes),
-		reported:   reported,
+		next:        trimmed.First,
+		generation:  r.generation,
+		snapshots:   newAssembler(r.cfg.Stream, true, r.cfg.MaxSnapshotBytes),
+		gapReported: gapReported,
 	}
 }
 
-// dropOldScan ends a scan that a peer's state has made needless.
-func (l *reader) dropOldScan() {
+// dropStaleScan ends a scan if a peer's state was imported after its start.
+func (l *reader) dropStaleScan() {
 	l.r.applying.Lock()
 	defer l.r.applying.Unlock()
 	if l.scan != nil && l.scan.generation != l.r.generation {
@@ -79,10 +79,10 @@
 	}
 }
 
-// continueScan searches one read, and at the end of the stream restores the
-// newest snapshot.
+// continueScan searches the records of one read. At the end of the stream it
+// restores the newest snapshot.
 func (l *reader) continueScan(got platform.LogBatch) error {
-	l.scan.look(got.Records)
+	l.scan.search(got.Records)
 	if l.scan.next < got.Next {
 		return nil
 	}
@@ -99,7 +99,7 @@
 	}
 	if err := r.restoreLocked(*st); err != nil {
 		l.scan.best = nil
-		r.breakDown(err)
+		r.markIncomplete(err)
 		return err
 	}
 	l.scan = nil
@@ -109,9 +109,9 @@
 }
 
 func (l *reader) reportGap() {
-	if l.scan.reported {
+	if l.scan.gapReported {
 		return
 	}
-	l.scan.reported = true
-	l.r.breakDown(errNoSnapshot)
+	l.scan.gapReported = true
+	l.r.markIncomplete(errNoSnapshot)
 }
--- a/internal/journal/schedule.go
+++ b/internal/journal/schedule.go
@@ -6,71 +6,74 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// snapshotGrace is how long a replica waits after it has written a snapshot,
-// failed to, or seen another replica begin one, before it writes its own.
-const snapshotGrace = 3 * time.Second
+// snapshotPostponement is how long a replica waits before it writes a snapshot
+// after it has written one, has failed to write one, or has seen another replica
+// start one.
+const snapshotPostponement = 3 * time.Second
 
-// schedule decides when this replica writes a snapshot. Each replica draws
-// its own point between half of the limits and all of them, and starts over
-// when it sees a complete snapshot, so that mostly one of them writes. Two
-// snapshots do no harm. Chunks don't count as records: otherwise the
-// snapshots of several replicas would make the next ones due. It is not safe
-// for concurrent use.
-type schedule struct {
-	every    uint64        // records between snapshots, at most
-	interval time.Duration // time between snapshots, at most
-	retain   uint64        // records that the log is said to keep; zero when unknown
-	random   func() float64
+// snapshotSchedule decides when this replica writes a snapshot. Each replica
+// multiplies the limits by a random factor between one half and one, and
+// restarts when it reads a complete snapshot, so that usually only one replica
+// writes. Two snapshots at a time are harmless. Chunks don't count as records,
+// because otherwise the snapshots of several replicas would make the next ones
+// due. It is not safe for concurrent use.
+type snapshotSchedule struct {
+	maxRecords      uint64        // maximum number of records between snapshots
+	maxInterval     time.Duration // maximum time between snapshots
+	retainedRecords uint64        // records that the log is configured to keep; zero if unknown
+	random          func() float64
 
-	position  platform.Offset // of the newest complete snapshot
-	at        time.Time       // when it was seen
-	records   uint64          // since then, without chunks
-	share     float64         // of the limits, drawn
-	notBefore time.Time
-	writing   bool
+	position    platform.Offset // of the newest complete snapshot
+	completedAt time.Time       // when it was read
+	records     uint64          // read since then, without chunks
+	limitFactor float64         // random factor of the limits
+	notBefore   time.Time
+	writing     bool
 }
 
-// completed notes a complete snapshot.
-func (s *schedule) completed(position platform.Offset, now time.Time) {
+// completed records a complete snapshot and restarts the schedule.
+func (s *snapshotSchedule) completed(position platform.Offset, now time.Time) {
 	if position < s.position {
 		return
 	}
-	s.position, s.at = position, now
+	s.position, s.completedAt = position, now
 	s.records = 0
-	s.share = 0.5 + s.random()/2
+	s.limitFactor = 0.5 + s.random()/2
 }
 
-// passed notes a record other than a chunk.
-func (s *schedule) passed() {
+// countRecord counts a record other than a chunk.
+func (s *snapshotSchedule) countRecord() {
 	s.records++
 }
 
-// postpone leaves others, or the log, some time.
-func (s *schedule) postpone(now time.Time) {
-	s.notBefore = now.Add(min(snapshotGrace, s.interval/4))
+// postpone delays the next snapshot, so that another replica can finish its
+// own, or the log can recover.
+func (s *snapshotSchedule) postpone(now time.Time) {
+	s.notBefore = now.Add(min(snapshotPostponement, s.maxInterval/4))
 }
 
-// due reports whether a snapshot should be written now, at position next,
-// with first the oldest offset that the log keeps.
-func (s *schedule) due(now time.Time, next, first platform.Offset) bool {
+// due reports whether a snapshot at position next should be written now. first
+// is the oldest offset in the log.
+func (s *snapshotSchedule) due(now time.Time, next, first platform.Offset) bool {
 	if s.writing || next <= s.position || now.Before(s.notBefore) {
 		return false
 	}
 	if s.position < first {
 		return true // a new reader would find a gap
 	}
-	limit := float64(s.recordLimit(next, first)) * s.share
-	age := time.Duration(float64(s.interval) * s.share)
-	return float64(s.records) >= limit || now.Sub(s.at) >= age
+	limit := float64(s.recordLimit(next, first)) * s.limitFactor
+	age := time.Duration(float64(s.maxInterval) * s.limitFactor)
+	return float64(s.records) >= limit || now.Sub(s.completedAt) >= age
 }
 
-// recordLimit is how many records may follow a snapshot: a quarter of what
-// the log keeps, by its own word or as seen. The rest is for the records that
-// come while a snapshot is written, and for readers on their way.
-func (s *schedule) recordLimit(next, first platform.Offset) uint64 {
-	limit := s.every
-	if s.retain > 0 {
-		limit = min(limit, s.retain/4)
+// recordLimit returns how many records may follow a snapshot: at most a quarter
+// of the records that the log keeps, as configured and as observed. The rest is
+// left for records that are appended while a snapshot is written, and for
+// readers that are behind.
+func (s *snapshotSchedule) recordLimit(next, first platform.Offset) uint64 {
+	limit := s.maxRecords
+	if s.retainedRecords > 0 {
+		limit = min(limit, s.retainedRecords/4)
 	}
 	if first > 0 {
 		limit = min(limit, uint64(next-first)/4)
--- a/internal/journal/sequencer.go
+++ b/internal/journal/sequencer.go
@@ -6,38 +6,38 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// originRetention is the number of records after which a silent origin is
-// forgotten. It is part of the stored format: every reader forgets an origin
-// at the same place. A writer gives a batch up long before, see
-// resendRetention.
+// originRetention is the number of records after which an inactive origin is
+// removed. It is part of the stored format: every reader removes an origin at
+// the same offset. A writer abandons a batch long before, see resendRetention.
 const originRetention = 1 << 22
 
-// resendRetention is the number of records after which a batch of unknown
-// fate is no longer sent again.
+// resendRetention is the number of records after which a batch whose outcome is
+// unknown is no longer sent again.
 const resendRetention = originRetention / 4
 
-// sweepEvery is the number of records between two sweeps for silent origins.
-const sweepEvery = 1 << 16
+// sweepInterval is the number of records between two sweeps for inactive
+// origins.
+const sweepInterval = 1 << 16
 
-// sequencer tells new batches from repeated ones. A batch is new when its
-// sequence is above every one applied of the same origin; gaps are allowed,
-// since a writer may give up a batch of unknown fate.
+// sequencer distinguishes new batches from duplicates. A batch is new if its
+// sequence is higher than every applied sequence of the same origin. Gaps are
+// allowed, because a writer may abandon a batch whose outcome is unknown.
 //
 // A late batch of a process that was paused, or of an incarnation that has
-// been superseded, is new if no later batch of that incarnation came before
-// it. Whether its entries still count is decided by the machines.
+// been superseded, is new unless a later batch of that incarnation was applied
+// before it. The state machines decide whether its entries are still valid.
 type sequencer struct {
 	origins map[Origin]originMark
 }
 
-// originMark is what is remembered of one origin.
+// originMark is the latest batch applied of one origin.
 type originMark struct {
 	_        struct{}        `cbor:",toarray"`
 	Sequence uint64          // highest applied
 	Offset   platform.Offset // of that record
 }
 
-// originEntry is one origin in a snapshot.
+// originEntry is the mark of one origin in a snapshot.
 type originEntry struct {
 	_      struct{} `cbor:",toarray"`
 	Origin Origin
@@ -48,24 +48,25 @@
 	return &sequencer{origins: make(map[Origin]originMark)}
 }
 
-// accept reports whether the batch at offset is new, and remembers it.
+// accept reports whether the batch at offset is new, and records it if so.
 func (s *sequencer) accept(origin Origin, sequence uint64, offset platform.Offset) bool {
-	if sequence <= s.last(origin) {
+	if sequence <= s.lastSequence(origin) {
 		return false
 	}
 	s.origins[origin] = originMark{Sequence: sequence, Offset: offset}
 	return true
 }
 
-// last returns the highest sequence applied of origin, zero when none.
-func (s *sequencer) last(origin Origin) uint64 {
+// lastSequence returns the highest applied sequence of origin, or zero.
+func (s *sequencer) lastSequence(origin Origin) uint64 {
 	return s.origins[origin].Sequence
 }
 
-// passed tells the sequencer that the record at offset has been dealt with.
-// Silent origins are forgotten at fixed places of the stream.
-func (s *sequencer) passed(offset platform.Offset) {
-	if offset%sweepEvery != 0 || offset < originRetention {
+// expireOrigins removes inactive origins. It is called after each record and
+// acts at fixed offsets of the stream, so that every reader removes the same
+// origins.
+func (s *sequencer) expireOrigins(offset platform.Offset) {
+	if offset%sweepInterval != 0 || offset < originRetention {
 		return
 	}
 	for origin, mark := range s.origins {
@@ -75,7 +76,7 @@
 	}
 }
 
-// export returns every origin in a fixed order.
+// export returns the marks of all origins in a fixed order.
 func (s *sequencer) export() []originEntry {
 	list := make([]originEntry, 0, len(s.origins))
 	for origin, mark := range s.origins {
@@ -92,7 +93,7 @@
 	return e.Origin.Incarnation < o.Origin.Incarnation
 }
 
-// restore replaces what is remembered by list.
+// restore replaces the marks with those of list.
 func (s *sequencer) restore(list []originEntry) {
 	s.origins = make(map[Origin]originMark, len(list))
 	for _, e := range list {
--- a/internal/journal/snapshot.go
+++ b/internal/journal/snapshot.go
@@ -9,35 +9,36 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// maxChunkFailures is how many failed appends end a snapshot.
+// maxChunkFailures is how many failed appends a snapshot may have; one more
+// cancels it.
 const maxChunkFailures = 8
 
-// snapshotWriter is a snapshot on its way into the stream.
+// snapshotWriter is a snapshot that is being written to the stream.
 type snapshotWriter struct {
 	chunks   []chunk
 	next     int
 	failures int
 }
 
-// noteRecord keeps the schedule of snapshots up to date.
-func (r *Replica) noteRecord(rec appliedRecord) {
+// updateSchedule updates the snapshot schedule after a record was applied.
+func (r *Replica) updateSchedule(rec appliedRecord) {
 	now := r.cfg.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case rec.kind != recordChunk:
-		r.schedule.passed()
+		r.schedule.countRecord()
 	case rec.snapshot != nil:
 		r.counters.snapshotsSeen.Add(1)
 		r.schedule.completed(rec.snapshot.Position, now)
-	case rec.started && rec.origin != r.cfg.Origin:
+	case rec.startsSnapshot && rec.origin != r.cfg.Origin:
 		r.schedule.postpone(now)
 	}
 }
 
-// maybeSnapshot hands a snapshot of the present state to the append loop
-// when one is due. The caller holds r.applying.
-func (r *Replica) maybeSnapshot(first platform.Offset) {
+// startSnapshotIfDue passes a snapshot of the current state to the append loop
+// if one is due. The caller holds r.applying.
+func (r *Replica) startSnapshotIfDue(first platform.Offset) {
 	if !r.Ready() || !r.snapshotDue(first) {
 		return
 	}
@@ -46,16 +47,16 @@
 		err = errSnapshotTooLarge
 	}
 	if err != nil {
-		r.endSnapshot(err)
+		r.finishSnapshot(err)
 		return
 	}
-	room := r.room() - chunkOverhead
+	maxData := r.batchCapacity() - chunkOverhead
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.snapshotID++
 	r.schedule.writing = true
-	r.snapshot = &snapshotWriter{chunks: split(st, r.snapshotID, room)}
-	r.wakeAppender()
+	r.snapshot = &snapshotWriter{chunks: splitState(st, r.snapshotID, maxData)}
+	r.notifyAppender()
 }
 
 var errSnapshotTooLarge = errors.New("journal: snapshot too large")
@@ -66,9 +67,9 @@
 	return r.schedule.due(r.cfg.Now(), r.core.next, first)
 }
 
-// endSnapshot forgets the snapshot being written. With an error another is
-// due after a while.
-func (r *Replica) endSnapshot(err error) {
+// finishSnapshot ends the snapshot that is being written. err is nil if it was
+// written; otherwise another becomes due after a pause.
+func (r *Replica) finishSnapshot(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.snapshot = nil
@@ -82,8 +83,8 @@
 	r.log.WithFields(logrus.Fields{"event": "snapshot_failed", "error": err}).Error("snapshot not written")
 }
 
-// nextChunk returns the chunk to append now, false when there is none or the
-// waiting entries come first.
+// nextChunk returns the chunk to append now. It returns false if there is none,
+// or if pending entries must be appended first.
 func (a *appender) nextChunk() (chunk, bool) {
 	r := a.r
 	r.mu.Lock()
@@ -95,7 +96,7 @@
 	return r.snapshot.chunks[r.snapshot.next], true
 }
 
-// appendChunk sends one chunk. One whose answer was lost is sent again;
+// appendChunk appends one chunk. A chunk whose answer was lost is sent again;
 // readers ignore the second copy.
 func (a *appender) appendChunk(ctx context.Context, c chunk) {
 	entry := Entry{Type: typeChunk, Body: Encode(c)}
@@ -103,19 +104,19 @@
 	_, err := a.send(ctx, data)
 	if err == nil {
 		a.backoff.reset()
-		a.chunkWritten()
+		a.handleChunkWritten()
 		return
 	}
-	a.chunkFailed(ctx, err, len(data))
+	a.handleChunkFailure(ctx, err, len(data))
 }
 
-func (a *appender) chunkWritten() {
+func (a *appender) handleChunkWritten() {
 	if a.advanceChunk() {
-		a.r.endSnapshot(nil)
+		a.r.finishSnapshot(nil)
 	}
 }
 
-// advanceChunk reports whether that was the last one.
+// advanceChunk moves on to the next chunk and reports whether there is none.
 func (a *appender) advanceChunk() bool {
 	r := a.r
 	r.mu.Lock()
@@ -124,17 +125,17 @@
 	return r.snapshot.next == len(r.snapshot.chunks)
 }
 
-func (a *appender) chunkFailed(ctx context.Context, err error, size int) {
+func (a *appender) handleChunkFailure(ctx context.Context, err error, size int) {
 	if errors.Is(err, platform.ErrTooLarge) {
 		a.r.counters.appendTooLarge.Add(1)
-		a.r.lowerLimit(size)
-		a.r.endSnapshot(err)
+		a.r.reduceRecordLimit(size)
+		a.r.finishSnapshot(err)
 		return
 	}
 	a.r.countFailure(err)
 	a.pause(ctx, err)
 	if a.countChunkFailure() > maxChunkFailures {
-		a.r.endSnapshot(err)
+		a.r.finishSnapshot(err)
 	}
 }
 
--- a/internal/journal/state.go
+++ b/internal/journal/state.go
@@ -9,8 +9,8 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// State is the whole state of a replica after every record before Position.
-// Peers exchange it, and snapshots carry its Data.
+// State is the whole state of a replica after all records before Position.
+// Peers exchange it, and snapshots contain its Data.
 type State struct {
 	Stream   string
 	Position platform.Offset
@@ -18,7 +18,7 @@
 	Data     []byte // CBOR
 }
 
-// stateBody is the form of State.Data.
+// stateBody is the content of State.Data.
 type stateBody struct {
 	_        struct{} `cbor:",toarray"`
 	Stream   string
@@ -27,7 +27,8 @@
 	Sections []section
 }
 
-// section is the state of one machine, named by its lowest entry type.
+// section is the state of one state machine, identified by its lowest entry
+// type.
 type section struct {
 	_    struct{} `cbor:",toarray"`
 	Type EntryType
@@ -40,14 +41,14 @@
 
 // snapshot returns the state at c.next.
 func (c *core) snapshot() (State, error) {
-	if c.damaged || c.foreign {
+	if c.damaged || c.skippedUnknown {
 		return State{}, ErrIncompleteState
 	}
-	body := stateBody{Stream: c.stream, Position: c.next, Origins: c.seen.export()}
+	body := stateBody{Stream: c.stream, Position: c.next, Origins: c.dedup.export()}
 	for _, m := range c.machines {
 		data, err := m.Snapshot()
 		if err != nil {
-			return State{}, fmt.Errorf("journal: snapshot of machine %d: %w", sectionType(m), err)
+			return State{}, fmt.Errorf("journal: snapshot of state machine %d: %w", sectionType(m), err)
 		}
 		body.Sections = append(body.Sections, section{Type: sectionType(m), Data: data})
 	}
@@ -55,11 +56,11 @@
 	return State{Stream: c.stream, Position: c.next, Checksum: xxhash.Sum64(data), Data: data}, nil
 }
 
-// restore replaces the state by st, which must not be older. After an error
-// other than ErrBadState and ErrOlderState the core is damaged until a later
-// restore succeeds.
+// restore replaces the state with st, which must not be older. After an error
+// other than ErrInvalidState and ErrStaleState the core is damaged until a
+// later restore succeeds.
 func (c *core) restore(st State) error {
-	body, err := c.checkState(st)
+	body, err := c.validateState(st)
 	if err != nil {
 		return err
 	}
@@ -71,25 +72,25 @@
 	for _, m := range c.machines {
 		data, ok := sections[sectionType(m)]
 		if !ok {
-			continue // written before the machine existed, hence before its first entry
+			continue // the snapshot is older than this state machine and thus than its first entry
 		}
 		if err := m.Restore(data); err != nil {
-			return fmt.Errorf("journal: restore of machine %d: %w", sectionType(m), err)
+			return fmt.Errorf("journal: restore of state machine %d: %w", sectionType(m), err)
 		}
 		delete(sections, sectionType(m))
 	}
-	c.foreign = len(sections) > 0
-	c.seen.restore(body.Origins)
+	c.skippedUnknown = len(sections) > 0
+	c.dedup.restore(body.Origins)
 	c.next = body.Position
 	c.damaged = false
 	return nil
 }
 
-// checkState decodes st without changing anything.
-func (c *core) checkState(st State) (stateBody, error) {
+// validateState decodes and validates st without changing c.
+func (c *core) validateState(st State) (stateBody, error) {
 	var body stateBody
 	if xxhash.Sum64(st.Data) != st.Checksum {
-		return body, fmt.Errorf("%w: checksum", ErrInvalidState)
+		return body, fmt.Errorf("%w: checksum mismatch", ErrInvalidState)
 	}
 	if err := Decode(st.Data, &body); err != nil {
 		return body, fmt.Errorf("%w: %v", ErrInvalidState, err)
@@ -98,7 +99,7 @@
 		return body, fmt.Errorf("%w: stream %q position %d", ErrInvalidState, body.Stream, body.Position)
 	}
 	if body.Position < c.next {
-		return body, fmt.Errorf("%w: position %d, local %d", ErrStaleState, body.Position, c.next)
+		return body, fmt.Errorf("%w: position %d, local position %d", ErrStaleState, body.Position, c.next)
 	}
 	return body, nil
 }
--- a/internal/journal/stats.go
+++ b/internal/journal/stats.go
@@ -6,10 +6,10 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// Stats is a reading of a replica's counters, for expvar.Func.
+// Stats is a copy of a replica's counters, published through expvar.Func.
 type Stats struct {
 	Applied           platform.Offset `json:"applied"`
-	FirstKept         platform.Offset `json:"first_kept"`        // oldest offset in the log, at the latest read
+	FirstKept         platform.Offset `json:"first_kept"`        // oldest offset in the log at the latest read
 	SnapshotPosition  platform.Offset `json:"snapshot_position"` // of the newest complete snapshot
 	Ready             bool            `json:"ready"`
 	BacklogBytes      int             `json:"backlog_bytes"`
@@ -41,7 +41,7 @@
 	SnapshotsRestored uint64          `json:"snapshots_restored"`
 }
 
-// counters are a replica's running counts.
+// counters holds a replica's counters.
 type counters struct {
 	proposed, backlogFull, withdrawn, unsettled        atomic.Uint64
 	appends, appendBytes                               atomic.Uint64
@@ -54,7 +54,7 @@
 	snapshotsSeen, snapshotsRestored                   atomic.Uint64
 }
 
-// Stats returns the counters as they stand.
+// Stats returns the current counters.
 func (r *Replica) Stats() Stats {
 	c := &r.counters
 	return Stats{
@@ -92,11 +92,11 @@
 	}
 }
 
-// countRecord adds what became of one record.
+// countRecord counts one record and its entries.
 func (c *counters) countRecord(rec appliedRecord) {
 	c.records.Add(1)
 	switch rec.kind {
-	case recordRepeat:
+	case recordDuplicate:
 		c.recordsRepeated.Add(1)
 	case recordTorn:
 		c.recordsTorn.Add(1)
