--- a/internal/ownership/authority.go
+++ b/internal/ownership/authority.go
@@ -8,32 +8,32 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// Access says what a process may do with a shard.
+// Access is what a process may do with a shard.
 type Access uint8
 
-// States of authority over a shard.
+// Levels of access to a shard.
 const (
-	AccessNone  Access = iota // no new use
+	AccessNone  Access = iota // no new requests
 	AccessFloor               // only the floor share of each endpoint's slots
-	AccessFull                // everything that other holders' floor shares leave
+	AccessFull                // everything except the slots of former holders
 )
 
-var stateNames = [...]string{"none", "floor", "full"}
+var accessNames = [...]string{"none", "floor", "full"}
 
-// String names the state for logs.
+// String returns the name of the access level for logs.
 func (s Access) String() string {
-	if int(s) < len(stateNames) {
-		return stateNames[s]
+	if int(s) < len(accessNames) {
+		return accessNames[s]
 	}
 	return "invalid"
 }
 
-// Timing holds the protocol's times. Hold and Drift must be the same on
-// every entry VM of a data centre.
+// Timing holds the times of the protocol. HoldDuration and MaxClockDrift must be
+// the same on every entry VM of a data centre.
 type Timing struct {
-	HoldDuration  time.Duration // how long a confirmation lasts
-	MaxSendDelay  time.Duration // longest time from a check of the hold to the send
-	MaxClockDrift float64       // most by which two clocks' rates differ, as a fraction
+	HoldDuration  time.Duration // how long a confirmation is valid
+	MaxSendDelay  time.Duration // maximum time between checking the hold and sending a request
+	MaxClockDrift float64       // maximum difference between the rates of two clocks, as a fraction
 }
 
 // Defaults of Timing.
@@ -43,48 +43,50 @@
 	DefaultMaxClockDrift = 0.01
 )
 
-// TakeoverWait returns how long a claimant waits from the read-back of its
-// claim: until whatever the former holder had checked has been sent.
+// TakeoverWait returns how long a claimant waits after reading back its claim:
+// until the former holder has sent every request for which it had checked its
+// hold.
 func (t Timing) TakeoverWait() time.Duration {
 	return t.WithDrift(t.HoldDuration + t.MaxSendDelay)
 }
 
-// WithDrift returns how long a process waits to be sure that d has passed on
-// every other clock.
+// WithDrift returns how long a process must wait by its own clock so that d has
+// certainly elapsed on every other clock.
 func (t Timing) WithDrift(d time.Duration) time.Duration {
 	return time.Duration(math.Ceil(float64(d) * (1 + t.MaxClockDrift)))
 }
 
-// OwnClaim is when this process saw its own claim in the log.
+// OwnClaim records when this process read back its own claim from the log.
 type OwnClaim struct {
 	Epoch      api.Epoch
 	ReadBackAt time.Time
 }
 
-// Grant is a promise received: the member will not claim for Hold after the
-// exchange, and had taken nothing when it answered.
+// Grant is a promise received from a member: it will not claim shards of this
+// process for HoldDuration after the exchange, and it had no pending claim on
+// them when it answered.
 type Grant struct {
 	From        Identity
 	RequestedAt time.Time // when this process started the exchange
 }
 
-// ObservedChallenge is when this process saw a challenge in the log.
+// ObservedChallenge records when this process read a challenge from the log.
 type ObservedChallenge struct {
 	Version    uint64
 	ObservedAt time.Time
 }
 
-// Evidence is what one process knows beside the table. Times are local.
+// Evidence is what one process knows besides the table. Times are local.
 type Evidence struct {
 	Self          Identity
 	ConfirmedAt   time.Time // journal.Follower.ConfirmedAt
 	Grants        map[api.NodeID]Grant
 	Claims        map[Shard]OwnClaim
-	ClosedEpochs  map[Shard]api.Epoch      // epochs at which local use was stopped for good
-	PromisedUntil map[api.NodeID]time.Time // grants given: no claim from that node before
-	PendingClaims map[Shard]bool           // own claims on their way to the log
+	ClosedEpochs  map[Shard]api.Epoch      // epochs in which this process has permanently stopped using the shard
+	PromisedUntil map[api.NodeID]time.Time // grants given: this process claims nothing from the node before that time
+	PendingClaims map[Shard]bool           // own claims being proposed
 	Challenges    map[api.NodeID]ObservedChallenge
-	MaxMembers    uint32 // most members seen in this incarnation
+	MaxMembers    uint32 // maximum number of members seen in this incarnation
 }
 
 // NewEvidence returns the evidence of a process that knows nothing yet.
@@ -101,7 +103,7 @@
 	}
 }
 
-// Observe notes at now what the table shows: own claims read back, new
+// Observe records at now what the table shows: own claims read back, new
 // challenges and the number of members.
 func (e *Evidence) Observe(t *Table, now time.Time) {
 	e.MaxMembers = max(e.MaxMembers, uint32(len(t.Members)))
@@ -110,7 +112,7 @@
 			e.Challenges[node] = ObservedChallenge{Version: m.Challenged, ObservedAt: now}
 		}
 	}
-	e.forget(t)
+	e.dropFormerMembers(t)
 	for s, h := range t.Holds {
 		if h.HeldBy(e.Self) && e.Claims[s].Epoch != h.Epoch {
 			e.Claims[s] = OwnClaim{Epoch: h.Epoch, ReadBackAt: now}
@@ -118,8 +120,9 @@
 	}
 }
 
-// forget drops what concerns nodes that are no longer members.
-func (e *Evidence) forget(t *Table) {
+// dropFormerMembers drops the grants, promises and challenges of nodes that are
+// no longer members.
+func (e *Evidence) dropFormerMembers(t *Table) {
 	gone := func(node api.NodeID) bool {
 		_, member := t.Members[node]
 		return !member
@@ -129,16 +132,16 @@
 	maps.DeleteFunc(e.Challenges, func(node api.NodeID, _ ObservedChallenge) bool { return gone(node) })
 }
 
-// Authority is what a process may do with one shard, and why.
+// Authority is the access of a process to one shard, and its grounds.
 type Authority struct {
 	Epoch     api.Epoch
 	Access    Access
-	UsableAt  time.Time // end of the wait after a takeover; zero without one
-	ClaimedAt time.Time // when the claim was read back; zero for who doesn't hold the shard
-	ByGrants  bool      // confirmed by grants, not by the log
+	UsableAt  time.Time // end of the wait after a takeover; zero if there is no wait
+	ClaimedAt time.Time // when the claim was read back; zero if the process doesn't hold the shard
+	ByGrants  bool      // confirmed by grants instead of the log
 }
 
-// Decide says what the process may do with s at now.
+// Decide returns what the process may do with s at now.
 func (c Timing) Decide(t *Table, e *Evidence, s Shard, now time.Time) Authority {
 	h := t.Holds[s]
 	if !h.HeldBy(e.Self) || e.ClosedEpochs[s] == h.Epoch {
@@ -159,7 +162,8 @@
 	return a
 }
 
-// confirmation says whether the process's holds are confirmed at now.
+// confirmation returns the access that the process has at now to the shards that
+// it holds, and whether grants confirm it.
 func (c Timing) confirmation(t *Table, e *Evidence, now time.Time) (state Access, granted bool) {
 	if c.LogConfirmed(e, now) {
 		return AccessFull, false
@@ -170,14 +174,15 @@
 	return AccessFloor, false
 }
 
-// LogConfirmed reports whether a read of the log, sent less than Hold ago,
-// reached its end.
+// LogConfirmed reports whether a read of the log, sent less than HoldDuration
+// ago, has reached the end.
 func (c Timing) LogConfirmed(e *Evidence, now time.Time) bool {
 	return !e.ConfirmedAt.IsZero() && now.Sub(e.ConfirmedAt) < c.HoldDuration
 }
 
-// grantedByAll reports whether every other member of the roster has granted
-// less than Hold ago. It holds for a process alone in the roster.
+// grantedByAll reports whether every other member of the roster has given a
+// grant less than HoldDuration ago. It is true for the only member of the
+// roster.
 func (c Timing) grantedByAll(t *Table, e *Evidence, now time.Time) bool {
 	if !t.IsMember(e.Self) {
 		return false
@@ -194,41 +199,41 @@
 	return true
 }
 
-// GrantRequest is what a member tells when it asks for a grant.
+// GrantRequest is a member's request for a grant.
 type GrantRequest struct {
 	_       struct{} `cbor:",toarray"`
 	Process Identity
 	Version uint64 // table version that it has applied
 }
 
-// CanGrant reports whether this process may promise asker not to claim from
-// it: the asker is a member as far as this process knows, knows of everything
-// that was taken from it, and no own claim on it is under way. A promise that is given must be noted
-// with Promise before it is sent.
-func CanGrant(t *Table, e *Evidence, ask GrantRequest) bool {
-	if !t.IsMember(ask.Process) || !t.IsMember(e.Self) {
+// CanGrant reports whether this process may promise the requester not to claim
+// its shards: as far as this process knows, the requester is a member and knows
+// of every shard that it has lost, and this process has no pending claim on its
+// shards. A promise must be recorded with RecordPromise before it is sent.
+func CanGrant(t *Table, e *Evidence, req GrantRequest) bool {
+	if !t.IsMember(req.Process) || !t.IsMember(e.Self) {
 		return false
 	}
 	for s := range e.PendingClaims {
-		if t.Holds[s].HeldBy(ask.Process) {
+		if t.Holds[s].HeldBy(req.Process) {
 			return false
 		}
 	}
-	return t.Members[ask.Process.Node].LostAt <= ask.Version
+	return t.Members[req.Process.Node].LostAt <= req.Version
 }
 
-// RecordPromise notes a grant given at now.
+// RecordPromise records a grant given to a node at now.
 func (c Timing) RecordPromise(e *Evidence, to api.NodeID, now time.Time) {
 	e.PromisedUntil[to] = now.Add(c.WithDrift(c.HoldDuration))
 }
 
-// SlotLimit returns how many of an endpoint's slots the process may use at
-// once under authority a over the endpoint's shard s.
+// SlotLimit returns how many of an endpoint's slots the process may use at a
+// time, given its authority a over the endpoint's shard s.
 func SlotLimit(t *Table, e *Evidence, s Shard, a Authority, slots int) int {
 	if a.Access == AccessNone {
 		return 0
 	}
-	free := max(0, slots-leftToFormer(t, t.Holds[s], slots))
+	free := max(0, slots-formerHolderSlots(t, t.Holds[s], slots))
 	if a.Access == AccessFull {
 		return free
 	}
@@ -236,7 +241,8 @@
 	return min(free, floorShare(slots, members))
 }
 
-// floorShare is the floor of one member among members.
+// floorShare returns how many slots each of the given number of members may use
+// without confirmation of its hold.
 func floorShare(slots int, members uint32) int {
 	if members == 0 {
 		return 0
@@ -244,8 +250,9 @@
 	return slots / int(members)
 }
 
-// leftToFormer is how many of an endpoint's slots earlier holders may use.
-func leftToFormer(t *Table, h Hold, slots int) int {
+// formerHolderSlots returns how many of an endpoint's slots former holders may
+// still use.
+func formerHolderSlots(t *Table, h Hold, slots int) int {
 	sum := 0
 	for _, f := range h.Previous {
 		switch {
--- a/internal/ownership/controller.go
+++ b/internal/ownership/controller.go
@@ -20,41 +20,41 @@
 	DefaultProposeTimeout = 2 * time.Second
 )
 
-// Config is what a Controller works with.
+// Config holds the settings and dependencies of a Controller.
 type Config struct {
 	Self           Identity
 	Address        string        // IP:port of this process's peer service
-	Timing         Timing        // zero fields take their defaults
-	Limits         PlanLimits    // the zero value takes the defaults
-	PlanInterval   time.Duration // longest time between two plans; zero takes the default
-	ProposeTimeout time.Duration // longest wait for an entry to be read back; zero takes the default
+	Timing         Timing        // zero fields get the defaults
+	Limits         PlanLimits    // the zero value gets the defaults
+	PlanInterval   time.Duration // maximum time between two calls of Plan; zero gets the default
+	ProposeTimeout time.Duration // maximum wait for an entry to be read back; zero gets the default
 
 	Machine  *StateMachine
 	Proposer journal.Proposer
 	Follower journal.Follower
 
-	// Health returns what the heartbeats say of the other members; nil when
-	// there are none.
+	// Health returns the health of the other members according to the
+	// heartbeats. Nil means that there are no heartbeats.
 	Health func(now time.Time) map[api.NodeID]Health
-	// Unlisted returns for how long the platform's VM list has lacked each
-	// node that it lacks; nil when there is no list.
+	// Unlisted returns each node missing from the platform's VM list and how
+	// long it has been missing. Nil means that there is no list.
 	Unlisted func(now time.Time) map[api.NodeID]time.Duration
-	// InFlight returns the most requests that this process has in flight at
-	// any one endpoint of a shard, and for Cell whether a placement is on its
-	// way (0 or 1); nil means none. A user of a shard must count itself
-	// before it asks for authority, so that it is seen here or sees that the
-	// shard is closed.
+	// InFlight returns the maximum number of requests that this process has in
+	// flight at any one endpoint of a shard, and for Cell whether a placement
+	// is in progress (0 or 1). Nil means none. A user of a shard must count
+	// itself before it checks its authority, so that it is either included
+	// here or sees that the shard is closed.
 	InFlight func(Shard) int
-	// StopNewUse is called before InFlight is asked, after the use of the
-	// shards was stopped: when it returns, nothing new starts for them. Nil
-	// means that this holds at once.
+	// StopNewUse is called after shards were closed and before InFlight is
+	// called. Once it returns, nothing new starts for these shards. Nil means
+	// that nothing new starts from the moment of closing.
 	StopNewUse func()
 
 	Now    func() time.Time // nil means time.Now
 	Logger *logrus.Entry    // nil means the standard logger
 }
 
-// withDefaults fills what is zero.
+// withDefaults returns c with the zero fields set to their defaults.
 func (c Config) withDefaults() Config {
 	defaults.Set(&c.Timing.HoldDuration, DefaultHoldDuration)
 	defaults.Set(&c.Timing.MaxSendDelay, DefaultMaxSendDelay)
@@ -82,7 +82,8 @@
 	return c
 }
 
-// Controller proposes what Plan decides and answers what this process may do.
+// Controller proposes the actions of Plan and reports what this process may do
+// with each shard.
 type Controller struct {
 	cfg  Config
 	vars *expvar.Map
@@ -95,7 +96,7 @@
 	proposing map[journal.EntryType]bool
 }
 
-// NewController returns a controller; Run makes it work.
+// NewController returns a controller that is started by Run.
 func NewController(cfg Config) *Controller {
 	return &Controller{
 		cfg:       cfg.withDefaults(),
@@ -107,17 +108,17 @@
 	}
 }
 
-// Vars returns the counters: entries proposed and how they ended.
+// Vars returns the counters of proposed entries by outcome.
 func (c *Controller) Vars() *expvar.Map { return c.vars }
 
-// Run plans until ctx ends and returns the context's error.
+// Run plans and proposes until ctx ends, and returns the context's error.
 func (c *Controller) Run(ctx context.Context) error {
 	var proposals sync.WaitGroup
 	defer proposals.Wait()
 	ticker := time.NewTicker(c.cfg.PlanInterval)
 	defer ticker.Stop()
 	for {
-		for _, action := range c.plan() {
+		for _, action := range c.nextActions() {
 			c.propose(ctx, &proposals, action)
 		}
 		select {
@@ -130,8 +131,9 @@
 	}
 }
 
-// plan observes the table, carries out what is local and returns the rest.
-func (c *Controller) plan() []Action {
+// nextActions observes the table, plans, applies the local actions and returns
+// the actions to propose.
+func (c *Controller) nextActions() []Action {
 	now := c.cfg.Now()
 	health := c.cfg.Health(now)
 	unlisted := c.cfg.Unlisted(now)
@@ -144,24 +146,24 @@
 		Address: c.cfg.Address, Draining: c.draining,
 		Health: health, Unlisted: unlisted, InFlight: inFlight,
 	}
-	return c.carryOut(Plan(now, view))
+	return c.applyLocalActions(Plan(now, view))
 }
 
-// observe notes what the table shows at now and returns a copy of it.
+// observe records what the table shows at now and returns a copy of it.
 func (c *Controller) observe(now time.Time) *Table {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	confirmed := c.cfg.Follower.ConfirmedAt()
-	table := c.table()
+	table := c.copyTable()
 	c.evidence.ConfirmedAt = confirmed
 	c.evidence.Observe(table, now)
-	c.noteLeft(table)
+	c.signalLeft(table)
 	return table
 }
 
-// inFlight returns what is in flight for the shards that may be given up. It
-// is called after their use was stopped, and without a lock, because
-// Config.InFlight takes locks of its own.
+// inFlight returns what is in flight for each releasable shard. It is called
+// after these shards were closed, and without a lock, because Config.InFlight
+// takes locks of its own.
 func (c *Controller) inFlight(t *Table) map[Shard]int {
 	c.mu.RLock()
 	shards := releasable(t, c.evidence)
@@ -176,15 +178,16 @@
 	return counts
 }
 
-// table returns a copy of the table.
-func (c *Controller) table() *Table {
+// copyTable returns a copy of the table.
+func (c *Controller) copyTable() *Table {
 	var table *Table
 	c.cfg.Machine.View(func(t *Table) { table = t.Clone() })
 	return table
 }
 
-// noteLeft ends Drain when the process is out of the roster. c.mu is held.
-func (c *Controller) noteLeft(t *Table) {
+// signalLeft ends Drain when the process is no longer in the roster. The caller
+// holds c.mu.
+func (c *Controller) signalLeft(t *Table) {
 	if !c.draining || t.IsMember(c.cfg.Self) {
 		return
 	}
@@ -195,20 +198,20 @@
 	}
 }
 
-// carryOut does the closing and returns the actions to propose now. c.mu is
-// held.
-func (c *Controller) carryOut(actions []Action) []Action {
+// applyLocalActions closes shards and returns the actions to propose now. The
+// caller holds c.mu.
+func (c *Controller) applyLocalActions(actions []Action) []Action {
 	var rest []Action
 	for _, action := range actions {
 		switch a := action.(type) {
 		case Close:
-			c.close(a)
+			c.closeShards(a)
 			continue
 		case Claim:
 			if c.proposing[TypeClaim] {
 				continue
 			}
-			c.noteClaiming(a)
+			c.addPendingClaim(a)
 		}
 		entry, _ := entryOf(action)
 		if c.proposing[entry.Type] {
@@ -220,19 +223,19 @@
 	return rest
 }
 
-// close stops the local use of shards. c.mu is held.
-func (c *Controller) close(a Close) {
+// closeShards stops the local use of shards. The caller holds c.mu.
+func (c *Controller) closeShards(a Close) {
 	for _, at := range a.Shards {
 		c.evidence.ClosedEpochs[at.Shard] = at.Epoch
 	}
-	c.wakeUp()
+	c.triggerPlan()
 }
 
-// noteClaiming notes the shards of a claim under way, so that no grant is
-// given to their holder. A claim that lands after its proposer gave up waiting
-// is safe too: its wait starts when it is read back, and from then on the
-// holder gets no grant. c.mu is held.
-func (c *Controller) noteClaiming(a Claim) {
+// addPendingClaim records the shards of a claim that is being proposed, so that
+// their holder gets no grant. A claim that is appended after its proposal has
+// timed out is safe too: its takeover wait starts when it is read back, and from
+// then on the former holder gets no grant. The caller holds c.mu.
+func (c *Controller) addPendingClaim(a Claim) {
 	for _, at := range a.Shards {
 		c.evidence.PendingClaims[at.Shard] = true
 	}
@@ -245,24 +248,24 @@
 		callCtx, cancel := context.WithTimeout(ctx, c.cfg.ProposeTimeout)
 		defer cancel()
 		err := c.cfg.Proposer.Propose(callCtx, entry)
-		c.settle(entry.Type, action, err)
+		c.finishProposal(entry.Type, action, err)
 	})
 }
 
-// settle notes how a proposal ended.
-func (c *Controller) settle(kind journal.EntryType, action Action, err error) {
+// finishProposal handles the outcome of a proposal.
+func (c *Controller) finishProposal(kind journal.EntryType, action Action, err error) {
 	c.mu.Lock()
 	delete(c.proposing, kind)
 	if kind == TypeClaim {
 		clear(c.evidence.PendingClaims)
 	}
 	c.mu.Unlock()
-	c.count(action, err)
-	c.wakeUp()
+	c.recordOutcome(action, err)
+	c.triggerPlan()
 }
 
-// count counts and logs how a proposal ended.
-func (c *Controller) count(action Action, err error) {
+// recordOutcome counts and logs the outcome of a proposal.
+func (c *Controller) recordOutcome(action Action, err error) {
 	name := actionName(action)
 	c.vars.Add(name+"_"+outcomeName(err), 1)
 	entry := c.cfg.Logger.WithField("entry", name)
@@ -273,7 +276,7 @@
 	entry.Info("ownership entry applied")
 }
 
-// outcomeName names a proposal's outcome for the counters.
+// outcomeName returns the name of a proposal's outcome for the counters.
 func outcomeName(err error) string {
 	switch {
 	case err == nil:
@@ -287,22 +290,22 @@
 	}
 }
 
-// wakeUp makes Run plan at once.
-func (c *Controller) wakeUp() {
+// triggerPlan makes Run plan immediately.
+func (c *Controller) triggerPlan() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Drain stops the use of every shard, hands them over, and leaves the roster
-// once nothing is in flight. It returns nil when the process has left, or the
-// context's error. Run must be running.
+// Drain closes and releases every shard, and leaves the roster once nothing is
+// in flight. It returns nil after the process has left, or the context's error.
+// It works only while Run is running.
 func (c *Controller) Drain(ctx context.Context) error {
 	c.mu.Lock()
 	c.draining = true
 	c.mu.Unlock()
-	c.wakeUp()
+	c.triggerPlan()
 	select {
 	case <-c.left:
 		return nil
--- a/internal/ownership/entry.go
+++ b/internal/ownership/entry.go
@@ -18,102 +18,104 @@
 	TypeChallenge                                       // Challenge
 )
 
-// Rejections of an entry, the same on every reader.
+// Errors of rejected entries. They are the same on every reader.
 var (
 	ErrMalformed         = errors.New("ownership: malformed entry")
 	ErrAlreadyMember     = errors.New("ownership: already a member")
 	ErrNotMember         = errors.New("ownership: not a member")
 	ErrStaleEpoch        = errors.New("ownership: based on a superseded epoch")
-	ErrStaleVersion      = errors.New("ownership: acknowledges nothing new")
-	ErrAlreadyHolder     = errors.New("ownership: holds the shard already")
+	ErrStaleVersion      = errors.New("ownership: acknowledged version is not new")
+	ErrAlreadyHolder     = errors.New("ownership: already holds the shard")
 	ErrNotHolder         = errors.New("ownership: neither holds nor held the shard")
 	ErrHolderAlive       = errors.New("ownership: holder has no unanswered challenge")
 	ErrAlreadyChallenged = errors.New("ownership: already challenged")
 	ErrUnacknowledged    = errors.New("ownership: not acknowledged by every member")
 )
 
-// Identity is one run of an entry VM's process.
+// Identity identifies one incarnation of an entry VM's process.
 type Identity struct {
 	_           struct{} `cbor:",toarray"`
 	Node        api.NodeID
 	Incarnation api.Incarnation
 }
 
-// Join adds a member. It ends whatever an earlier incarnation of the same
-// node held or had left to it; the joiner waits for those like any claimant.
+// Join adds a member. It ends the holds and the former holds of an earlier
+// incarnation of the same node. The new incarnation waits like any other
+// claimant before it uses these shards.
 type Join struct {
 	_       struct{} `cbor:",toarray"`
 	Process Identity
 	Address string // IP:port of its peer service
 }
 
-// Acknowledge says that a member has applied the table up to Version, and
-// thereby knows every member that joined up to there. It answers a challenge.
+// Acknowledge states that a member has applied the table up to Version and
+// therefore knows every member that had joined by then. It answers a challenge.
 type Acknowledge struct {
 	_       struct{} `cbor:",toarray"`
 	Process Identity
 	Version uint64
-	Members uint32 // most members that it has seen; bounds its floor share
+	Members uint32 // maximum number of members that it has seen; limits its floor share
 }
 
-// Challenge asks a silent member to show by an Acknowledge that it still
-// follows the log. Its shards can be claimed only while it owes one.
+// Challenge asks a suspected member to show, with an Acknowledge, that it still
+// follows the log. Its shards can be claimed only while the challenge is
+// unanswered.
 type Challenge struct {
 	_       struct{} `cbor:",toarray"`
 	From    Identity
-	Process Identity // the member that is challenged
+	Process Identity // the challenged member
 }
 
-// Leave removes the sender, which has stopped using every shard.
+// Leave removes its sender, which no longer uses any shard.
 type Leave struct {
 	_       struct{} `cbor:",toarray"`
 	Process Identity
 }
 
-// Expel removes a member that the platform's VM list has dropped.
+// Expel removes a member that is no longer in the platform's VM list.
 type Expel struct {
 	_       struct{} `cbor:",toarray"`
-	Process Identity // the member that is removed
+	Process Identity // the removed member
 }
 
-// ShardAt is a shard together with the epoch that a change is based on.
+// ShardAt is a shard and the epoch that a change is based on.
 type ShardAt struct {
 	_     struct{} `cbor:",toarray"`
 	Shard Shard
 	Epoch api.Epoch
 }
 
-// Claim takes shards, each at the epoch after the one given. It is accepted
-// whole or rejected whole.
+// Claim takes shards. The new epoch of each is the one after the given epoch. A
+// claim is accepted or rejected as a whole.
 type Claim struct {
 	_       struct{} `cbor:",toarray"`
 	Process Identity
 	Shards  []ShardAt
 }
 
-// ShardRelease is one shard that is given up.
+// ShardRelease is one shard to release.
 type ShardRelease struct {
 	_        struct{} `cbor:",toarray"`
 	Shard    Shard
-	Epoch    api.Epoch // in force
-	InFlight uint16    // most requests that the sender still has at any one endpoint
+	Epoch    api.Epoch // the current epoch
+	InFlight uint16    // maximum number of requests that the sender still has in flight at any one endpoint
 }
 
-// Release gives shards up. The sender is the holder, has waited out its own
-// claim and starts nothing new; or it is a former holder that has nothing in
-// flight any more and starts nothing new.
+// Release releases shards. For each shard the sender starts nothing new, and is
+// either the holder, after the wait of its own takeover, or a former holder that
+// no longer has anything in flight.
 type Release struct {
 	_       struct{} `cbor:",toarray"`
 	Process Identity
 	Shards  []ShardRelease
-	Leaving bool // the sender is to leave the roster and wants no shards
+	Leaving bool // the sender is about to leave the roster and wants no shards
 }
 
-// Action is what Plan decides: one of the entry bodies above, or Close.
+// Action is a decision of Plan: one of the entry bodies above, or Close.
 type Action interface{ action() }
 
-// Close stops the local use of shards, so that they can be released once
-// nothing is in flight for them. It is not written to the log.
+// Close stops the local use of shards, so that they can be released. It is not
+// written to the log.
 type Close struct{ Shards []ShardAt }
 
 func (Join) action()        {}
@@ -125,7 +127,7 @@
 func (Challenge) action()   {}
 func (Close) action()       {}
 
-// entryOf returns the journal entry of a; ok is false for Close.
+// entryOf returns the journal entry for a. ok is false for Close.
 func entryOf(a Action) (e journal.Entry, ok bool) {
 	switch a.(type) {
 	case Join:
@@ -171,7 +173,7 @@
 	}
 }
 
-// decodeAs decodes body as one kind of entry.
+// decodeAs decodes body as an entry of type T.
 func decodeAs[T Action](body []byte) (Action, error) {
 	var v T
 	if err := journal.Decode(body, &v); err != nil {
@@ -180,7 +182,7 @@
 	return v, nil
 }
 
-// actionName names the kind of a for counters and logs.
+// actionName returns the name of a's type for counters and logs.
 func actionName(a Action) string {
 	switch a.(type) {
 	case Join:
--- a/internal/ownership/failover_test.go
+++ b/internal/ownership/failover_test.go
@@ -24,29 +24,30 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// Delays of the fake log and network.
+// Delays of the fake log.
 const (
-	appendDelay = 30 * time.Millisecond
-	readDelay   = 5 * time.Millisecond
-	pollEvery   = 50 * time.Millisecond
+	appendDelay  = 30 * time.Millisecond
+	readDelay    = 5 * time.Millisecond
+	pollInterval = 50 * time.Millisecond
 )
 
-// world is a data centre in virtual time: a log, a network of pipes and
-// entry VMs with the real controllers, heartbeats and peer connections.
-type world struct {
-	mu      sync.Mutex
-	entries []journal.Entry
-	down    atomic.Bool             // the log
-	cut     atomic.Bool             // no heartbeat arrives
-	servers map[string]*peer.Server // by address
-	nodes   []*entryVM
-	gone    map[api.NodeID]time.Time // dropped from the VM list
-	group   sync.WaitGroup
+// testCluster is a data centre in virtual time: a fake log, a network of pipes,
+// and entry VMs with the real controllers, heartbeats and peer connections.
+type testCluster struct {
+	mu            sync.Mutex
+	entries       []journal.Entry
+	logDown       atomic.Bool             // the log is unavailable
+	peersCut      atomic.Bool             // no heartbeat is delivered
+	servers       map[string]*peer.Server // by address
+	nodes         []*entryVM
+	unlistedSince map[api.NodeID]time.Time // when a node was removed from the VM list
+	group         sync.WaitGroup
 }
 
-// entryVM is one process. It is the Proposer and Follower of its controller.
+// entryVM is one process. It implements the Proposer and Follower of its
+// controller.
 type entryVM struct {
-	world      *world
+	cluster    *testCluster
 	id         ownership.Identity
 	address    string
 	machine    *ownership.StateMachine
@@ -77,31 +78,31 @@
 
 func (n *entryVM) Propose(ctx context.Context, e journal.Entry) error {
 	time.Sleep(appendDelay)
-	w := n.world
-	if w.down.Load() || ctx.Err() != nil {
+	w := n.cluster
+	if w.logDown.Load() || ctx.Err() != nil {
 		return journal.ErrNotWritten
 	}
 	w.mu.Lock()
-	place := platform.Offset(len(w.entries))
+	offset := platform.Offset(len(w.entries))
 	w.entries = append(w.entries, e)
 	w.mu.Unlock()
-	for n.Applied() <= place {
+	for n.Applied() <= offset {
 		if ctx.Err() != nil {
 			return journal.ErrUnsettled
 		}
 		time.Sleep(time.Millisecond)
 	}
-	return n.results[place]
+	return n.results[offset]
 }
 
 func (n *entryVM) follow(ctx context.Context) {
-	for ; ctx.Err() == nil; time.Sleep(pollEvery) {
+	for ; ctx.Err() == nil; time.Sleep(pollInterval) {
 		sent := time.Now()
 		time.Sleep(readDelay)
-		n.world.mu.Lock()
-		entries := n.world.entries
-		n.world.mu.Unlock()
-		if n.world.down.Load() {
+		n.cluster.mu.Lock()
+		entries := n.cluster.entries
+		n.cluster.mu.Unlock()
+		if n.cluster.logDown.Load() {
 			continue
 		}
 		n.mu.Lock()
@@ -113,7 +114,7 @@
 	}
 }
 
-func (w *world) dial(_ context.Context, addr string) (net.Conn, error) {
+func (w *testCluster) dial(_ context.Context, addr string) (net.Conn, error) {
 	w.mu.Lock()
 	server := w.servers[addr]
 	w.mu.Unlock()
@@ -127,7 +128,7 @@
 
 // Call implements member.Caller over a network that can be cut.
 func (n *entryVM) Call(ctx context.Context, addr, method string, args, reply any) error {
-	if n.world.cut.Load() {
+	if n.cluster.peersCut.Load() {
 		return peer.ErrNotSent
 	}
 	return n.client.Call(ctx, addr, method, args, reply)
@@ -135,9 +136,9 @@
 
 func init() { logrus.SetOutput(io.Discard) }
 
-// boot starts one entry VM.
-func (w *world) boot(i int) *entryVM {
-	n := &entryVM{world: w, machine: ownership.NewStateMachine(), address: fmt.Sprintf("10.0.0.%d:7400", i)}
+// start starts entry VM number i.
+func (w *testCluster) start(i int) *entryVM {
+	n := &entryVM{cluster: w, machine: ownership.NewStateMachine(), address: fmt.Sprintf("10.0.0.%d:7400", i)}
 	n.id = ownership.Identity{Node: api.NodeID(fmt.Sprintf("entry-%02d", i)), Incarnation: api.Incarnation(1<<60 + i)}
 	n.server = peer.NewServer(peer.Limits{}, nil)
 	n.client = peer.NewClient(peer.Limits{}, w.dial)
@@ -169,18 +170,18 @@
 	return n
 }
 
-func (w *world) unlisted(now time.Time) map[api.NodeID]time.Duration {
+func (w *testCluster) unlisted(now time.Time) map[api.NodeID]time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := make(map[api.NodeID]time.Duration)
-	for node, since := range w.gone {
+	for node, since := range w.unlistedSince {
 		out[node] = now.Sub(since)
 	}
 	return out
 }
 
-// kill ends a process without a word.
-func (w *world) kill(n *entryVM) {
+// kill stops a process without a graceful shutdown.
+func (w *testCluster) kill(n *entryVM) {
 	w.mu.Lock()
 	delete(w.servers, n.address)
 	w.mu.Unlock()
@@ -189,8 +190,9 @@
 	n.server.Close()
 }
 
-// count returns how many shards are in each state, over nodes.
-func count(nodes []*entryVM) (states [3]int) {
+// countAccess returns the number of shards at each level of access, summed over
+// nodes.
+func countAccess(nodes []*entryVM) (states [3]int) {
 	for _, n := range nodes {
 		for _, s := range ownership.Shards() {
 			_, state := n.controller.Authority(s, time.Now())
@@ -202,42 +204,46 @@
 
 const allShards = ownership.EndpointShards + 1
 
-// whole reports whether every shard is in full use.
-func (w *world) whole() bool { return count(w.nodes)[ownership.AccessFull] == allShards }
+// allShardsFull reports whether some node has full access to each shard.
+func (w *testCluster) allShardsFull() bool {
+	return countAccess(w.nodes)[ownership.AccessFull] == allShards
+}
 
-// until returns how long it takes until ok.
-func until(t *testing.T, limit time.Duration, ok func() bool) time.Duration {
+// waitFor waits until ok returns true and returns how long that took.
+func waitFor(t *testing.T, limit time.Duration, ok func() bool) time.Duration {
 	start := time.Now()
 	for !ok() {
 		if time.Since(start) > limit {
-			t.Fatalf("not within %v", limit)
+			t.Fatalf("condition not met within %v", limit)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	return time.Since(start)
 }
 
-// grow boots n entry VMs at once and waits until the shards have settled.
-func grow(t *testing.T, n int) *world {
-	w := &world{servers: make(map[string]*peer.Server), gone: make(map[api.NodeID]time.Time)}
+// startCluster starts n entry VMs at the same time and waits until the
+// distribution of the shards is stable.
+func startCluster(t *testing.T, n int) *testCluster {
+	w := &testCluster{servers: make(map[string]*peer.Server), unlistedSince: make(map[api.NodeID]time.Time)}
 	for i := range n {
-		w.boot(i)
+		w.start(i)
 	}
-	took := until(t, time.Minute, w.whole)
-	t.Logf("%d nodes: every shard in use %v after the start", n, took)
+	took := waitFor(t, time.Minute, w.allShardsFull)
+	t.Logf("%d nodes: every shard was in use %v after the start", n, took)
 	time.Sleep(20 * time.Second)
 	return w
 }
 
-func (w *world) end() {
+func (w *testCluster) killAll() {
 	for _, n := range w.nodes {
 		w.kill(n)
 	}
 	w.group.Wait()
 }
 
-// rate returns the bytes a second on the first node's connections, both ways.
-func (w *world) rate() (sum int64) {
+// bytesPerSecond returns the traffic on the first node's connections, in both
+// directions.
+func (w *testCluster) bytesPerSecond() (sum int64) {
 	const seconds = 10
 	read := func(sign int64) {
 		for _, vars := range []*expvar.Map{w.nodes[0].server.Vars(), w.nodes[0].client.Vars()} {
@@ -250,34 +256,36 @@
 	return sum / seconds
 }
 
-// A holder dies without a word: its shards are decided on again by others.
+// TestTakeoverAfterDeath checks that other members take over the shards of a
+// holder that is killed.
 func TestTakeoverAfterDeath(t *testing.T) {
 	for _, n := range []int{3, 9, 90} {
 		if n > 9 && testing.Short() {
 			continue
 		}
 		synctest.Test(t, func(t *testing.T) {
-			w := grow(t, n)
-			defer w.end()
-			t.Logf("%d nodes: %d B/s a node", n, w.rate())
+			w := startCluster(t, n)
+			defer w.killAll()
+			t.Logf("%d nodes: %d B/s per node", n, w.bytesPerSecond())
 			roster, _ := w.nodes[0].machine.Roster()
 			for _, m := range roster {
 				if m.Challenged != 0 {
-					t.Fatalf("%s challenged while all were alive", m.Process.Node)
+					t.Fatalf("%s was challenged while all members were alive", m.Process.Node)
 				}
 			}
 			w.kill(w.nodes[n-1])
 			w.nodes = w.nodes[:n-1]
-			took := until(t, 10*time.Second, w.whole)
-			t.Logf("%d nodes: all shards in use again %v after the death", n, took)
+			took := waitFor(t, 10*time.Second, w.allShardsFull)
+			t.Logf("%d nodes: all shards were in use again %v after the death", n, took)
 		})
 	}
 }
 
 const allSlots = 8 * ownership.EndpointShards
 
-// slots returns the sum of the limits over one endpoint of each shard.
-func slots(nodes []*entryVM) (sum int) {
+// totalSlots returns the sum of the nodes' slot limits over one endpoint of each
+// shard.
+func totalSlots(nodes []*entryVM) (sum int) {
 	seen := make(map[ownership.Shard]bool)
 	for i := 0; len(seen) < ownership.EndpointShards; i++ {
 		ep := api.Endpoint{ID: api.EndpointID(fmt.Sprint(i)), Slots: 8}
@@ -293,103 +301,108 @@
 	return sum
 }
 
-// A planned stop hands over at once all slots but those in flight, and the
-// leaver stays until these have ended.
+// TestDrain checks that a planned stop immediately hands over all slots except
+// those in flight, and that the leaving member stays until these are free.
 func TestDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := grow(t, 9)
-		defer w.end()
+		w := startCluster(t, 9)
+		defer w.killAll()
 		leaver, rest := w.nodes[8], w.nodes[:8]
-		own := slots([]*entryVM{leaver})
+		own := totalSlots([]*entryVM{leaver})
 		leaver.inFlight.Store(3)
 		left := make(chan error, 1)
 		go func() { left <- leaver.controller.Drain(context.Background()) }()
 		want := allSlots - own/8*3
-		took := until(t, 10*time.Second, func() bool { return slots(rest) == want })
-		t.Logf("all free slots in use %v after the start of the drain", took)
+		took := waitFor(t, 10*time.Second, func() bool { return totalSlots(rest) == want })
+		t.Logf("all free slots were in use %v after the start of the drain", took)
 		time.Sleep(2 * time.Second)
-		if len(left) != 0 || slots(w.nodes) != want || count([]*entryVM{leaver})[ownership.AccessFull] != 0 {
-			t.Fatal("left, or used more, with requests in flight")
+		if len(left) != 0 || totalSlots(w.nodes) != want || countAccess([]*entryVM{leaver})[ownership.AccessFull] != 0 {
+			t.Fatal("with requests in flight, the leaving member left, kept full access, or the slot limits changed")
 		}
 		leaver.inFlight.Store(0)
-		took = until(t, 10*time.Second, func() bool { return slots(rest) == allSlots && count(rest)[ownership.AccessFull] == allShards })
-		t.Logf("all slots in use %v after the last request ended", took)
+		took = waitFor(t, 10*time.Second, func() bool {
+			return totalSlots(rest) == allSlots && countAccess(rest)[ownership.AccessFull] == allShards
+		})
+		t.Logf("all slots were in use %v after the last request ended", took)
 		if err := <-left; err != nil {
 			t.Fatal(err)
 		}
 		for _, n := range rest {
 			if _, ok, at := n.controller.CellAuthority(time.Now()); ok && at.IsZero() {
-				t.Fatal("the former holder's last renewal can't be dated")
+				t.Fatal("the time of the takeover is not known")
 			}
 		}
 	})
 }
 
-// The log is down: with every peer there, holders go on; with one silent,
-// they keep their floors; when it is back, all is as before.
+// TestLogDown checks that holders keep full access while the log is unavailable
+// and every peer responds, that they are limited to their floor shares once a
+// peer is lost, and that all shards are in use again when the log is back.
 func TestLogDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := grow(t, 9)
-		defer w.end()
-		w.down.Store(true)
+		w := startCluster(t, 9)
+		defer w.killAll()
+		w.logDown.Store(true)
 		for range 200 {
 			time.Sleep(100 * time.Millisecond)
-			if !w.whole() {
-				t.Fatal("a shard is unused while the log is down")
+			if !w.allShardsFull() {
+				t.Fatal("a shard is not in full use while the log is unavailable")
 			}
 		}
-		t.Logf("log down: %d B/s a node", w.rate())
+		t.Logf("log unavailable: %d B/s per node", w.bytesPerSecond())
 		w.kill(w.nodes[8])
 		w.nodes = w.nodes[:8]
-		took := until(t, 10*time.Second, func() bool { return count(w.nodes)[ownership.AccessFull] == 0 })
-		floors := count(w.nodes)[ownership.AccessFloor]
-		t.Logf("log down and one dead: %d shards on their floor after %v", floors, took)
-		w.down.Store(false)
-		took = until(t, 10*time.Second, w.whole)
-		t.Logf("all shards in use %v after the log is back", took)
+		took := waitFor(t, 10*time.Second, func() bool { return countAccess(w.nodes)[ownership.AccessFull] == 0 })
+		floors := countAccess(w.nodes)[ownership.AccessFloor]
+		t.Logf("log unavailable and one node killed: %d shards at their floor share after %v", floors, took)
+		w.logDown.Store(false)
+		took = waitFor(t, 10*time.Second, w.allShardsFull)
+		t.Logf("all shards were in use %v after the log was available again", took)
 	})
 }
 
-// No heartbeat arrives anywhere, but the log does: nobody loses a shard.
+// TestHeartbeatsLost checks that no member loses a shard while all heartbeats are
+// lost but every member follows the log.
 func TestHeartbeatsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := grow(t, 3)
-		defer w.end()
+		w := startCluster(t, 3)
+		defer w.killAll()
 		before := w.nodes[0].machine.Holder(ownership.Cell)
-		w.cut.Store(true)
+		w.peersCut.Store(true)
 		for range 300 {
 			time.Sleep(100 * time.Millisecond)
-			if !w.whole() {
-				t.Fatal("a shard is unused while the log is there")
+			if !w.allShardsFull() {
+				t.Fatal("a shard is not in full use while the log is available")
 			}
 		}
 		status := w.nodes[0].controller.Status(time.Now())
 		if now := w.nodes[0].machine.Holder(ownership.Cell); now.Epoch != before.Epoch || !status.Members[1].Suspected {
-			t.Fatalf("epoch %d, was %d; %+v", now.Epoch, before.Epoch, status.Members)
+			t.Fatalf("epoch of the cell shard: %d, was %d; members: %+v", now.Epoch, before.Epoch, status.Members)
 		}
 	})
 }
 
-// A replacement under a new name takes its share once the VM list has
-// dropped the dead one, and another's heartbeats tell its load.
+// TestReplacement checks that a replacement with a new name gets its share after
+// the killed node was removed from the VM list, and that heartbeats report its
+// load.
 func TestReplacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := grow(t, 3)
-		defer w.end()
+		w := startCluster(t, 3)
+		defer w.killAll()
 		w.kill(w.nodes[2])
 		w.mu.Lock()
-		w.gone[w.nodes[2].id.Node] = time.Now()
+		w.unlistedSince[w.nodes[2].id.Node] = time.Now()
 		w.mu.Unlock()
 		w.nodes = w.nodes[:2]
-		fresh := w.boot(3)
-		took := until(t, 30*time.Second, func() bool { return count([]*entryVM{fresh})[ownership.AccessFull] > 0 })
-		t.Logf("first share of the replacement after %v", took)
-		until(t, 30*time.Second, w.whole)
+		fresh := w.start(3)
+		took := waitFor(t, 30*time.Second, func() bool { return countAccess([]*entryVM{fresh})[ownership.AccessFull] > 0 })
+		t.Logf("the replacement had its first shards after %v", took)
+		waitFor(t, 30*time.Second, w.allShardsFull)
 		loads := w.nodes[0].service.Candidates("torquebench")
 		if len(loads) != 2 || loads[0].Node != fresh.id.Node || loads[0].Free != 3 {
 			t.Fatalf("candidates %+v", loads)
 		}
-		took = until(t, 10*time.Second, func() bool { return slots(w.nodes) == allSlots })
-		t.Logf("floor shares of the dead one in use after %v more", took)
+		took = waitFor(t, 10*time.Second, func() bool { return totalSlots(w.nodes) == allSlots })
+		t.Logf("the floor shares of the killed node were in use after another %v", took)
 	})
 }
--- a/internal/ownership/machine.go
+++ b/internal/ownership/machine.go
@@ -7,8 +7,8 @@
 	"github.com/skylarklock/skylarklock/internal/journal"
 )
 
-// StateMachine feeds a Table from one data centre's stream. It implements
-// journal.StateMachine.
+// StateMachine applies the entries of one data centre's stream to a Table. It
+// implements journal.StateMachine.
 type StateMachine struct {
 	mu      sync.RWMutex
 	table   *Table
@@ -17,7 +17,7 @@
 
 var _ journal.StateMachine = (*StateMachine)(nil)
 
-// NewStateMachine returns a machine with an empty table.
+// NewStateMachine returns a state machine with an empty table.
 func NewStateMachine() *StateMachine {
 	return &StateMachine{table: NewTable(), changed: make(chan struct{}, 1)}
 }
@@ -27,7 +27,8 @@
 	return []journal.EntryType{TypeJoin, TypeAcknowledge, TypeLeave, TypeExpel, TypeClaim, TypeRelease, TypeChallenge}
 }
 
-// Apply implements journal.StateMachine. Rejections are the package's errors.
+// Apply implements journal.StateMachine. It returns one of the package's errors
+// for a rejected entry.
 func (m *StateMachine) Apply(_ journal.Position, e journal.Entry) error {
 	action, err := decodeEntry(e)
 	if err != nil {
@@ -42,7 +43,7 @@
 	return err
 }
 
-// notify wakes the controller.
+// notify signals the controller that the table has changed.
 func (m *StateMachine) notify() {
 	select {
 	case m.changed <- struct{}{}:
@@ -50,24 +51,24 @@
 	}
 }
 
-// Changed receives after the table has changed.
+// Changed returns a channel that receives a value after the table has changed.
 func (m *StateMachine) Changed() <-chan struct{} { return m.changed }
 
-// View calls read with the table, which must not be kept or changed.
+// View calls read with the table. read must not keep or change it.
 func (m *StateMachine) View(read func(*Table)) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	read(m.table)
 }
 
-// Holder returns what the log says of s.
+// Holder returns the hold of s according to the log.
 func (m *StateMachine) Holder(s Shard) Hold {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.table.Holds[s]
 }
 
-// Roster returns the members ordered by node, and the table's version.
+// Roster returns the members sorted by node, and the table's version.
 func (m *StateMachine) Roster() ([]Member, uint64) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -82,8 +83,8 @@
 	return member, ok
 }
 
-// image is the form of a snapshot.
-type image struct {
+// snapshot is the content of a snapshot.
+type snapshot struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint64
 	Members []Member
@@ -95,7 +96,7 @@
 func (m *StateMachine) Snapshot() ([]byte, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	img := image{Version: m.table.Version, Members: m.table.Roster()}
+	img := snapshot{Version: m.table.Version, Members: m.table.Roster()}
 	for _, s := range Shards() {
 		if h, ok := m.table.Holds[s]; ok {
 			img.Shards = append(img.Shards, s)
@@ -107,7 +108,7 @@
 
 // Restore implements journal.StateMachine.
 func (m *StateMachine) Restore(data []byte) error {
-	var img image
+	var img snapshot
 	if err := journal.Decode(data, &img); err != nil {
 		return err
 	}
--- a/internal/ownership/plan.go
+++ b/internal/ownership/plan.go
@@ -7,25 +7,25 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// Health is what the heartbeats say of one member.
+// Health is the state of one member according to its heartbeats.
 type Health struct {
 	Process   Identity
-	Suspected bool // silent for longer than the suspicion time
+	Suspected bool // no heartbeat for longer than the suspicion time
 	Draining  bool // it is leaving and wants no shards
 	AliveFor  time.Duration
 }
 
-// PlanLimits bounds what one pass of Plan decides.
+// PlanLimits holds the limits of Plan's decisions.
 type PlanLimits struct {
-	MinAliveTime             time.Duration // a member gets others' shards only after being alive so long
-	ChallengeTimeout         time.Duration // a challenge must stay unanswered so long before a claim
-	ChallengeInterval        time.Duration // least time between two challenges of one member
-	MaxMoves                 int           // shards closed at a time to move to other members
-	ExpelDelay               time.Duration // a silent member is expelled when the VM list has lacked it so long
-	SuspiciousListExpelDelay time.Duration // the same, when the list lacks more than half of the roster
+	MinAliveTime             time.Duration // how long a member must be alive before it gets shards of live members
+	ChallengeTimeout         time.Duration // how long a challenge must be unanswered before a claim
+	ChallengeInterval        time.Duration // minimum time between two challenges of one member
+	MaxMoves                 int           // maximum number of shards that are closed at a time to move to other members
+	ExpelDelay               time.Duration // how long a suspected member must be missing from the VM list before it is expelled
+	SuspiciousListExpelDelay time.Duration // the same if more than half of the roster is missing from the list
 }
 
-// DefaultPlanLimits returns the limits used where the settings name none.
+// DefaultPlanLimits returns the limits that are used by default.
 func DefaultPlanLimits() PlanLimits {
 	return PlanLimits{
 		MinAliveTime:             3 * time.Second,
@@ -37,26 +37,26 @@
 	}
 }
 
-// PlanInput is what Plan decides on.
+// PlanInput is the input of Plan.
 type PlanInput struct {
 	Table    *Table
 	Evidence *Evidence
 	Timing   Timing
 	Limits   PlanLimits
 	Address  string // of this process's peer service
-	Draining bool   // this process is to leave
+	Draining bool   // this process is about to leave
 	Health   map[api.NodeID]Health
-	// Unlisted tells for how long the platform's VM list, while it could be
-	// read, has not shown a node.
+	// Unlisted holds, for each node missing from the platform's VM list, how
+	// long it has been missing while the list could be read.
 	Unlisted map[api.NodeID]time.Duration
-	// InFlight holds, for each releasable shard, the most requests that this
-	// process has in flight at any one endpoint; for Cell, whether anything
-	// is.
+	// InFlight holds, for each releasable shard, the maximum number of requests
+	// that this process has in flight at any one endpoint, and for Cell whether
+	// anything is in flight (0 or 1).
 	InFlight map[Shard]int
 }
 
-// Plan decides what this process proposes at now. It proposes nothing while
-// its view of the log is unconfirmed.
+// Plan decides what this process does at now. It does nothing while its view of
+// the log is unconfirmed.
 func Plan(now time.Time, v PlanInput) []Action {
 	if !v.Timing.LogConfirmed(v.Evidence, now) {
 		return nil
@@ -76,7 +76,7 @@
 	return append(actions, planExpel(v)...)
 }
 
-// planJoin joins the roster, unless this process is leaving.
+// planJoin joins the roster unless this process is leaving.
 func planJoin(v PlanInput) []Action {
 	if v.Draining {
 		return nil
@@ -84,8 +84,8 @@
 	return []Action{Join{Process: v.Evidence.Self, Address: v.Address}}
 }
 
-// planAcknowledge acknowledges members that joined since the last time, and
-// answers a challenge.
+// planAcknowledge acknowledges members that have joined since the last
+// acknowledgement, and answers a challenge.
 func planAcknowledge(v PlanInput) []Action {
 	self := v.Table.Members[v.Evidence.Self.Node]
 	due := self.Challenged > self.Acked
@@ -102,50 +102,50 @@
 	}}
 }
 
-// planChallenge challenges silent members in the log, so that one which the
-// heartbeats don't reach, but the log does, keeps its shards.
+// planChallenge challenges suspected members through the log, so that a member
+// whose heartbeats are lost but that still follows the log keeps its shards.
 func planChallenge(now time.Time, v PlanInput) []Action {
 	var actions []Action
-	for _, m := range v.silentMembers() {
+	for _, m := range v.suspectedMembers() {
 		recent := now.Sub(v.Evidence.Challenges[m.Process.Node].ObservedAt) < v.Limits.ChallengeInterval
 		if m.Challenged > m.Acked || recent {
 			continue
 		}
-		if v.chosenFor(m) {
+		if v.isProposerFor(m) {
 			actions = append(actions, Challenge{From: v.Evidence.Self, Process: m.Process})
 		}
 	}
 	return actions
 }
 
-// silentMembers returns the suspected members.
-func (v PlanInput) silentMembers() []Member {
+// suspectedMembers returns the suspected members, sorted by node.
+func (v PlanInput) suspectedMembers() []Member {
 	var members []Member
-	for _, node := range v.Table.order {
-		if m := v.Table.Members[node]; v.silent(m.Process) {
+	for _, node := range v.Table.sortedNodes {
+		if m := v.Table.Members[node]; v.isSuspected(m.Process) {
 			members = append(members, m)
 		}
 	}
 	return members
 }
 
-// chosenFor reports whether this process is the one that proposes what
-// concerns m, so that not every member does.
-func (v PlanInput) chosenFor(m Member) bool {
-	return chosen([]byte(m.Process.Node), v.present()) == v.Evidence.Self.Node
+// isProposerFor reports whether this process is the member that proposes
+// challenges and expulsions of m, so that not every member does.
+func (v PlanInput) isProposerFor(m Member) bool {
+	return highestScored([]byte(m.Process.Node), v.aliveMembers()) == v.Evidence.Self.Node
 }
 
-// unanswered reports whether m has let a challenge pass at now.
-func (v PlanInput) unanswered(now time.Time, m Member) bool {
+// challengeExpired reports whether m has not answered a challenge in time at now.
+func (v PlanInput) challengeExpired(now time.Time, m Member) bool {
 	seen := v.Evidence.Challenges[m.Process.Node]
 	return m.Challenged > m.Acked && seen.Version == m.Challenged && now.Sub(seen.ObservedAt) >= v.Limits.ChallengeTimeout
 }
 
-// planClose picks the held shards to stop using: all when draining, else
-// those that another settled member should hold.
+// planClose closes held shards: all of them if this process is draining, and
+// otherwise those that another stable member should hold.
 func planClose(v PlanInput) []Action {
-	settled := v.settled()
-	room := v.Limits.MaxMoves
+	stableMembers := v.stableMembers()
+	remaining := v.Limits.MaxMoves
 	var shards []ShardAt
 	for _, s := range Shards() {
 		h := v.Table.Holds[s]
@@ -153,15 +153,15 @@
 			continue
 		}
 		if v.Evidence.ClosedEpochs[s] == h.Epoch {
-			room--
+			remaining--
 			continue
 		}
-		if v.Draining || PreferredNode(s, settled) != v.Evidence.Self.Node {
+		if v.Draining || PreferredNode(s, stableMembers) != v.Evidence.Self.Node {
 			shards = append(shards, ShardAt{Shard: s, Epoch: h.Epoch})
 		}
 	}
 	if !v.Draining {
-		shards = shards[:min(len(shards), max(room, 0))]
+		shards = shards[:min(len(shards), max(remaining, 0))]
 	}
 	if len(shards) == 0 {
 		return nil
@@ -169,34 +169,36 @@
 	return []Action{Close{Shards: shards}}
 }
 
-// settled returns the members fit to be given shards that live members hold.
-func (v PlanInput) settled() []api.NodeID {
-	return v.nodes(func(m Member) bool {
-		return v.alive(m) && v.Health[m.Process.Node].AliveFor >= v.Limits.MinAliveTime
+// stableMembers returns the members that may get shards from live holders.
+func (v PlanInput) stableMembers() []api.NodeID {
+	return v.selectNodes(func(m Member) bool {
+		return v.isAlive(m) && v.Health[m.Process.Node].AliveFor >= v.Limits.MinAliveTime
 	})
 }
 
-// able returns the members that may take shards from a silent holder.
-func (v PlanInput) able() []api.NodeID {
+// takeoverCandidates returns the members that may claim shards that were not
+// released.
+func (v PlanInput) takeoverCandidates() []api.NodeID {
 	acked := v.Table.ackedByAll()
-	return v.nodes(func(m Member) bool { return v.alive(m) && m.Joined <= acked })
+	return v.selectNodes(func(m Member) bool { return v.isAlive(m) && m.Joined <= acked })
 }
 
-// present returns the members that may take shards nobody holds.
-func (v PlanInput) present() []api.NodeID {
-	return v.nodes(v.alive)
+// aliveMembers returns the members that may claim shards that nobody holds.
+func (v PlanInput) aliveMembers() []api.NodeID {
+	return v.selectNodes(v.isAlive)
 }
 
-// alive reports whether m is heard of and is not leaving.
-func (v PlanInput) alive(m Member) bool {
+// isAlive reports whether m sends heartbeats and is not leaving.
+func (v PlanInput) isAlive(m Member) bool {
 	h, known := v.Health[m.Process.Node]
 	return known && h.Process == m.Process && !h.Suspected && !h.Draining && !m.Leaving
 }
 
-// nodes returns the members that pass ok, and always this process.
-func (v PlanInput) nodes(ok func(Member) bool) []api.NodeID {
+// selectNodes returns the nodes of the members that ok selects, and always this
+// process's own.
+func (v PlanInput) selectNodes(ok func(Member) bool) []api.NodeID {
 	var nodes []api.NodeID
-	for _, node := range v.Table.order {
+	for _, node := range v.Table.sortedNodes {
 		m := v.Table.Members[node]
 		if m.Process == v.Evidence.Self || ok(m) {
 			nodes = append(nodes, node)
@@ -205,31 +207,31 @@
 	return nodes
 }
 
-// releasable returns the held shards that are closed, and those where this
+// releasable returns the held shards that are closed, and those of which this
 // process is a former holder that may still use slots.
 func releasable(t *Table, e *Evidence) []Shard {
 	var shards []Shard
 	for _, s := range Shards() {
 		h := t.Holds[s]
-		leaving := h.HeldBy(e.Self) && e.ClosedEpochs[s] == h.Epoch
-		yielding := !h.HeldBy(e.Self) && h.isFormer(e.Self)
-		if leaving || yielding {
+		closed := h.HeldBy(e.Self) && e.ClosedEpochs[s] == h.Epoch
+		former := !h.HeldBy(e.Self) && h.isFormerHolder(e.Self)
+		if closed || former {
 			shards = append(shards, s)
 		}
 	}
 	return shards
 }
 
-// planRelease gives up what is releasable. A held shard of endpoints is given
-// up at once, with a note of what is in flight; the rest of a former hold
-// when nothing is.
+// planRelease releases the releasable shards. A held endpoint shard is released
+// immediately, with the number of requests in flight. The cell shard, and what is
+// left of a former hold, are released once nothing is in flight.
 func planRelease(now time.Time, v PlanInput) []Action {
 	var shards []ShardRelease
 	for _, s := range releasable(v.Table, v.Evidence) {
 		h := v.Table.Holds[s]
 		inFlight := v.InFlight[s]
 		handsOver := h.HeldBy(v.Evidence.Self) && s != Cell && inFlight <= math.MaxUint16
-		if (inFlight == 0 || handsOver) && v.waited(now, s, h) {
+		if (inFlight == 0 || handsOver) && v.takeoverWaitOver(now, s, h) {
 			shards = append(shards, ShardRelease{Shard: s, Epoch: h.Epoch, InFlight: uint16(inFlight)})
 		}
 	}
@@ -239,9 +241,10 @@
 	return []Action{Release{Process: v.Evidence.Self, Shards: shards, Leaving: v.Draining}}
 }
 
-// waited reports whether the wait after the own takeover of s is over. A
-// release before that would let the next holder start beside the former one.
-func (v PlanInput) waited(now time.Time, s Shard, h Hold) bool {
+// takeoverWaitOver reports whether the wait after this process's takeover of s
+// has ended, if there is one. An earlier release would let the next holder use
+// the shard while the one before this process still does.
+func (v PlanInput) takeoverWaitOver(now time.Time, s Shard, h Hold) bool {
 	if !h.MustWait || !h.HeldBy(v.Evidence.Self) {
 		return true
 	}
@@ -249,22 +252,23 @@
 	return own.Epoch == h.Epoch && !now.Before(own.ReadBackAt.Add(v.Timing.TakeoverWait()))
 }
 
-// planLeave leaves the roster when nothing is held or left of a hold.
+// planLeave leaves the roster once this process neither holds a shard nor is a
+// former holder of one.
 func planLeave(v PlanInput) []Action {
 	for _, h := range v.Table.Holds {
-		if h.HeldBy(v.Evidence.Self) || h.isFormer(v.Evidence.Self) {
+		if h.HeldBy(v.Evidence.Self) || h.isFormerHolder(v.Evidence.Self) {
 			return nil
 		}
 	}
 	return []Action{Leave{Process: v.Evidence.Self}}
 }
 
-// planClaim claims the shards that nobody uses and this process should hold.
+// planClaim claims the claimable shards that this process should hold.
 func planClaim(now time.Time, v PlanInput) []Action {
 	var shards []ShardAt
 	for _, s := range Shards() {
 		h := v.Table.Holds[s]
-		if v.claimable(now, h) && PreferredNode(s, v.claimants(h)) == v.Evidence.Self.Node {
+		if v.canClaim(now, h) && PreferredNode(s, v.claimCandidates(h)) == v.Evidence.Self.Node {
 			shards = append(shards, ShardAt{Shard: s, Epoch: h.Epoch})
 		}
 	}
@@ -274,22 +278,22 @@
 	return []Action{Claim{Process: v.Evidence.Self, Shards: shards}}
 }
 
-// claimants returns the members that may claim a shard that stands at h.
-func (v PlanInput) claimants(h Hold) []api.NodeID {
+// claimCandidates returns the members that may claim the shard of h.
+func (v PlanInput) claimCandidates(h Hold) []api.NodeID {
 	if h.Released() {
-		return v.present()
+		return v.aliveMembers()
 	}
-	return v.able()
+	return v.takeoverCandidates()
 }
 
-// claimable reports whether this process may claim a shard that stands at h.
-func (v PlanInput) claimable(now time.Time, h Hold) bool {
+// canClaim reports whether this process may claim the shard of h at now.
+func (v PlanInput) canClaim(now time.Time, h Hold) bool {
 	switch {
 	case h.Released():
 		return true
 	case h.HeldBy(v.Evidence.Self):
 		return false
-	case h.Status == StatusHeld && !v.silent(h.Process):
+	case h.Status == StatusHeld && !v.isSuspected(h.Process):
 		return false
 	case !v.Table.Acknowledged(v.Evidence.Self):
 		return false
@@ -298,39 +302,39 @@
 	default:
 		holder := v.Table.Members[h.Process.Node]
 		promised := now.Before(v.Evidence.PromisedUntil[h.Process.Node])
-		return v.unanswered(now, holder) && !promised
+		return v.challengeExpired(now, holder) && !promised
 	}
 }
 
-// silent reports whether who, another process, is suspected.
-func (v PlanInput) silent(who Identity) bool {
-	h, known := v.Health[who.Node]
-	return who != v.Evidence.Self && known && h.Process == who && h.Suspected
+// isSuspected reports whether process is suspected. It is false for this process.
+func (v PlanInput) isSuspected(process Identity) bool {
+	h, known := v.Health[process.Node]
+	return process != v.Evidence.Self && known && h.Process == process && h.Suspected
 }
 
-// planExpel removes silent members that the VM list has dropped.
+// planExpel expels suspected members that are missing from the VM list.
 func planExpel(v PlanInput) []Action {
-	patience := v.expelPatience()
+	expelDelay := v.expelDelay()
 	var actions []Action
-	for _, m := range v.silentMembers() {
+	for _, m := range v.suspectedMembers() {
 		absent, unlisted := v.Unlisted[m.Process.Node]
-		if unlisted && absent >= patience && v.chosenFor(m) {
+		if unlisted && absent >= expelDelay && v.isProposerFor(m) {
 			actions = append(actions, Expel{Process: m.Process})
 		}
 	}
 	return actions
 }
 
-// expelPatience is how long the list must lack a member. A list that lacks
-// most of the roster is more likely wrong than right.
-func (v PlanInput) expelPatience() time.Duration {
-	lacking := 0
+// expelDelay returns how long a member must be missing from the VM list. A list
+// that lacks most of the roster is probably wrong.
+func (v PlanInput) expelDelay() time.Duration {
+	missing := 0
 	for node := range v.Table.Members {
 		if _, unlisted := v.Unlisted[node]; unlisted {
-			lacking++
+			missing++
 		}
 	}
-	if 2*lacking > len(v.Table.Members) {
+	if 2*missing > len(v.Table.Members) {
 		return v.Limits.SuspiciousListExpelDelay
 	}
 	return v.Limits.ExpelDelay
--- a/internal/ownership/safety_test.go
+++ b/internal/ownership/safety_test.go
@@ -14,53 +14,57 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// init makes every run draw the same cases.
+// init fixes the seed, so that every run checks the same cases.
 func init() {
 	must(errors.Join(flag.Set("rapid.seed", "20261202"), flag.Set("rapid.checks", "120"), flag.Set("rapid.nofailfile", "true")))
 }
 
-// watched are the shards that the simulation checks; the rest run along.
-var watched = []Shard{0, 1, 2, 3, 4, 5, 6, 7, Cell}
+// checkedShards are the shards that the simulation checks. The others are
+// simulated without checks.
+var checkedShards = []Shard{0, 1, 2, 3, 4, 5, 6, 7, Cell}
 
 var genFaults = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) fault {
 	return fault{
 		Kind:  rapid.SampledFrom(faultMix).Draw(t, "kind"),
 		Node:  rapid.IntRange(0, 3).Draw(t, "node"),
 		Peer:  rapid.IntRange(0, 3).Draw(t, "peer"),
-		At:    rapid.IntRange(0, simFaulty-100).Draw(t, "at"),
+		At:    rapid.IntRange(0, simFaultSteps-100).Draw(t, "at"),
 		Steps: rapid.IntRange(10, 250).Draw(t, "steps"),
 	}
 }), 0, 20)
 
-// faultMix weighs the kinds of faults.
+// faultMix sets the weights of the fault kinds by repetition.
 var faultMix = []faultKind{
 	faultCutLog, faultCutLog, faultCutLog, faultCutPeer, faultCutPeer, faultCutPeer, faultPause, faultRestart, faultReplace, faultLeave, faultLeave,
 }
 
-// A holder is alone, slots are never oversubscribed, and once the faults end
-// every shard is held again, whatever the log, the peers and the clocks do.
+// TestSafetyAndRecoveryUnderFaults checks, under random faults of the log, the
+// peers and the clocks, that a shard has at most one full holder and that slots
+// are never oversubscribed. After the faults have ended, every shard must be in
+// full use again.
 func TestSafetyAndRecoveryUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 4).Draw(t, "nodes")
-		s := newSim(nodes, rapid.Uint64().Draw(t, "seed"), sabotage{})
-		violation, full := s.run(genFaults.Draw(t, "faults"), watched)
+		s := newSim(nodes, rapid.Uint64().Draw(t, "seed"), disabledRules{})
+		violation, full := s.run(genFaults.Draw(t, "faults"), checkedShards)
 		if violation != "" {
 			t.Fatal(violation)
 		}
-		if full != len(watched) {
-			t.Fatalf("%d of %d shards in full use after healing", full, len(watched))
+		if full != len(checkedShards) {
+			t.Fatalf("%d of %d shards in full use after healing", full, len(checkedShards))
 		}
 	})
 }
 
-// Each rule is needed: without it the same simulation finds a violation.
+// TestDisabledRulesCauseViolations checks that each rule is needed: the same
+// simulation finds a violation when the rule is disabled.
 func TestDisabledRulesCauseViolations(t *testing.T) {
-	cut := []fault{ // the first node from its peers, and for longer from the log
+	cut := []fault{ // cuts the first node off from its peers, and for longer from the log
 		{Kind: faultCutLog, Node: 0, At: 100, Steps: 290},
 		{Kind: faultCutPeer, Node: 0, Peer: 1, At: 100, Steps: 150},
 		{Kind: faultCutPeer, Node: 0, Peer: 2, At: 100, Steps: 150},
 	}
-	joiner := []fault{ // it starts while the others have only each other
+	joiner := []fault{ // a process starts while the others reach only each other
 		{Kind: faultLeave, Node: 2, At: 60},
 		{Kind: faultPause, Node: 2, At: 61, Steps: 140},
 		{Kind: faultCutLog, Node: 0, At: 195, Steps: 200},
@@ -70,48 +74,49 @@
 	}
 	broken := []struct {
 		name   string
-		bad    sabotage
+		bad    disabledRules
 		faults []fault
 	}{
-		{"claimant does not wait", sabotage{noWait: true}, cut},
-		{"grant in spite of a taken shard", sabotage{grantAnyway: true}, cut},
-		{"claim without acknowledgements", sabotage{noAckNeeded: true}, joiner},
+		{"no wait after a takeover", disabledRules{takeoverWait: true}, cut},
+		{"grants to members that have lost a shard", disabledRules{grantCheck: true}, cut},
+		{"claims without acknowledgements", disabledRules{acknowledgements: true}, joiner},
 	}
 	for _, c := range broken {
 		t.Run(c.name, func(t *testing.T) {
-			if violation, _ := newSim(3, 1, sabotage{}).run(c.faults, watched); violation != "" {
-				t.Fatalf("with the rule: %s", violation)
+			if violation, _ := newSim(3, 1, disabledRules{}).run(c.faults, checkedShards); violation != "" {
+				t.Fatalf("violation with the rule enabled: %s", violation)
 			}
 			for seed := range uint64(20) {
-				if violation, _ := newSim(3, seed, c.bad).run(c.faults, watched); violation != "" {
+				if violation, _ := newSim(3, seed, c.bad).run(c.faults, checkedShards); violation != "" {
 					t.Logf("seed %d: %s", seed, violation)
 					return
 				}
 			}
-			t.Fatal("not caught")
+			t.Fatal("no violation found")
 		})
 	}
 }
 
-// trio returns a table with members a, b and c who know each other, and a
-// holding shard 0 at epoch 1.
-func trio() (t *Table, a, b, c Identity) {
+// threeMembers returns a table with members a, b and c, which have acknowledged
+// each other, and with a as the holder of shard 0 at epoch 1.
+func threeMembers() (t *Table, a, b, c Identity) {
 	t = NewTable()
 	a, b, c = Identity{Node: "a", Incarnation: 1}, Identity{Node: "b", Incarnation: 2}, Identity{Node: "c", Incarnation: 3}
-	for _, who := range []Identity{a, b, c} {
-		must(t.Apply(Join{Process: who}))
+	for _, process := range []Identity{a, b, c} {
+		must(t.Apply(Join{Process: process}))
 	}
-	for _, who := range []Identity{a, b} { // joining acknowledges for c
-		must(t.Apply(Acknowledge{Process: who, Version: 3, Members: 3}))
+	for _, process := range []Identity{a, b} { // c has acknowledged the others by joining
+		must(t.Apply(Acknowledge{Process: process, Version: 3, Members: 3}))
 	}
 	must(t.Apply(Claim{Process: a, Shards: []ShardAt{{Shard: 0}}}))
 	return t, a, b, c
 }
 
-// seize lets who take shard 0 at an epoch from a holder that is silent.
-func seize(t *Table, who, holder Identity, epoch api.Epoch) error {
-	must(t.Apply(Challenge{From: who, Process: holder}))
-	return t.Apply(Claim{Process: who, Shards: []ShardAt{{Shard: 0, Epoch: epoch}}})
+// takeOver lets process claim shard 0 from a holder that does not answer a
+// challenge. epoch is that of the holder.
+func takeOver(t *Table, process, holder Identity, epoch api.Epoch) error {
+	must(t.Apply(Challenge{From: process, Process: holder}))
+	return t.Apply(Claim{Process: process, Shards: []ShardAt{{Shard: 0, Epoch: epoch}}})
 }
 
 func must(err error) {
@@ -120,53 +125,57 @@
 	}
 }
 
-// Two former holders that know nothing of their loss use a floor each.
+// TestSlotLimitLeavesFloorsToFormerHolders checks that two former holders that
+// don't know of their loss may use a floor share each, and the holder the rest.
 func TestSlotLimitLeavesFloorsToFormerHolders(t *testing.T) {
-	table, a, b, c := trio()
+	table, a, b, c := threeMembers()
 	seenByA := table.Clone()
-	must(seize(table, b, a, 1))
+	must(takeOver(table, b, a, 1))
 	seenByB := table.Clone()
-	must(seize(table, c, b, 2))
-	limit := func(t *Table, who Identity, s Access) int {
-		return SlotLimit(t, NewEvidence(who), 0, Authority{Access: s}, 9)
+	must(takeOver(table, c, b, 2))
+	limit := func(t *Table, process Identity, s Access) int {
+		return SlotLimit(t, NewEvidence(process), 0, Authority{Access: s}, 9)
 	}
 	got := [3]int{limit(seenByA, a, AccessFloor), limit(seenByB, b, AccessFloor), limit(table, c, AccessFull)}
 	if got != [3]int{3, 3, 3} {
-		t.Fatalf("limits of a, b and c: %v", got)
+		t.Fatalf("slot limits of a, b and c: %v, want 3 each", got)
 	}
 	must(table.Apply(Release{Process: a, Shards: []ShardRelease{{Epoch: 3}}}))
 	must(table.Apply(Expel{Process: b}))
 	if got := limit(table, c, AccessFull); got != 9 {
-		t.Fatalf("c may use %d after a gave up and b left", got)
+		t.Fatalf("c may use %d slots after a has released the shard and b was expelled, want 9", got)
 	}
 }
 
-// A holder that is cut off divides by the roster it knew; so must the others.
+// TestFloorUsesRosterOfFormerHolder checks that the floor share of a holder that
+// is cut off is computed with the roster that it knows, by itself and by the next
+// holder.
 func TestFloorUsesRosterOfFormerHolder(t *testing.T) {
-	table, a, b, _ := trio()
+	table, a, b, _ := threeMembers()
 	seenByA := table.Clone()
 	for i := range 6 {
 		must(table.Apply(Join{Process: Identity{Node: api.NodeID(rune('d' + i)), Incarnation: 9}}))
 	}
-	must(seize(table, b, a, 1))
+	must(takeOver(table, b, a, 1))
 	ofA := SlotLimit(seenByA, NewEvidence(a), 0, Authority{Access: AccessFloor}, 9)
 	ofB := SlotLimit(table, NewEvidence(b), 0, Authority{Access: AccessFull}, 9)
 	if ofA != 3 || ofB != 6 {
-		t.Fatalf("a may use %d, b %d of 9", ofA, ofB)
+		t.Fatalf("a may use %d and b %d of 9 slots, want 3 and 6", ofA, ofB)
 	}
 	evidence := NewEvidence(a)
 	evidence.Observe(table, time.Now())
-	evidence.Observe(seenByA, time.Now()) // the roster shrinks again
+	evidence.Observe(seenByA, time.Now()) // the roster becomes smaller again
 	if got := SlotLimit(seenByA, evidence, 0, Authority{Access: AccessFloor}, 9); got != 1 {
-		t.Fatalf("a that has seen 9 members may use %d", got)
+		t.Fatalf("a has seen 9 members and may use %d of 9 slots, want 1", got)
 	}
 }
 
-// A claimant that releases before its wait is over would let the next holder
-// start beside the one before it.
+// TestNoReleaseDuringTakeoverWait guards against two holders at a time: a claimant
+// that releases a shard before its takeover wait has ended would let the next
+// holder start while the previous one still uses the shard.
 func TestNoReleaseDuringTakeoverWait(t *testing.T) {
-	table, a, b, _ := trio()
-	must(seize(table, b, a, 1))
+	table, a, b, _ := threeMembers()
+	must(takeOver(table, b, a, 1))
 	start := time.Unix(1000, 0)
 	evidence := NewEvidence(b)
 	evidence.Observe(table, start)
@@ -179,13 +188,14 @@
 	}
 	wait := simTiming.WithDrift(simTiming.HoldDuration)
 	if released(wait-1) || !released(wait) {
-		t.Fatal("release does not follow the wait")
+		t.Fatal("the shard must be released after the takeover wait, and not before")
 	}
 }
 
-// Rejections are typed, change nothing, and a snapshot holds the whole state.
+// TestRejectionsAndSnapshot checks that rejected entries return typed errors and
+// change nothing, and that a snapshot contains the whole state.
 func TestRejectionsAndSnapshot(t *testing.T) {
-	table, a, b, c := trio()
+	table, a, b, c := threeMembers()
 	stranger := Identity{Node: "s", Incarnation: 7}
 	restarted := Identity{Node: "a", Incarnation: 8}
 	at := func(epoch api.Epoch) []ShardAt { return []ShardAt{{Shard: 0, Epoch: epoch}} }
@@ -207,24 +217,24 @@
 		{Release{Process: b, Shards: given(1)}, ErrNotHolder},
 		{Join{Process: restarted}, nil},
 		{Claim{Process: restarted, Shards: at(1)}, ErrUnacknowledged},
-		{Claim{Process: b, Shards: at(1)}, nil}, // ended by the restart, not released
+		{Claim{Process: b, Shards: at(1)}, nil}, // the hold ended by the restart and was not released
 		{Release{Process: b, Shards: given(1)}, ErrStaleEpoch},
 		{Release{Process: b, Shards: given(2)}, nil},
-		{Claim{Process: restarted, Shards: at(2)}, nil}, // released: no acknowledgement needed
+		{Claim{Process: restarted, Shards: at(2)}, nil}, // a released shard can be claimed without acknowledgements
 		{Leave{Process: a}, ErrNotMember},
 		{Claim{Process: b, Shards: []ShardAt{{Shard: EndpointShards}}}, ErrMalformed},
 	}
 	for i, step := range steps {
 		before := table.Version
 		if err := table.Apply(step.action); err != step.want {
-			t.Fatalf("step %d: %v, want %v", i, err, step.want)
+			t.Fatalf("step %d: got error %v, want %v", i, err, step.want)
 		}
 		if changed := table.Version != before; changed != (step.want == nil) {
 			t.Fatalf("step %d: version changed: %v", i, changed)
 		}
 	}
 	if h := table.Holds[0]; h.MustWait || h.Epoch != 3 || h.Process != restarted {
-		t.Fatalf("hold %+v", h)
+		t.Fatalf("got hold %+v, want epoch 3 of the restarted process without a wait", h)
 	}
 	from, to := NewStateMachine(), NewStateMachine()
 	from.table = table
@@ -234,7 +244,8 @@
 	}
 }
 
-// Adding a node moves only its share of the shards.
+// TestNewNodeMovesOnlyItsShare checks that a new node gets only its share of the
+// shards, and that no other shard moves.
 func TestNewNodeMovesOnlyItsShare(t *testing.T) {
 	for _, n := range []int{1, 3, 9, 90} {
 		nodes := make([]api.NodeID, n+1)
@@ -251,9 +262,9 @@
 				t.Fatalf("%v moved from %s to %s", s, before, after)
 			}
 		}
-		t.Logf("%d nodes and one more: %d of %d shards move, share %d", n, moved, EndpointShards+1, (EndpointShards+1)/(n+1))
+		t.Logf("%d nodes and one more: %d of %d shards moved, share %d", n, moved, EndpointShards+1, (EndpointShards+1)/(n+1))
 		if moved > 2*(EndpointShards+1)/(n+1)+4 {
-			t.Fatalf("%d nodes: %d shards move", n, moved)
+			t.Fatalf("%d nodes: %d shards moved, want at most twice the share and 4 more", n, moved)
 		}
 	}
 }
--- a/internal/ownership/shard.go
+++ b/internal/ownership/shard.go
@@ -1,11 +1,12 @@
-// Package ownership settles, through a data centre's stream of the log, which
-// entry VM holds which shard, and tells each entry VM what it may do when it
+// Package ownership decides, through a data centre's stream of the log, which
+// entry VM holds which shard. It also decides what an entry VM may do while it
 // cannot know whether it has been superseded.
 //
-// The rules are those of docs/design/core-protocol.md, "Hold". Decisions are
-// pure functions over a Table (what the log says) and Evidence (what this
-// process has seen and when); Controller is the thin loop around them. Times
-// are readings of the process's own monotonic clock and never leave it.
+// The rules are described in docs/design/core-protocol.md, section "Hold".
+// Decisions are pure functions of a Table, which is the state of the log, and
+// Evidence, which is what this process has observed and when. Controller runs
+// them in a loop. Times are read from the process's own monotonic clock and are
+// never sent to other processes.
 package ownership
 
 import (
@@ -17,19 +18,20 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// Shard numbers one shard of a data centre: the shards of endpoints from
-// zero, and Cell.
+// Shard is the number of a shard of a data centre: an endpoint shard, counted
+// from zero, or Cell.
 type Shard uint16
 
 const (
-	// EndpointShards is how many shards the endpoints of one data centre
-	// hash into. It is part of the protocol: all entry VMs use the same.
+	// EndpointShards is the number of shards that the endpoints of one data
+	// centre hash to. It is part of the protocol and must be the same on all
+	// entry VMs.
 	EndpointShards = 64
 	// Cell is the placement shard of a data centre.
 	Cell Shard = 1 << 15
 )
 
-// String names the shard for logs.
+// String returns the name of the shard for logs.
 func (s Shard) String() string {
 	if s == Cell {
 		return "cell"
@@ -37,7 +39,7 @@
 	return fmt.Sprintf("endpoints-%d", uint16(s))
 }
 
-// Valid reports whether s exists.
+// Valid reports whether s is the number of an existing shard.
 func (s Shard) Valid() bool { return s == Cell || s < EndpointShards }
 
 // ShardOf returns the shard of an endpoint.
@@ -54,21 +56,22 @@
 	return append(all, Cell)
 }
 
-// PreferredNode returns which of nodes should hold s, by rendezvous hashing: adding
-// or removing a node moves only that node's share. It returns "" when there
-// are no nodes.
+// PreferredNode returns the node that should hold s. It uses rendezvous hashing,
+// so that adding or removing a node moves only that node's share. It returns ""
+// if there are no nodes.
 func PreferredNode(s Shard, nodes []api.NodeID) api.NodeID {
 	var key [2]byte
 	binary.BigEndian.PutUint16(key[:], uint16(s))
-	return chosen(key[:], nodes)
+	return highestScored(key[:], nodes)
 }
 
-// chosen returns the node with the highest score for key; "" without nodes.
-func chosen(key []byte, nodes []api.NodeID) api.NodeID {
+// highestScored returns the node with the highest score for key, or "" if there
+// are no nodes.
+func highestScored(key []byte, nodes []api.NodeID) api.NodeID {
 	var best api.NodeID
 	var bestScore uint64
 	for _, node := range nodes {
-		score := rendezvous(key, node)
+		score := rendezvousScore(key, node)
 		if best == "" || score > bestScore || (score == bestScore && node < best) {
 			best, bestScore = node, score
 		}
@@ -76,8 +79,8 @@
 	return best
 }
 
-// rendezvous scores node for key.
-func rendezvous(key []byte, node api.NodeID) uint64 {
+// rendezvousScore returns the score of node for key.
+func rendezvousScore(key []byte, node api.NodeID) uint64 {
 	var buf [64]byte
 	data := append(buf[:0], key...)
 	return xxhash.Sum64(append(data, node...))
--- a/internal/ownership/sim_test.go
+++ b/internal/ownership/sim_test.go
@@ -9,15 +9,17 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// Scales of the simulated world. Drift is large, so that it matters.
+// Parameters of the simulation. The clock drift is large, so that it has an
+// effect.
 const (
 	simStep  = 20 * time.Millisecond
 	simSlots = 8
-	// simInFlight requests run on for simRunOn steps after their sender began to leave.
-	simInFlight, simRunOn = 2, 60
-	simFaulty             = 400 // steps with faults
-	simHealed             = 600 // steps after them
-	simSilent             = 500 * time.Millisecond
+	// simInFlight requests stay in flight for simDrainSteps steps after their
+	// sender has started to leave.
+	simInFlight, simDrainSteps = 2, 60
+	simFaultSteps              = 400 // number of steps with faults
+	simHealingSteps            = 600 // number of steps after the faults
+	simSuspicionTime           = 500 * time.Millisecond
 )
 
 var simTiming = Timing{HoldDuration: time.Second, MaxClockDrift: 0.1}
@@ -34,65 +36,65 @@
 	faultCutPeer
 	faultPause
 	faultRestart
-	faultReplace // the VM dies; another with a new name takes its place
-	faultLeave   // the process leaves with simInFlight requests at each endpoint; another takes its place
+	faultReplace // the VM dies and one with a new name replaces it
+	faultLeave   // the process leaves with simInFlight requests at each endpoint, and another replaces it
 )
 
 type fault struct {
 	Kind       faultKind
-	Node, Peer int // taken modulo the number of nodes
+	Node, Peer int // modulo the number of nodes
 	At, Steps  int
 }
 
-// sabotage breaks one rule on purpose.
-type sabotage struct {
-	noWait, grantAnyway, noAckNeeded bool
+// disabledRules disables rules of the protocol.
+type disabledRules struct {
+	takeoverWait, grantCheck, acknowledgements bool
 }
 
 type simEntry struct {
-	landed bool
-	doneBy int // step at which its proposer gives up waiting
+	appended    bool
+	timeoutStep int // step at which its proposer stops waiting
 }
 
 type message struct {
-	due int
-	to  *simNode
-	do  func()
+	dueStep int
+	to      *simNode
+	deliver func()
 }
 
 type simNode struct {
-	slot      int // its place among the VMs, for faults
-	evidence  *Evidence
-	table     *Table
-	applied   int
-	rate      float64
-	heard     map[Identity]time.Time
-	alive     map[Identity]time.Time
-	proposing map[string]*simEntry
-	reading   bool
-	cutLog    int // until this step
-	paused    int
-	dead      bool
-	leaveAt   int // step at which it begins to leave; zero: never
-	using     map[Shard]bool
-	diedAt    int
+	slot          int // index of its VM, for faults
+	evidence      *Evidence
+	table         *Table
+	applied       int
+	rate          float64
+	lastHeartbeat map[Identity]time.Time
+	aliveSince    map[Identity]time.Time
+	proposing     map[string]*simEntry
+	reading       bool
+	logCutUntil   int // the node is cut off from the log before this step
+	pausedUntil   int
+	dead          bool
+	leaveAt       int // step at which it starts to leave; zero: never
+	usedAtLeave   map[Shard]bool
+	diedAt        int
 }
 
 type sim struct {
-	bad      sabotage
-	random   *rand.Rand
-	step     int
-	log      []Action
-	nodes    []*simNode // by slot
-	dead     []*simNode
-	leavers  []*simNode
-	cutPeer  map[[2]int]int
-	messages []message
-	lastInc  api.Incarnation
+	disabled        disabledRules
+	random          *rand.Rand
+	step            int
+	log             []Action
+	nodes           []*simNode // by VM index
+	dead            []*simNode
+	leavers         []*simNode
+	peerCutUntil    map[[2]int]int
+	messages        []message
+	lastIncarnation api.Incarnation
 }
 
-func newSim(nodes int, seed uint64, bad sabotage) *sim {
-	s := &sim{bad: bad, random: rand.New(rand.NewPCG(seed, 1)), cutPeer: make(map[[2]int]int)}
+func newSim(nodes int, seed uint64, bad disabledRules) *sim {
+	s := &sim{disabled: bad, random: rand.New(rand.NewPCG(seed, 1)), peerCutUntil: make(map[[2]int]int)}
 	for i := range nodes {
 		s.nodes = append(s.nodes, s.boot(i, api.NodeID(fmt.Sprint("n", i))))
 	}
@@ -100,11 +102,11 @@
 }
 
 func (s *sim) boot(slot int, name api.NodeID) *simNode {
-	s.lastInc++
+	s.lastIncarnation++
 	return &simNode{
-		slot: slot, evidence: NewEvidence(Identity{Node: name, Incarnation: s.lastInc}), table: NewTable(),
-		rate:  1 + simTiming.MaxClockDrift*s.random.Float64(),
-		heard: make(map[Identity]time.Time), alive: make(map[Identity]time.Time),
+		slot: slot, evidence: NewEvidence(Identity{Node: name, Incarnation: s.lastIncarnation}), table: NewTable(),
+		rate:          1 + simTiming.MaxClockDrift*s.random.Float64(),
+		lastHeartbeat: make(map[Identity]time.Time), aliveSince: make(map[Identity]time.Time),
 		proposing: make(map[string]*simEntry),
 	}
 }
@@ -113,49 +115,50 @@
 	return time.Unix(1000, 0).Add(time.Duration(float64(s.step) * n.rate * float64(simStep)))
 }
 
-func (s *sim) send(to *simNode, least, most int, do func()) {
-	s.messages = append(s.messages, message{due: s.step + least + s.random.IntN(most-least+1), to: to, do: do})
+func (s *sim) send(to *simNode, minDelay, maxDelay int, do func()) {
+	s.messages = append(s.messages, message{dueStep: s.step + minDelay + s.random.IntN(maxDelay-minDelay+1), to: to, deliver: do})
 }
 
-// deliver runs what is due; a paused node gets its messages afterwards.
+// deliver delivers the messages that are due. A paused node gets its messages
+// after the pause.
 func (s *sim) deliver() {
 	due := s.messages
 	s.messages = nil
 	for _, m := range due {
-		if m.due > s.step || (m.to != nil && m.to.paused > s.step) {
+		if m.dueStep > s.step || (m.to != nil && m.to.pausedUntil > s.step) {
 			s.messages = append(s.messages, m)
 		} else if m.to == nil || !m.to.dead {
-			m.do()
+			m.deliver()
 		}
 	}
 }
 
 func (s *sim) connected(a, b *simNode) bool {
 	lo, hi := min(a.slot, b.slot), max(a.slot, b.slot)
-	return !a.dead && !b.dead && s.cutPeer[[2]int{lo, hi}] <= s.step
+	return !a.dead && !b.dead && s.peerCutUntil[[2]int{lo, hi}] <= s.step
 }
 
-func (s *sim) strike(f fault) {
+func (s *sim) injectFault(f fault) {
 	n, peer, until := s.nodes[f.Node%len(s.nodes)], s.nodes[f.Peer%len(s.nodes)], s.step+f.Steps
 	switch f.Kind {
 	case faultCutLog:
-		n.cutLog = until
+		n.logCutUntil = until
 	case faultCutPeer:
-		s.cutPeer[[2]int{min(n.slot, peer.slot), max(n.slot, peer.slot)}] = until
+		s.peerCutUntil[[2]int{min(n.slot, peer.slot), max(n.slot, peer.slot)}] = until
 	case faultPause:
-		n.paused = until
+		n.pausedUntil = until
 	case faultLeave:
 		if !n.table.IsMember(n.evidence.Self) {
-			s.strike(fault{Kind: faultReplace, Node: f.Node})
+			s.injectFault(fault{Kind: faultReplace, Node: f.Node})
 			return
 		}
 		n.leaveAt = s.step
-		n.using = make(map[Shard]bool)
+		n.usedAtLeave = make(map[Shard]bool)
 		for _, shard := range Shards() {
 			a := simTiming.Decide(n.table, n.evidence, shard, s.now(n))
-			n.using[shard] = SlotLimit(n.table, n.evidence, shard, a, simSlots) >= simInFlight
+			n.usedAtLeave[shard] = SlotLimit(n.table, n.evidence, shard, a, simSlots) >= simInFlight
 		}
-		s.nodes[n.slot] = s.boot(n.slot, api.NodeID(fmt.Sprint("r", s.lastInc)))
+		s.nodes[n.slot] = s.boot(n.slot, api.NodeID(fmt.Sprint("r", s.lastIncarnation)))
 		s.leavers = append(s.leavers, n)
 	case faultRestart:
 		n.dead = true
@@ -163,13 +166,13 @@
 	case faultReplace:
 		n.dead, n.diedAt = true, s.step
 		s.dead = append(s.dead, n)
-		s.nodes[n.slot] = s.boot(n.slot, api.NodeID(fmt.Sprint("r", s.lastInc)))
+		s.nodes[n.slot] = s.boot(n.slot, api.NodeID(fmt.Sprint("r", s.lastIncarnation)))
 	}
 }
 
-// read reads the log's end; what it shows is the log when it was answered.
+// read reads the log to the end as of the time when the log answers.
 func (s *sim) read(n *simNode) {
-	if n.reading || n.cutLog > s.step {
+	if n.reading || n.logCutUntil > s.step {
 		return
 	}
 	n.reading = true
@@ -189,13 +192,13 @@
 
 func (s *sim) observe(n *simNode) {
 	n.evidence.Observe(n.table, s.now(n))
-	if s.bad.noWait {
+	if s.disabled.takeoverWait {
 		for shard, own := range n.evidence.Claims {
 			own.ReadBackAt = time.Time{}
 			n.evidence.Claims[shard] = own
 		}
 	}
-	if s.bad.noAckNeeded {
+	if s.disabled.acknowledgements {
 		for node, m := range n.table.Members {
 			m.Joined = 0
 			n.table.Members[node] = m
@@ -203,10 +206,10 @@
 	}
 }
 
-// append proposes an action; it lands soon, late or, rarely, never.
+// append proposes an action. It is appended soon, late or, rarely, never.
 func (s *sim) append(n *simNode, action Action) {
 	name := actionName(action)
-	if p := n.proposing[name]; (p != nil && !p.landed && s.step < p.doneBy) || n.cutLog > s.step {
+	if p := n.proposing[name]; (p != nil && !p.appended && s.step < p.timeoutStep) || n.logCutUntil > s.step {
 		return
 	}
 	if claim, ok := action.(Claim); ok {
@@ -215,16 +218,16 @@
 			n.evidence.PendingClaims[at.Shard] = true
 		}
 	}
-	p := &simEntry{doneBy: s.step + 30}
+	p := &simEntry{timeoutStep: s.step + 30}
 	n.proposing[name] = p
-	most := 5
+	maxDelay := 5
 	if s.random.IntN(10) == 0 {
-		most = 120
+		maxDelay = 120
 	}
-	if s.step < simFaulty && s.random.IntN(20) == 0 {
+	if s.step < simFaultSteps && s.random.IntN(20) == 0 {
 		return
 	}
-	s.send(nil, 0, most, func() { s.log, p.landed = append(s.log, action), true })
+	s.send(nil, 0, maxDelay, func() { s.log, p.appended = append(s.log, action), true })
 }
 
 func (s *sim) heartbeats(n *simNode) {
@@ -234,11 +237,11 @@
 		if p == n || !s.connected(n, p) {
 			continue
 		}
-		if p.paused <= s.step {
-			if now.Sub(n.heard[id]) >= simSilent {
-				n.alive[id] = now
+		if p.pausedUntil <= s.step {
+			if now.Sub(n.lastHeartbeat[id]) >= simSuspicionTime {
+				n.aliveSince[id] = now
 			}
-			n.heard[id] = now
+			n.lastHeartbeat[id] = now
 		}
 		if now.Sub(n.evidence.ConfirmedAt) >= simTiming.HoldDuration/2 && s.step%5 == 0 {
 			s.exchange(n, p, now)
@@ -246,14 +249,14 @@
 	}
 }
 
-// exchange asks p for a grant to n.
+// exchange requests a grant from p to n.
 func (s *sim) exchange(n, p *simNode, started time.Time) {
-	ask := GrantRequest{Process: n.evidence.Self, Version: n.table.Version}
+	req := GrantRequest{Process: n.evidence.Self, Version: n.table.Version}
 	s.send(p, 0, 6, func() {
-		if !s.bad.grantAnyway && !CanGrant(p.table, p.evidence, ask) {
+		if !s.disabled.grantCheck && !CanGrant(p.table, p.evidence, req) {
 			return
 		}
-		simTiming.RecordPromise(p.evidence, ask.Process.Node, s.now(p))
+		simTiming.RecordPromise(p.evidence, req.Process.Node, s.now(p))
 		s.send(n, 0, 6, func() {
 			if g := n.evidence.Grants[p.evidence.Self.Node]; started.After(g.RequestedAt) {
 				n.evidence.Grants[p.evidence.Self.Node] = Grant{From: p.evidence.Self, RequestedAt: started}
@@ -266,12 +269,12 @@
 	now := s.now(n)
 	health := make(map[api.NodeID]Health)
 	for node, m := range n.table.Members {
-		silent := now.Sub(n.heard[m.Process]) >= simSilent
-		health[node] = Health{Process: m.Process, Suspected: silent, AliveFor: now.Sub(n.alive[m.Process])}
+		silent := now.Sub(n.lastHeartbeat[m.Process]) >= simSuspicionTime
+		health[node] = Health{Process: m.Process, Suspected: silent, AliveFor: now.Sub(n.aliveSince[m.Process])}
 	}
 	inFlight := make(map[Shard]int)
-	for shard, using := range n.using {
-		if using && n.runsOn(s.step) {
+	for shard, using := range n.usedAtLeave {
+		if using && n.isDraining(s.step) {
 			inFlight[shard] = simInFlight
 		}
 	}
@@ -280,8 +283,8 @@
 		unlisted[d.evidence.Self.Node] = time.Duration(s.step-d.diedAt) * simStep
 	}
 	for _, l := range s.leavers {
-		if !l.runsOn(s.step) && !l.table.IsMember(l.evidence.Self) {
-			unlisted[l.evidence.Self.Node] = time.Duration(s.step-l.leaveAt-simRunOn) * simStep
+		if !l.isDraining(s.step) && !l.table.IsMember(l.evidence.Self) {
+			unlisted[l.evidence.Self.Node] = time.Duration(s.step-l.leaveAt-simDrainSteps) * simStep
 		}
 	}
 	for _, action := range Plan(now, PlanInput{
@@ -298,31 +301,32 @@
 	}
 }
 
-// runsOn reports whether n, which is leaving, still has requests in flight.
-func (n *simNode) runsOn(step int) bool { return n.leaveAt > 0 && step < n.leaveAt+simRunOn }
+// isDraining reports whether n is leaving and still has requests in flight.
+func (n *simNode) isDraining(step int) bool { return n.leaveAt > 0 && step < n.leaveAt+simDrainSteps }
 
-// leftIn is how many of a slots n still uses in a shard that it gave up.
-func (n *simNode) leftIn(shard Shard, step int) int {
+// slotsInFlight returns how many of an endpoint's slots n still uses in a shard
+// that it has released.
+func (n *simNode) slotsInFlight(shard Shard, step int) int {
 	h := n.table.Holds[shard]
 	lost := slices.ContainsFunc(h.Previous, func(f FormerHolder) bool { return f.Lost && f.Process == n.evidence.Self })
-	if lost || !n.using[shard] || !n.runsOn(step) || h.HeldBy(n.evidence.Self) {
+	if lost || !n.usedAtLeave[shard] || !n.isDraining(step) || h.HeldBy(n.evidence.Self) {
 		return 0
 	}
 	return simInFlight
 }
 
-// all returns every process that runs.
+// all returns every running process.
 func (s *sim) all() []*simNode { return append(slices.Clone(s.nodes), s.leavers...) }
 
-// check returns the first violation, and how many shards somebody uses fully.
+// check returns the first violation, and the number of shards in full use.
 func (s *sim) check(shards []Shard) (violation string, full int) {
 	for _, shard := range shards {
 		holders, sum := 0, 0
 		for _, n := range s.all() {
-			if n.paused > s.step {
+			if n.pausedUntil > s.step {
 				continue
 			}
-			sum += n.leftIn(shard, s.step)
+			sum += n.slotsInFlight(shard, s.step)
 			a := simTiming.Decide(n.table, n.evidence, shard, s.now(n))
 			if a.Access == AccessFull {
 				holders++
@@ -333,7 +337,7 @@
 			return fmt.Sprintf("step %d: %v has %d full holders", s.step, shard, holders), full
 		}
 		if sum > simSlots {
-			return fmt.Sprintf("step %d: %v has limits of %d over %d slots", s.step, shard, sum, simSlots), full
+			return fmt.Sprintf("step %d: slot limits of %v add up to %d, more than %d slots", s.step, shard, sum, simSlots), full
 		}
 		if sum == simSlots && holders == 1 {
 			full++
@@ -342,17 +346,17 @@
 	return "", full
 }
 
-// run plays the faults and then lets the world heal.
+// run injects the faults and then continues without faults.
 func (s *sim) run(faults []fault, shards []Shard) (violation string, full int) {
-	for ; s.step < simFaulty+simHealed; s.step++ {
+	for ; s.step < simFaultSteps+simHealingSteps; s.step++ {
 		for _, f := range faults {
 			if f.At == s.step {
-				s.strike(f)
+				s.injectFault(f)
 			}
 		}
 		s.deliver()
 		for _, n := range s.all() {
-			if n.paused > s.step {
+			if n.pausedUntil > s.step {
 				continue
 			}
 			s.heartbeats(n)
--- a/internal/ownership/status.go
+++ b/internal/ownership/status.go
@@ -6,41 +6,41 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// MemberStatus is one member of the roster as this process sees it.
+// MemberStatus is the status of one member of the roster as seen by this process.
 type MemberStatus struct {
 	Node        api.NodeID      `json:"node"`
 	Incarnation api.Incarnation `json:"incarnation"`
 	Address     string          `json:"address"`
-	Shards      int             `json:"shards"`     // that it holds
-	Suspected   bool            `json:"suspected"`  // silent for too long
-	Challenged  bool            `json:"challenged"` // owes an answer in the log
+	Shards      int             `json:"shards"`     // number of shards that it holds
+	Suspected   bool            `json:"suspected"`  // no heartbeat for longer than the suspicion time
+	Challenged  bool            `json:"challenged"` // has not answered a challenge in the log
 	Leaving     bool            `json:"leaving"`
-	VersionLag  uint64          `json:"behind"` // table versions that it has not acknowledged
+	VersionLag  uint64          `json:"behind"` // number of table versions that it has not acknowledged
 }
 
-// ShardStatus is one shard as this process sees it.
+// ShardStatus is the status of one shard as seen by this process.
 type ShardStatus struct {
 	Shard           string               `json:"shard"`
 	Status          string               `json:"status"` // "free", "held", "released" or "ended"
 	Holder          api.NodeID           `json:"holder,omitempty"`
 	Epoch           api.Epoch            `json:"epoch"`
 	Access          string               `json:"state"`               // what this process may do: "none", "floor" or "full"
-	WaitMs          int64                `json:"wait_ms,omitempty"`   // until its claim may be used
-	Closed          bool                 `json:"closed,omitempty"`    // it is giving the shard up
-	ByGrants        bool                 `json:"by_grants,omitempty"` // confirmed by the members, not by the log
-	FormerHolders   []FormerHolderStatus `json:"left_to,omitempty"`   // earlier holders that may still use slots
+	WaitMs          int64                `json:"wait_ms,omitempty"`   // remaining time until it may use its claim
+	Closed          bool                 `json:"closed,omitempty"`    // it has stopped using the shard in order to release it
+	ByGrants        bool                 `json:"by_grants,omitempty"` // confirmed by grants instead of the log
+	FormerHolders   []FormerHolderStatus `json:"left_to,omitempty"`   // former holders that may still use slots
 	HolderSuspected bool                 `json:"silent,omitempty"`    // the holder is suspected
 	Unlisted        bool                 `json:"unlisted,omitempty"`  // the holder is not in the VM list
 }
 
-// FormerHolderStatus is what an earlier holder may still use.
+// FormerHolderStatus is what a former holder may still use.
 type FormerHolderStatus struct {
 	Node     api.NodeID `json:"node"`
-	Lost     bool       `json:"lost"`      // it lost the shard and may use its floor share
-	InFlight int        `json:"in_flight"` // else: requests at each endpoint
+	Lost     bool       `json:"lost"`      // lost the shard without releasing it; may use its floor share
+	InFlight int        `json:"in_flight"` // otherwise: slots that it may use at each endpoint
 }
 
-// Status is what this process knows of ownership, for operators.
+// Status is what this process knows about ownership, for operators.
 type Status struct {
 	Self         api.NodeID     `json:"self"`
 	Member       bool           `json:"member"`
@@ -54,7 +54,7 @@
 
 var holdStatusNames = [...]string{"free", "held", "released", "ended"}
 
-// String names the status for operators.
+// String returns the name of the status for operators.
 func (s HoldStatus) String() string {
 	if int(s) < len(holdStatusNames) {
 		return holdStatusNames[s]
@@ -62,12 +62,12 @@
 	return "invalid"
 }
 
-// Status returns what this process knows at now.
+// Status returns what this process knows about ownership at now.
 func (c *Controller) Status(now time.Time) Status {
 	health := c.cfg.Health(now)
 	unlisted := c.cfg.Unlisted(now)
 	status := Status{Self: c.cfg.Self.Node, Draining: c.Draining()}
-	c.look(func(t *Table, e *Evidence) {
+	c.readState(func(t *Table, e *Evidence) {
 		status.Member = t.IsMember(e.Self)
 		status.Version = t.Version
 		status.ConfirmedMs = confirmedAge(e, now)
@@ -83,7 +83,8 @@
 	return status
 }
 
-// confirmedAge is the age of the log's confirmation in milliseconds.
+// confirmedAge returns the age of the log's confirmation in milliseconds, or -1
+// if there is none.
 func confirmedAge(e *Evidence, now time.Time) int64 {
 	if e.ConfirmedAt.IsZero() {
 		return -1
@@ -91,7 +92,7 @@
 	return now.Sub(e.ConfirmedAt).Milliseconds()
 }
 
-// memberStatuses describes the roster.
+// memberStatuses returns the status of each member of the roster.
 func memberStatuses(t *Table, health map[api.NodeID]Health) []MemberStatus {
 	shards := make(map[Identity]int)
 	for _, h := range t.Holds {
@@ -115,7 +116,8 @@
 	return members
 }
 
-// shardStatus describes one shard.
+// shardStatus returns the status of s without what the heartbeats and the VM list
+// say about its holder.
 func (c *Controller) shardStatus(t *Table, e *Evidence, s Shard, now time.Time) ShardStatus {
 	h := t.Holds[s]
 	a := c.cfg.Timing.Decide(t, e, s, now)
--- a/internal/ownership/table.go
+++ b/internal/ownership/table.go
@@ -7,50 +7,50 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// HoldStatus says how a shard stands.
+// HoldStatus is the status of a shard.
 type HoldStatus uint8
 
 // Statuses of a shard.
 const (
 	StatusFree     HoldStatus = iota // never held
-	StatusHeld                       // held by Who
-	StatusReleased                   // given up by Who, which had stopped
-	StatusEnded                      // Who left, was expelled or restarted without releasing it
+	StatusHeld                       // held by Process
+	StatusReleased                   // released by Process, which had stopped using it
+	StatusEnded                      // Process left, was expelled or restarted without releasing it
 )
 
-// Hold is what the log says of one shard.
+// Hold is the state of one shard according to the log.
 type Hold struct {
 	_       struct{} `cbor:",toarray"`
 	Process Identity // the latest holder
 	Epoch   api.Epoch
 	Status  HoldStatus
-	// MustWait is set when the holder took the shard over without a release, so
-	// that it waits before the first use.
+	// MustWait is set if the holder took the shard over without a release and
+	// therefore must wait before its first use.
 	MustWait bool
-	// Previous are the earlier holders that may still use slots: those that
+	// Previous holds the former holders that may still use slots: those that
 	// lost the shard, and those that released it with requests in flight.
-	// Those no longer in the roster count for nothing.
+	// Those that are no longer in the roster are ignored.
 	Previous []FormerHolder
 }
 
-// FormerHolder is an earlier holder of a shard.
+// FormerHolder is a former holder of a shard.
 type FormerHolder struct {
 	_        struct{} `cbor:",toarray"`
 	Process  Identity
-	Lost     bool   // it did not release the shard; it may use its floor share
-	Members  uint32 // that divide the slots into that share, as of the loss
-	InFlight uint16 // else: it may use so many slots of each endpoint
+	Lost     bool   // it did not release the shard and may use its floor share
+	Members  uint32 // number of members by which the slots are divided for that share, as of the loss
+	InFlight uint16 // otherwise: number of slots of each endpoint that it may use
 }
 
-// isFormer reports whether who is among the earlier holders that may still
-// use slots.
-func (h Hold) isFormer(who Identity) bool {
-	return slices.ContainsFunc(h.Previous, func(f FormerHolder) bool { return f.Process == who })
+// isFormerHolder reports whether process is a former holder that may still use
+// slots.
+func (h Hold) isFormerHolder(process Identity) bool {
+	return slices.ContainsFunc(h.Previous, func(f FormerHolder) bool { return f.Process == process })
 }
 
-// without returns the earlier holders but who.
-func (h Hold) without(who Identity) []FormerHolder {
-	return slices.DeleteFunc(slices.Clone(h.Previous), func(f FormerHolder) bool { return f.Process == who })
+// previousExcept returns the former holders without process.
+func (h Hold) previousExcept(process Identity) []FormerHolder {
+	return slices.DeleteFunc(slices.Clone(h.Previous), func(f FormerHolder) bool { return f.Process == process })
 }
 
 // Released reports whether the shard may be claimed without a wait.
@@ -58,9 +58,9 @@
 	return h.Status == StatusFree || h.Status == StatusReleased
 }
 
-// HeldBy reports whether who holds the shard now.
-func (h Hold) HeldBy(who Identity) bool {
-	return h.Status == StatusHeld && h.Process == who
+// HeldBy reports whether process holds the shard.
+func (h Hold) HeldBy(process Identity) bool {
+	return h.Status == StatusHeld && h.Process == process
 }
 
 // Member is one entry VM in the roster.
@@ -69,22 +69,22 @@
 	Process Identity
 	Address string // IP:port of its peer service
 	Joined  uint64 // table version of its join
-	Acked   uint64 // table version that it has acknowledged
-	Members uint32 // most members it is known to have seen; divides the slots into its floor
+	Acked   uint64 // latest table version that it has acknowledged
+	Members uint32 // maximum number of members that it is known to have seen; its floor share is the slots divided by it
 	LostAt  uint64 // table version at which a shard was last taken from it
-	// Challenged is the table version at which it was last challenged; it
-	// owes an answer while that is above Acked.
+	// Challenged is the table version at which it was last challenged. The
+	// challenge is unanswered while this is higher than Acked.
 	Challenged uint64
-	Leaving    bool // it has begun to leave
+	Leaving    bool // it has started to leave
 }
 
-// Table is the state that the entries of one data centre's stream make: the
-// roster and the shards. Its methods don't lock.
+// Table is the state that results from the entries of one data centre's stream:
+// the roster and the shards. It is not safe for concurrent use.
 type Table struct {
-	Version uint64 // number of entries accepted
-	Members map[api.NodeID]Member
-	Holds   map[Shard]Hold
-	order   []api.NodeID // of Members, sorted; replaced when it changes
+	Version     uint64 // number of accepted entries
+	Members     map[api.NodeID]Member
+	Holds       map[Shard]Hold
+	sortedNodes []api.NodeID // keys of Members, sorted; replaced, never modified
 }
 
 // NewTable returns an empty table.
@@ -92,38 +92,38 @@
 	return &Table{Members: make(map[api.NodeID]Member), Holds: make(map[Shard]Hold)}
 }
 
-// Clone returns a copy that shares nothing that changes.
+// Clone returns a copy that shares no mutable state with t.
 func (t *Table) Clone() *Table {
-	return &Table{Version: t.Version, Members: maps.Clone(t.Members), Holds: maps.Clone(t.Holds), order: t.order}
+	return &Table{Version: t.Version, Members: maps.Clone(t.Members), Holds: maps.Clone(t.Holds), sortedNodes: t.sortedNodes}
 }
 
-// Roster returns the members ordered by node.
+// Roster returns the members sorted by node.
 func (t *Table) Roster() []Member {
-	roster := make([]Member, len(t.order))
-	for i, node := range t.order {
+	roster := make([]Member, len(t.sortedNodes))
+	for i, node := range t.sortedNodes {
 		roster[i] = t.Members[node]
 	}
 	return roster
 }
 
-// sortMembers renews the order of the members.
+// sortMembers updates sortedNodes.
 func (t *Table) sortMembers() {
-	t.order = slices.Sorted(maps.Keys(t.Members))
+	t.sortedNodes = slices.Sorted(maps.Keys(t.Members))
 }
 
-// IsMember reports whether who, in this very incarnation, is in the roster.
-func (t *Table) IsMember(who Identity) bool {
-	m, ok := t.Members[who.Node]
-	return ok && m.Process == who
+// IsMember reports whether process, with the same incarnation, is in the roster.
+func (t *Table) IsMember(process Identity) bool {
+	m, ok := t.Members[process.Node]
+	return ok && m.Process == process
 }
 
-// Acknowledged reports whether every member has acknowledged the membership
-// of who, so that a holder among them would ask it for a grant.
-func (t *Table) Acknowledged(who Identity) bool {
-	return t.IsMember(who) && t.Members[who.Node].Joined <= t.ackedByAll()
+// Acknowledged reports whether every member has acknowledged the membership of
+// process, so that any holder would ask it for a grant.
+func (t *Table) Acknowledged(process Identity) bool {
+	return t.IsMember(process) && t.Members[process.Node].Joined <= t.ackedByAll()
 }
 
-// ackedByAll is the version that every member has acknowledged. A member
+// ackedByAll returns the version that every member has acknowledged. A member
 // acknowledges its own join by joining.
 func (t *Table) ackedByAll() uint64 {
 	acked := t.Version
@@ -133,7 +133,7 @@
 	return acked
 }
 
-// Apply applies one entry. An error means that it was rejected and changed
+// Apply applies one entry. An error means that the entry was rejected and changed
 // nothing.
 func (t *Table) Apply(a Action) error {
 	switch a := a.(type) {
@@ -156,7 +156,7 @@
 	}
 }
 
-// join adds a member, in place of an earlier incarnation.
+// join adds a member and replaces an earlier incarnation of its node.
 func (t *Table) join(j Join) error {
 	if j.Process.Node == "" || j.Process.Incarnation == 0 {
 		return ErrMalformed
@@ -176,13 +176,13 @@
 	t.Members[j.Process.Node] = Member{
 		Process: j.Process, Address: j.Address,
 		Joined: t.Version, Acked: t.Version, Members: members,
-		LostAt: t.Version, // whatever it held before, under any incarnation
+		LostAt: t.Version, // the loss of whatever an earlier incarnation held
 	}
 	t.sortMembers()
 	return nil
 }
 
-// acknowledge records how far a member has read.
+// acknowledge records the version that a member has applied.
 func (t *Table) acknowledge(a Acknowledge) error {
 	if !t.IsMember(a.Process) {
 		return ErrNotMember
@@ -198,7 +198,8 @@
 	return nil
 }
 
-// challenge makes a member owe an acknowledgement.
+// challenge records a challenge, which the member must answer with an
+// acknowledgement.
 func (t *Table) challenge(c Challenge) error {
 	if !t.IsMember(c.From) || !t.IsMember(c.Process) {
 		return ErrNotMember
@@ -213,29 +214,29 @@
 	return nil
 }
 
-// remove takes who out of the roster and ends its holds.
-func (t *Table) remove(who Identity) error {
-	if !t.IsMember(who) {
+// remove removes process from the roster and ends its holds.
+func (t *Table) remove(process Identity) error {
+	if !t.IsMember(process) {
 		return ErrNotMember
 	}
 	t.Version++
-	delete(t.Members, who.Node)
+	delete(t.Members, process.Node)
 	t.sortMembers()
-	t.endHolds(who)
+	t.endHolds(process)
 	return nil
 }
 
-// endHolds ends the holds of who without a release.
-func (t *Table) endHolds(who Identity) {
+// endHolds ends the holds of process without a release.
+func (t *Table) endHolds(process Identity) {
 	for s, h := range t.Holds {
-		if h.HeldBy(who) {
+		if h.HeldBy(process) {
 			h.Status = StatusEnded
 			t.Holds[s] = h
 		}
 	}
 }
 
-// claim takes every shard of c or none.
+// claim gives the claimant every shard of c or none.
 func (t *Table) claim(c Claim) error {
 	if !t.IsMember(c.Process) {
 		return ErrNotMember
@@ -247,45 +248,45 @@
 	}
 	t.Version++
 	for _, at := range c.Shards {
-		t.take(c.Process, at.Shard)
+		t.assign(c.Process, at.Shard)
 	}
 	return nil
 }
 
-// checkClaim says whether who may claim one shard.
-func (t *Table) checkClaim(who Identity, at ShardAt) error {
+// checkClaim returns an error unless process may claim the shard.
+func (t *Table) checkClaim(process Identity, at ShardAt) error {
 	h := t.Holds[at.Shard]
 	switch {
 	case !at.Shard.Valid():
 		return ErrMalformed
 	case h.Epoch != at.Epoch:
 		return ErrStaleEpoch
-	case h.HeldBy(who):
+	case h.HeldBy(process):
 		return ErrAlreadyHolder
-	case !h.Released() && !t.Acknowledged(who):
+	case !h.Released() && !t.Acknowledged(process):
 		return ErrUnacknowledged
-	case h.Status == StatusHeld && !t.owing(h.Process):
+	case h.Status == StatusHeld && !t.hasOpenChallenge(h.Process):
 		return ErrHolderAlive
 	default:
 		return nil
 	}
 }
 
-// owing reports whether who has left a challenge unanswered.
-func (t *Table) owing(who Identity) bool {
-	m := t.Members[who.Node]
+// hasOpenChallenge reports whether process has an unanswered challenge.
+func (t *Table) hasOpenChallenge(process Identity) bool {
+	m := t.Members[process.Node]
 	return m.Challenged > m.Acked
 }
 
-// take makes who the holder of s at the next epoch. Doubled shards within a
-// claim are taken once.
-func (t *Table) take(who Identity, s Shard) {
+// assign makes process the holder of s at the next epoch. A shard that is listed
+// twice in a claim is assigned once.
+func (t *Table) assign(process Identity, s Shard) {
 	h := t.Holds[s]
-	if h.HeldBy(who) {
+	if h.HeldBy(process) {
 		return
 	}
-	next := Hold{Process: who, Epoch: h.Epoch + 1, Status: StatusHeld, MustWait: !h.Released()}
-	next.Previous = t.leftBehind(h, who)
+	next := Hold{Process: process, Epoch: h.Epoch + 1, Status: StatusHeld, MustWait: !h.Released()}
+	next.Previous = t.formerHoldersAfter(h, process)
 	t.Holds[s] = next
 	if h.Status == StatusHeld {
 		loser := t.Members[h.Process.Node]
@@ -294,17 +295,17 @@
 	}
 }
 
-// leftBehind returns the earlier holders that may use slots after who has
-// taken over h.
-func (t *Table) leftBehind(h Hold, who Identity) []FormerHolder {
-	former := h.without(who)
+// formerHoldersAfter returns the former holders that may use slots after process
+// has taken over the shard of h.
+func (t *Table) formerHoldersAfter(h Hold, process Identity) []FormerHolder {
+	former := h.previousExcept(process)
 	if h.Status == StatusHeld {
 		former = append(former, FormerHolder{Process: h.Process, Lost: true, Members: t.Members[h.Process.Node].Members})
 	}
 	return slices.DeleteFunc(former, func(f FormerHolder) bool { return !t.IsMember(f.Process) })
 }
 
-// release gives up every shard of r or none.
+// release releases every shard of r or none.
 func (t *Table) release(r Release) error {
 	for _, at := range r.Shards {
 		if err := t.checkRelease(r.Process, at); err != nil {
@@ -313,7 +314,7 @@
 	}
 	t.Version++
 	for _, at := range r.Shards {
-		t.giveUp(r.Process, at)
+		t.releaseShard(r.Process, at)
 	}
 	if m := t.Members[r.Process.Node]; r.Leaving && m.Process == r.Process {
 		m.Leaving = true
@@ -322,32 +323,33 @@
 	return nil
 }
 
-// checkRelease says whether who may give up one shard. A former holder can
-// only end its use: its entry may be the second copy of the release, which
-// must not pass for the end of what that release left in flight.
-func (t *Table) checkRelease(who Identity, at ShardRelease) error {
+// checkRelease returns an error unless process may release the shard. A former
+// holder may only report that nothing is in flight any more: an entry with
+// requests in flight may be a duplicate of its original release, which does not
+// mean that these requests have ended.
+func (t *Table) checkRelease(process Identity, at ShardRelease) error {
 	h := t.Holds[at.Shard]
-	ends := h.isFormer(who) && at.InFlight == 0
+	ends := h.isFormerHolder(process) && at.InFlight == 0
 	switch {
 	case h.Epoch != at.Epoch:
 		return ErrStaleEpoch
-	case !h.HeldBy(who) && !ends:
+	case !h.HeldBy(process) && !ends:
 		return ErrNotHolder
 	default:
 		return nil
 	}
 }
 
-// giveUp ends the hold of who in a shard, or else what it had left there.
-func (t *Table) giveUp(who Identity, at ShardRelease) {
+// releaseShard ends the hold of process on a shard, or its former hold.
+func (t *Table) releaseShard(process Identity, at ShardRelease) {
 	h := t.Holds[at.Shard]
-	held := h.HeldBy(who)
-	h.Previous = h.without(who)
+	held := h.HeldBy(process)
+	h.Previous = h.previousExcept(process)
 	if held {
 		h.Status = StatusReleased
 	}
 	if held && at.InFlight > 0 {
-		h.Previous = append(h.Previous, FormerHolder{Process: who, InFlight: at.InFlight})
+		h.Previous = append(h.Previous, FormerHolder{Process: process, InFlight: at.InFlight})
 	}
 	t.Holds[at.Shard] = h
 }
