--- a/internal/entry/bootstrap.go
+++ b/internal/entry/bootstrap.go
@@ -13,35 +13,35 @@
 	"github.com/skylarklock/skylarklock/internal/journal"
 )
 
-// Times of a start without the log.
+// Times of a start while the log is unavailable.
 const (
-	bootstrapAfter = 2 * time.Second // the log gets so long to be read first
-	bootstrapEvery = time.Second     // between two rounds of asking peers
-	bootstrapCall  = 5 * time.Second // of one call
-	// bootstrapPatience is how long a silent peer is waited for, whose state
-	// may lie further on than those of the peers that answer.
-	bootstrapPatience = 30 * time.Second
+	bootstrapDelay       = 2 * time.Second // wait for the log before peers are asked
+	bootstrapInterval    = time.Second     // interval between two rounds of queries
+	bootstrapCallTimeout = 5 * time.Second // timeout of one query
+	// bootstrapPeerTimeout is how long the import waits for peers that don't answer,
+	// because their state may be newer than those of the other peers.
+	bootstrapPeerTimeout = 30 * time.Second
 )
 
-// counterBootstrap is the group of this file's counters.
+// counterBootstrap is the counter group of the bootstrap.
 const counterBootstrap = "bootstrap"
 
-// StateQuery asks a peer for its state of a stream.
+// StateQuery requests a peer's state of a stream.
 type StateQuery struct {
 	Stream string
-	// After is the position that the asker has; a peer that is no further
-	// answers without data.
+	// After is the position of the requester, or zero. A peer whose position is
+	// not higher answers without data.
 	After uint64
 }
 
-// StateReply is a peer's state of a stream. It is empty when the peer doesn't
-// follow the stream, has no complete state, or is no further than the asker.
+// StateReply is a peer's state of a stream. It is empty if the peer doesn't follow
+// the stream, has no complete state, or has no newer state than the requester.
 type StateReply struct {
 	State journal.State
 }
 
-// States answers peers that start while the log can't be read. Its methods
-// are called by net/rpc.
+// States serves the local state to peers that start while the log can't be read.
+// Its methods are called by net/rpc.
 type States struct {
 	replicas map[string]*journal.Replica
 }
@@ -52,7 +52,7 @@
 	methodState   = statesService + ".Get"
 )
 
-// Get returns the state of a stream.
+// Get returns the local state of a stream.
 func (s *States) Get(query *StateQuery, reply *StateReply) error {
 	replica, ok := s.replicas[query.Stream]
 	if !ok || uint64(replica.Applied()) <= query.After && query.After > 0 {
@@ -69,10 +69,10 @@
 	return nil
 }
 
-// bootstrap takes the state of streams that the log doesn't give from peers,
-// the highest position first, until this node is ready.
+// bootstrap imports from peers the state of each stream that is not ready, until
+// ctx ends.
 func (n *Node) bootstrap(ctx context.Context) error {
-	wait := bootstrapAfter
+	wait := bootstrapDelay
 	started := time.Now()
 	for {
 		select {
@@ -80,16 +80,17 @@
 			return ctx.Err()
 		case <-time.After(wait):
 		}
-		wait = bootstrapEvery
+		wait = bootstrapInterval
 		for stream, replica := range n.replicas() {
 			if !replica.Ready() {
-				n.takeState(ctx, stream, replica, time.Since(started) < bootstrapPatience)
+				n.importPeerState(ctx, stream, replica, time.Since(started) < bootstrapPeerTimeout)
 			}
 		}
 	}
 }
 
-// replicas returns the streams that this node follows, by name.
+// replicas returns the replicas of the streams that this node follows, by stream
+// name.
 func (n *Node) replicas() map[string]*journal.Replica {
 	return map[string]*journal.Replica{
 		ConfigStream:                            n.streams.config,
@@ -97,26 +98,26 @@
 	}
 }
 
-// takeState asks every known peer and imports the furthest state that is
-// sound. With all set it takes none unless every peer answered.
-func (n *Node) takeState(ctx context.Context, stream string, replica *journal.Replica, all bool) {
+// importPeerState queries every known peer and imports the newest valid state. If
+// all is set, it imports nothing unless every peer has answered.
+func (n *Node) importPeerState(ctx context.Context, stream string, replica *journal.Replica, all bool) {
 	var states []journal.State
-	silent := 0
+	unanswered := 0
 	for _, address := range n.bootstrapPeers() {
 		var reply StateReply
-		callCtx, cancel := context.WithTimeout(ctx, bootstrapCall)
-		err := n.handovers.Call(callCtx, address, methodState, &StateQuery{Stream: stream}, &reply)
+		callCtx, cancel := context.WithTimeout(ctx, bootstrapCallTimeout)
+		err := n.handoverClient.Call(callCtx, address, methodState, &StateQuery{Stream: stream}, &reply)
 		cancel()
 		if err != nil {
 			n.counters.Inc(counterBootstrap, api.ReasonPeerUnreachable)
-			silent++
+			unanswered++
 			continue
 		}
 		if reply.State.Stream == stream {
 			states = append(states, reply.State)
 		}
 	}
-	if all && silent > 0 {
+	if all && unanswered > 0 {
 		return
 	}
 	slices.SortFunc(states, func(a, b journal.State) int { return cmp.Compare(b.Position, a.Position) })
@@ -132,7 +133,8 @@
 	}
 }
 
-// bootstrapPeers returns the peers known from the settings and by gossip.
+// bootstrapPeers returns the addresses of the peers known from the settings and
+// from gossip.
 func (n *Node) bootstrapPeers() []string {
 	addresses := slices.Concat(n.settings.Peers, n.members.EntryAddresses(n.settings.DataCentre))
 	slices.Sort(addresses)
--- a/internal/entry/bootstrap_test.go
+++ b/internal/entry/bootstrap_test.go
@@ -15,8 +15,9 @@
 	"github.com/skylarklock/skylarklock/internal/standin/site"
 )
 
-// An entry VM that starts while the log is down takes the configuration in
-// force from a peer, is not ready before, and serves by it.
+// TestStartWithLogDownTakesStateFromPeers checks that an entry VM that starts
+// while the log is down imports the configuration in force from a peer, and is
+// not ready before that.
 func TestStartWithLogDownTakesStateFromPeers(t *testing.T) {
 	t.Parallel()
 	s, err := site.Start(site.Config{
@@ -32,10 +33,10 @@
 		t.Fatal(err)
 	}
 	for _, e := range entries {
-		e.DrainDeadline = settings.Duration(time.Second) // nothing can be handed on without the log
+		e.DrainDeadline = settings.Duration(time.Second) // shards can't be released without the log
 	}
-	old := startForTest(t, entries[0])
-	awaitForTest(t, "the first entry VM to be ready", func() bool { return old.Status().Ready })
+	old := startNode(t, entries[0])
+	waitFor(t, "the first entry VM to be ready", func() bool { return old.Status().Ready })
 	record := `{"kind":"service","name":"torquebench","schema_version":2,"based_on":0,"spec":{"timeout_ms":4321}}`
 	resp, err := http.Post("http://"+entries[0].Listen.Operators+"/v1/records", "application/json", strings.NewReader(record))
 	if err != nil || resp.StatusCode != http.StatusOK {
@@ -44,19 +45,19 @@
 	resp.Body.Close()
 
 	s.Log.SetFaults(logserver.Faults{Down: true})
-	late := startForTest(t, entries[1])
+	late := startNode(t, entries[1])
 	if late.Status().Ready {
-		t.Fatal("ready without any state")
+		t.Fatal("the late entry VM is ready without any state")
 	}
-	awaitForTest(t, "the late entry VM to be ready", func() bool { return late.Status().Ready })
-	spec, ok := late.streams.configs.Service("torquebench")
+	waitFor(t, "the late entry VM to be ready", func() bool { return late.Status().Ready })
+	spec, ok := late.streams.configState.Service("torquebench")
 	if !ok || spec.TimeoutMs != 4321 || late.Status().Revision != old.Status().Revision {
-		t.Fatalf("state taken: %+v, revision %d", spec, late.Status().Revision)
+		t.Fatalf("imported state: spec %+v, revision %d", spec, late.Status().Revision)
 	}
 }
 
-// startForTest runs a node until the test ends.
-func startForTest(t *testing.T, s *settings.Settings) *Node {
+// startNode runs a node until the test ends.
+func startNode(t *testing.T, s *settings.Settings) *Node {
 	t.Helper()
 	log, err := logging.New(io.Discard, "error")
 	if err != nil {
@@ -79,13 +80,14 @@
 	return n
 }
 
-// awaitForTest waits with a patience that no verdict depends on.
-func awaitForTest(t *testing.T, what string, done func() bool) {
+// waitFor waits until done returns true. The timeout is so long that the result
+// doesn't depend on the speed of the machine.
+func waitFor(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if done() {
 			return
 		}
 	}
-	t.Fatalf("waited in vain for %s", what)
+	t.Fatalf("timed out waiting for %s", what)
 }
--- a/internal/entry/cluster_test.go
+++ b/internal/entry/cluster_test.go
@@ -28,27 +28,31 @@
 	"github.com/skylarklock/skylarklock/internal/standin/site"
 )
 
-// deadline bounds every wait. It is far beyond what any of them takes, so
-// that no verdict depends on the machine's speed.
-const deadline = 60 * time.Second
+// waitTimeout is the timeout of every wait. It is so long that no result depends on
+// the speed of the machine.
+const waitTimeout = 60 * time.Second
 
-// serviceTime is the mean time that a sound executor takes.
-const serviceTime = 5 * time.Millisecond
+// meanServiceTime is the mean service time of an executor without faults.
+const meanServiceTime = 5 * time.Millisecond
 
-// requestTimeout is what callers ask for. It is longer than the hold.
-const requestTimeout = 2 * time.Second
+// defaultRequestTimeout is the timeout of callers' requests. It is longer than the
+// hold duration.
+const defaultRequestTimeout = 2 * time.Second
 
-// faultTime is how long a fault lasts at least: longer than the hold and the
-// callers' patience together, so that nothing sits it out.
-const faultTime = 3 * time.Second
+// minFaultDuration is the minimum duration of a fault. It is longer than the hold
+// duration and the callers' timeout together, so that none of them covers a whole
+// fault.
+const minFaultDuration = 3 * time.Second
 
-// service is the service that is called in all scenarios.
-const service = "torquebench"
+// serviceName is the name of the service that all tests call.
+const serviceName = "torquebench"
 
-// leavingBound is the longest time of new work after a leaving is announced.
-const leavingBound = 5 * time.Second
+// maxWorkAfterLeaving is the maximum time for which new work may start after a VM or
+// endpoint was announced as leaving.
+const maxWorkAfterLeaving = 5 * time.Second
 
-// logLevel of the nodes; the environment variable LOG_LEVEL sets another.
+// logLevel returns the log level of the nodes, from the environment variable
+// LOG_LEVEL if it is set.
 func logLevel() string {
 	if level := os.Getenv("LOG_LEVEL"); level != "" {
 		return level
@@ -56,7 +60,7 @@
 	return "error"
 }
 
-// process is one run of an entry VM.
+// process is one incarnation of an entry VM.
 type process struct {
 	*Node
 	settings *settings.Settings
@@ -65,59 +69,59 @@
 	dead     atomic.Bool
 }
 
-func (p *process) callers() string { return p.settings.Listen.Callers }
+func (p *process) callersAddress() string { return p.settings.Listen.Callers }
 
-// cluster is a running site with its entry VMs and the record of the run.
+// cluster is a running site with its entry VMs and the recorded history.
 type cluster struct {
-	t     *testing.T
-	site  *site.Site
-	net   *network
-	rec   *history.Recorder
-	mu    sync.Mutex // guards nodes
-	nodes []*process
-	log   *logrus.Logger
-	http  *http.Client
+	t        *testing.T
+	site     *site.Site
+	net      *network
+	recorder *history.Recorder
+	mu       sync.Mutex // guards nodes
+	nodes    []*process
+	log      *logrus.Logger
+	http     *http.Client
 
-	rate    float64       // requests a second of each kind in traffic
-	timeout time.Duration // of each request
+	requestRate    float64       // requests a second of each kind in traffic
+	requestTimeout time.Duration // of each request
 }
 
-// startCluster starts two data centres with two entry VMs each, and waits
-// until every one serves.
+// startCluster starts two data centres with two entry VMs each and waits until all
+// entry VMs serve requests.
 func startCluster(t *testing.T) *cluster {
 	t.Helper()
 	t.Parallel()
 	s, err := site.Start(site.Config{
 		DataCentres: []api.DataCentre{"bne", "cas"}, VMs: 4, VMsPerRack: 2,
 		Capacity: api.Resources{MilliCPU: 4000, MemoryMB: 4096},
-		Services: []site.Service{{Name: service, Executors: 4, Slots: 8, Connections: 60, ServiceTime: serviceTime, Spread: 0.5}},
+		Services: []site.Service{{Name: serviceName, Executors: 4, Slots: 8, Connections: 60, ServiceTime: meanServiceTime, Spread: 0.5}},
 		Seed:     1,
 	})
 	must(t, err)
 	log, err := logging.New(t.Output(), logLevel())
 	must(t, err)
-	c := &cluster{t: t, site: s, net: newNetwork(), rec: history.NewRecorder(), log: log, http: &http.Client{Timeout: deadline},
-		rate: 30, timeout: requestTimeout}
+	c := &cluster{t: t, site: s, net: newNetwork(), recorder: history.NewRecorder(), log: log, http: &http.Client{Timeout: waitTimeout},
+		requestRate: 30, requestTimeout: defaultRequestTimeout}
 	t.Cleanup(c.close)
 	all, err := s.Entries(2)
 	must(t, err)
-	c.addresses(all)
+	c.registerAddresses(all)
 	for _, e := range all {
 		e.Hold.Hold, e.Hold.Lease, e.Hold.Heartbeat = ms(600), ms(2000), ms(100)
 		e.Log.AppendTimeout, e.Log.ReadTimeout, e.Log.ReadWait = ms(500), ms(500), ms(200)
 		e.VMList.Interval, e.VMList.Timeout = ms(200), ms(500)
-		e.ReadinessDelay, e.DrainDeadline = ms(200), settings.Duration(deadline)
+		e.ReadinessDelay, e.DrainDeadline = ms(200), settings.Duration(waitTimeout)
 		must(t, e.Validate())
 		c.nodes = append(c.nodes, c.run(e))
 	}
-	c.publish(c.nodes[0], "service", service, 0, `{"max_attempts":3,"queue_ms":1000}`)
+	c.publish(c.nodes[0], "service", serviceName, 0, `{"max_attempts":3,"queue_ms":1000}`)
 	c.awaitServing(c.nodes...)
 	return c
 }
 
-// addresses names the peers' addresses in the network and makes all of them
-// seeds.
-func (c *cluster) addresses(all []*settings.Settings) {
+// registerAddresses registers the peers' addresses with the network and makes all
+// of them seeds.
+func (c *cluster) registerAddresses(all []*settings.Settings) {
 	var seeds []string
 	for _, e := range all {
 		c.net.names[e.AdvertisePeer] = e.NodeID
@@ -136,7 +140,7 @@
 	logs, err := httplog.NewClient(httplog.Config{BaseURL: s.Log.URLs[0]})
 	must(c.t, err)
 	c.net.revive(s.NodeID)
-	n, err := NewWithAdapters(s, c.log, c.net.outside(s.NodeID, Adapters{
+	n, err := NewWithAdapters(s, c.log, c.net.wrap(s.NodeID, Adapters{
 		Log: logs, VMList: httpvmlist.New(s.VMList.URL), Worker: httpworker.New(workerDialTimeout),
 		Endpoint: httpendpoint.New(httpendpoint.Config{}),
 	}))
@@ -147,7 +151,7 @@
 	return p
 }
 
-// kill ends a process at once: nothing more of it gets out.
+// kill stops a process immediately. It can send nothing afterwards.
 func (c *cluster) kill(p *process) {
 	c.net.setDead(p.settings.NodeID)
 	p.Abort()
@@ -157,7 +161,7 @@
 	p.dead.Store(true)
 }
 
-// replace starts a new process in the place of a dead one.
+// replace starts a new process with the settings of a dead one.
 func (c *cluster) replace(p *process) *process {
 	next := c.run(p.settings)
 	c.mu.Lock()
@@ -166,8 +170,8 @@
 	return next
 }
 
-// leave shuts a process down gracefully and waits until it has ended.
-func (c *cluster) leave(p *process) {
+// shutDown shuts a process down gracefully and waits until it has stopped.
+func (c *cluster) shutDown(p *process) {
 	p.stop()
 	if err := <-p.done; err != nil {
 		c.t.Errorf("%s: %v", p.settings.NodeID, err)
@@ -186,23 +190,23 @@
 	c.site.Close()
 }
 
-// live returns the processes that have not been ended.
-func (c *cluster) live() []*process {
+// liveProcesses returns the processes that have not been stopped.
+func (c *cluster) liveProcesses() []*process {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(c.nodes), func(p *process) bool { return p.dead.Load() })
 }
 
-// finish ends every process gracefully and holds the record against what must
-// always hold. Nothing is running any more then.
-func (c *cluster) finish() {
+// stopAndCheck shuts every process down gracefully and checks the recorded history
+// for violations.
+func (c *cluster) stopAndCheck() {
 	c.t.Helper()
 	var stops sync.WaitGroup
-	for _, p := range c.live() {
-		stops.Go(func() { c.leave(p) })
+	for _, p := range c.liveProcesses() {
+		stops.Go(func() { c.shutDown(p) })
 	}
 	stops.Wait()
-	h := c.rec.History()
+	h := c.recorder.History()
 	for _, vm := range c.site.VMs {
 		h.Workers = append(h.Workers, c.site.Workers.VM(vm.ID).Record())
 		for _, ep := range vm.Endpoints {
@@ -210,22 +214,22 @@
 		}
 	}
 	h.End = time.Now()
-	for _, v := range history.Check(h, history.Limits{MaxConnections: 60, LeavingGracePeriod: leavingBound, MaxAttempts: 3}) {
+	for _, v := range history.Check(h, history.Limits{MaxConnections: 60, LeavingGracePeriod: maxWorkAfterLeaving, MaxAttempts: 3}) {
 		c.t.Error(v)
 	}
 }
 
-// await waits until ok returns true.
+// await waits until ok returns true, and otherwise fails the test.
 func (c *cluster) await(what string, ok func() bool) {
 	c.t.Helper()
-	if !c.within(ok) {
-		c.t.Fatalf("waited in vain: %s", what)
+	if !c.poll(ok) {
+		c.t.Fatalf("timed out waiting for: %s", what)
 	}
 }
 
-// within reports whether ok returns true before the deadline.
-func (c *cluster) within(ok func() bool) bool {
-	for end := time.Now().Add(deadline); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+// poll reports whether ok returns true before the timeout.
+func (c *cluster) poll(ok func() bool) bool {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if ok() {
 			return true
 		}
@@ -233,8 +237,8 @@
 	return false
 }
 
-// do sends one request to a node and returns its answer, or an error when
-// there is no whole answer.
+// do sends one request to a node and returns its answer, or an error if there is
+// no complete answer.
 func (c *cluster) do(method, url, body string) (status int, outcome api.Outcome, answer []byte, err error) {
 	req, err := http.NewRequest(method, url, bytes.NewReader([]byte(body)))
 	must(c.t, err)
@@ -248,12 +252,12 @@
 	return resp.StatusCode, api.Outcome(resp.Header.Get(api.HeaderOutcome)), answer, err
 }
 
-// publish publishes a record through p until its outcome is known, and records
-// the publication.
+// publish repeats the publication of a record through p until its outcome is known
+// or p is dead, and records the publication.
 func (c *cluster) publish(p *process, kind api.Kind, name string, basedOn api.Revision, spec string) api.PublishAnswer {
 	body, err := json.Marshal(api.Record{Kind: kind, Name: name, SchemaVersion: schema.LatestVersion(kind), BasedOn: basedOn, Spec: json.RawMessage(spec)})
 	must(c.t, err)
-	done := history.Publication{Entry: string(p.settings.NodeID), Key: string(kind) + "/" + name, Value: spec, BasedOn: basedOn, Start: c.rec.Now()}
+	done := history.Publication{Entry: string(p.settings.NodeID), Key: string(kind) + "/" + name, Value: spec, BasedOn: basedOn, Start: c.recorder.Now()}
 	c.await("publication of "+done.Key, func() bool {
 		_, _, answer, err := c.do(http.MethodPost, "http://"+p.settings.Listen.Operators+"/v1/records", string(body))
 		if err != nil || json.Unmarshal(answer, &done.Answer) != nil {
@@ -261,8 +265,8 @@
 		}
 		return done.Answer.Outcome == api.PublishAccepted || done.Answer.Outcome == api.PublishConflict
 	})
-	done.End = c.rec.Now()
-	c.rec.AddPublication(done)
+	done.End = c.recorder.Now()
+	c.recorder.AddPublication(done)
 	return done.Answer
 }
 
--- a/internal/entry/together_test.go
+++ b/internal/entry/combined_faults_test.go
@@ -12,24 +12,25 @@
 	"github.com/skylarklock/skylarklock/internal/standin/worker"
 )
 
-// rounds of two faults at a time.
-const rounds = 3
+// faultRounds is the number of rounds, each with two faults at a time.
+const faultRounds = 3
 
-// fault makes one fault, of things drawn at random, and returns what ends it.
+// fault causes one fault with random parameters and returns the function that ends
+// it.
 type fault func(c *cluster, r *rand.Rand) (end func())
 
 var faults = []fault{
 	func(c *cluster, r *rand.Rand) func() {
-		p := c.live()[r.IntN(len(c.live()))]
+		p := c.liveProcesses()[r.IntN(len(c.liveProcesses()))]
 		c.kill(p)
 		return func() { c.replace(p) }
 	},
 	func(c *cluster, r *rand.Rand) func() {
-		c.net.setFrozen(c.live()[r.IntN(len(c.live()))].settings.NodeID, true)
+		c.net.setFrozen(c.liveProcesses()[r.IntN(len(c.liveProcesses()))].settings.NodeID, true)
 		return c.net.heal
 	},
 	func(c *cluster, r *rand.Rand) func() {
-		names := []api.NodeID{logName, workersName, executorsName}
+		names := []api.NodeID{logNode, workersNode, executorsNode}
 		for _, p := range c.nodes {
 			names = append(names, p.settings.NodeID)
 		}
@@ -50,13 +51,13 @@
 		return func() { vm.SetFaults(worker.Faults{}); vm.Restart() }
 	},
 	func(c *cluster, r *rand.Rand) func() {
-		c.faulty(c.site.VMs[r.IntN(3):][:3], executor.Faults{FailRate: 0.3, BreakHalfway: r.IntN(2) == 0, CloseAfterRead: r.IntN(2) == 0, Hang: r.IntN(4) == 0})
-		return func() { c.faulty(c.site.VMs, executor.Faults{}) }
+		c.setExecutorFaults(c.site.VMs[r.IntN(3):][:3], executor.Faults{FailRate: 0.3, BreakHalfway: r.IntN(2) == 0, CloseAfterRead: r.IntN(2) == 0, Hang: r.IntN(4) == 0})
+		return func() { c.setExecutorFaults(c.site.VMs, executor.Faults{}) }
 	},
 	func(c *cluster, r *rand.Rand) func() {
-		p := c.live()[r.IntN(len(c.live()))]
+		p := c.liveProcesses()[r.IntN(len(c.liveProcesses()))]
 		p.stop()
-		return func() { c.leave(p); c.replace(p) }
+		return func() { c.shutDown(p); c.replace(p) }
 	},
 	func(c *cluster, r *rand.Rand) func() {
 		c.site.List.SetDown(true)
@@ -64,16 +65,16 @@
 	},
 }
 
-// TestCombinedFaults: faults drawn from a seed come two at a time, under
-// requests and jobs.
+// TestCombinedFaults causes random faults, two at a time, while requests and jobs
+// run.
 func TestCombinedFaults(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			c := startCluster(t)
 			r := rand.New(rand.NewPCG(seed, 0))
-			var jobs []*work
+			var jobs []*jobSet
 			c.traffic(c.nodes, func() {
-				for round := range rounds {
+				for round := range faultRounds {
 					jobs = append(jobs, c.submit("bne", fmt.Sprintf("round%d", round), 3, 3*runTime), c.submit("cas", fmt.Sprintf("round%d", round), 1, runTime))
 					var ends []func()
 					for _, i := range r.Perm(len(faults))[:2] {
@@ -81,18 +82,18 @@
 						ends = append(ends, faults[i](c, r))
 					}
 					start := time.Now()
-					c.await("the faults have lasted", func() bool { return time.Since(start) > faultTime })
+					c.await("the faults to last long enough", func() bool { return time.Since(start) > minFaultDuration })
 					for _, end := range ends {
 						end()
 					}
 				}
-				c.answered(50)
+				c.waitAnswered(50)
 			})
-			c.awaitServing(c.live()...)
+			c.awaitServing(c.liveProcesses()...)
 			for _, w := range jobs {
-				w.finish()
+				w.waitAndRecord()
 			}
-			c.finish()
+			c.stopAndCheck()
 		})
 	}
 }
--- a/internal/entry/cellparts.go
+++ b/internal/entry/controllers.go
@@ -21,8 +21,8 @@
 	"github.com/skylarklock/skylarklock/internal/schema"
 )
 
-// cellParts are the controllers of VMs, tasks and endpoints.
-type cellParts struct {
+// cellControllers holds the controllers of VMs, tasks and endpoints.
+type cellControllers struct {
 	vms       *vms.Controller
 	worker    *worker.Controller
 	learning  *learning.Controller
@@ -32,7 +32,7 @@
 	jobs      *jobs.Controller
 }
 
-// cellAuthority tells the controllers whether this node holds the placement
+// cellAuthority reports to the controllers whether this node holds the placement
 // shard.
 type cellAuthority struct {
 	owner *ownership.Controller
@@ -43,44 +43,43 @@
 	return a.owner.CellAuthority(now)
 }
 
-// newCellParts makes and connects the controllers of a node.
-func newCellParts(n *Node) *cellParts {
+// newCellControllers creates and connects the controllers of a node.
+func newCellControllers(n *Node) *cellControllers {
 	s, st := n.settings, n.streams
 	auth := cellAuthority{owner: n.owner}
 	params := lease.Params{Lease: s.Hold.Lease.Std(), Hold: s.Hold.Hold.Std(), Drift: s.Hold.Drift}
-	p := new(cellParts)
+	p := new(cellControllers)
 	vmsConfig := vms.DefaultConfig(s.DataCentre)
 	vmsConfig.Poll = s.VMList.Interval.Std()
 	vmsConfig.Timeout = s.VMList.Timeout.Std()
-	p.vms = vms.New(vmsConfig, n.outside.VMList, n.router.Contacts, st.tasks, st.cell, auth, n.counters, n.log, time.Now)
-	p.learning = learning.New(st.configs.Policy, st.tasks, st.cell, auth, n.counters, time.Now)
-	p.worker = worker.New(worker.DefaultConfig(params), st.tasks, st.cell, n.outside.Worker, p.vms, auth, p.learning, n.counters, n.log, time.Now)
-	view := fleet.New(s.DataCentre, st.tasks, p.vms, p.worker, p.learning)
-	p.placement = placement.New(placement.DefaultConfig(s.DataCentre), n.newWorld, st.tasks, st.cell, auth, view, p.learning, n.counters, n.log, time.Now)
-	p.recovery = recovery.New(recovery.DefaultConfig(), st.tasks, st.cell, auth, view, n.counters, n.log, time.Now)
-	p.endpoints = endpoints.New(p.vms, n.owner, n.router, n.outside.Endpoint, time.Now)
+	p.vms = vms.New(vmsConfig, n.adapters.VMList, n.router.Contacts, st.cellState, st.cell, auth, n.counters, n.log, time.Now)
+	p.learning = learning.New(st.configState.Policy, st.cellState, st.cell, auth, n.counters, time.Now)
+	p.worker = worker.New(worker.DefaultConfig(params), st.cellState, st.cell, n.adapters.Worker, p.vms, auth, p.learning, n.counters, n.log, time.Now)
+	view := fleet.New(s.DataCentre, st.cellState, p.vms, p.worker, p.learning)
+	p.placement = placement.New(placement.DefaultConfig(s.DataCentre), n.newSchedulerState, st.cellState, st.cell, auth, view, p.learning, n.counters, n.log, time.Now)
+	p.recovery = recovery.New(recovery.DefaultConfig(), st.cellState, st.cell, auth, view, n.counters, n.log, time.Now)
+	p.endpoints = endpoints.New(p.vms, n.owner, n.router, n.adapters.Endpoint, time.Now)
 	p.jobs = jobs.New(jobs.Config{
 		DataCentre: s.DataCentre, DataCentres: s.DataCentres, Home: filter.HomeOf,
-	}, st.configs, st.tasks, st.cell, config.NewPublisher(st.configs, st.config), auth, n.counters, time.Now)
+	}, st.configState, st.cellState, st.cell, config.NewPublisher(st.configState, st.config), auth, n.counters, time.Now)
 	return p
 }
 
-// loops returns what runs until the node stops.
-func (p *cellParts) loops() []func(context.Context) error {
+// runFuncs returns the functions that run until the node stops.
+func (p *cellControllers) runFuncs() []func(context.Context) error {
 	return []func(context.Context) error{
 		p.vms.Run, p.worker.Run, p.learning.Run, p.placement.Run, p.recovery.Run, p.endpoints.Run, p.jobs.Run,
 	}
 }
 
-// jobs returns what takes callers' jobs.
-func (n *Node) callerJobs() callerJobs {
-	return callerJobs{machine: n.streams.tasks, proposer: n.streams.cell, complete: completeJob, now: time.Now}
+// jobService returns the service that handles callers' jobs.
+func (n *Node) jobService() jobService {
+	return jobService{cellState: n.streams.cellState, proposer: n.streams.cell, validate: validateJob, now: time.Now}
 }
 
-// completeJob checks a caller's job as if it had been published as a record,
-// and fills in the defaults where a field is zero. The error names every
-// finding.
-func completeJob(spec api.JobSpec) (api.JobSpec, error) {
+// validateJob validates a caller's job like a published record and sets zero
+// fields to their defaults. The error lists every finding.
+func validateJob(spec api.JobSpec) (api.JobSpec, error) {
 	kind := api.KindBatchJob
 	if spec.Class == api.ClassGang {
 		kind = api.KindGangJob
@@ -105,20 +104,21 @@
 	return *decoded.Job, nil
 }
 
-// inFlight returns the most requests in flight at any endpoint of a shard.
-// Placement needs none: what the former holder told a worker is bounded by
-// the lease. A node that leaves counts at least one until its callers have
-// their answers, so that it stays in the roster, where others ask it for them.
-func (n *Node) inFlight(shard ownership.Shard) int {
-	most := n.router.MaxInFlight(n.cell.endpoints.Of(shard))
-	if shard != ownership.Cell && n.owner.Draining() && !n.answered.Load() {
-		return max(most, 1)
+// maxInFlight returns the maximum number of requests in flight at any endpoint of
+// a shard. The placement shard needs no count: the lease limits how long orders of
+// the former holder are in effect. A leaving node counts at least one until its
+// callers have their answers, so that it stays in the roster, where other members
+// query it for these answers.
+func (n *Node) maxInFlight(shard ownership.Shard) int {
+	inFlight := n.router.MaxInFlight(n.cell.endpoints.Of(shard))
+	if shard != ownership.Cell && n.owner.Draining() && !n.callersAnswered.Load() {
+		return max(inFlight, 1)
 	}
-	return most
+	return inFlight
 }
 
-// unlisted tells for how long the platform's list has lacked each entry VM
-// that it lacks; entry VMs are listed by their node ID.
+// unlisted returns how long each entry VM that is missing from the platform's VM
+// list has been missing. The list identifies entry VMs by their node ID.
 func (n *Node) unlisted(now time.Time) map[api.NodeID]time.Duration {
 	nodes := make(map[api.NodeID]time.Duration)
 	for id, absent := range n.cell.vms.Absent(now) {
--- a/internal/entry/doc.go
+++ b/internal/entry/doc.go
@@ -1,11 +1,10 @@
-// Package entry puts the process of an entry VM together: it makes the parts,
-// connects each to what it consumes, runs them and stops them in order.
+// Package entry assembles the process of an entry VM: it creates the components,
+// connects them, runs them and stops them in order. It makes no scheduling or
+// routing decisions itself. The components are:
 //
-// Nothing is decided here. The parts:
-//
-//	streams   the config stream and the data centre's stream, with their machines
-//	peers     heartbeats and hand-overs between entry VMs
-//	requests  from the callers' listener through the filter chain to endpoints
-//	cell      from a submitted job through placement to workers
+//	streams   the config stream and the data centre's stream, with their state machines
+//	peers     heartbeats and request handovers between entry VMs
+//	requests  the path from the callers' listener through the filter chain to endpoints
+//	cell      the path from a submitted job through placement to workers
 //	operators the operators' listener
 package entry
--- a/internal/entry/faults_test.go
+++ b/internal/entry/faults_test.go
@@ -17,193 +17,193 @@
 	"github.com/skylarklock/skylarklock/internal/standin/logserver"
 )
 
-// TestEntryKilled: an entry VM dies under load; another takes its place.
+// TestEntryKilled kills an entry VM under load and replaces it.
 func TestEntryKilled(t *testing.T) {
 	c := startCluster(t)
 	victim := c.nodes[1]
 	c.traffic(c.nodes, func() {
-		c.answered(50)
+		c.waitAnswered(50)
 		c.kill(victim)
-		c.outlasted()
+		c.waitFaultDuration()
 		c.replace(victim)
-		c.answered(50)
+		c.waitAnswered(50)
 	})
-	c.awaitServing(c.live()...)
-	c.finish()
+	c.awaitServing(c.liveProcesses()...)
+	c.stopAndCheck()
 }
 
-// TestEntryFrozen: an entry VM stops for a while and goes on with what it had
-// decided.
+// TestEntryFrozen freezes an entry VM under load. After the freeze it continues
+// with what it had decided before.
 func TestEntryFrozen(t *testing.T) {
 	c := startCluster(t)
 	c.traffic(c.nodes, func() {
 		for _, p := range c.nodes[:2] {
-			c.answered(50)
+			c.waitAnswered(50)
 			c.net.setFrozen(p.settings.NodeID, true)
-			c.outlasted()
+			c.waitFaultDuration()
 			c.net.heal()
 		}
-		c.answered(50)
+		c.waitAnswered(50)
 	})
-	c.awaitServing(c.live()...)
-	c.finish()
+	c.awaitServing(c.liveProcesses()...)
+	c.stopAndCheck()
 }
 
-// TestGracefulStopUnderLoad: no request is cut off when entry VMs leave, one
-// after another, while they serve requests that take longer than the grace of
-// the parts that stop last. A balancer asks for readiness.
+// TestGracefulStopUnderLoad checks that no request is aborted when entry VMs leave
+// one after another while they serve requests that take longer than
+// shutdownGrace. A load balancer follows their readiness.
 func TestGracefulStopUnderLoad(t *testing.T) {
 	c := startCluster(t)
-	c.rate, c.timeout = 4, 20*time.Second
+	c.requestRate, c.requestTimeout = 4, 20*time.Second
 	var ready atomic.Pointer[[]string]
-	var turn atomic.Uint64
-	look := func() {
+	var picks atomic.Uint64
+	checkReady := func() {
 		var list []string
-		for _, p := range c.live() {
-			if status, _, _, err := c.do(http.MethodGet, "http://"+p.callers()+"/v1/ready", ""); err == nil && status == http.StatusOK {
-				list = append(list, p.callers())
+		for _, p := range c.liveProcesses() {
+			if status, _, _, err := c.do(http.MethodGet, "http://"+p.callersAddress()+"/v1/ready", ""); err == nil && status == http.StatusOK {
+				list = append(list, p.callersAddress())
 			}
 		}
 		ready.Store(&list)
 	}
-	look()
+	checkReady()
 	balance := func(r *load.Runner, _ func()) {
-		r.Pick = func() string { return (*ready.Load())[turn.Add(1)%uint64(len(*ready.Load()))] }
+		r.Pick = func() string { return (*ready.Load())[picks.Add(1)%uint64(len(*ready.Load()))] }
 		record := r.OnSample
 		r.OnSample = func(s load.Sample) {
 			record(s)
 			if s.Err != nil {
-				t.Errorf("%s was cut off: %v", s.ID, s.Err)
+				t.Errorf("request %s was aborted: %v", s.ID, s.Err)
 			}
 		}
 	}
-	c.faulty(c.site.VMs, executor.Faults{SlowFactor: float64(stopGrace+500*time.Millisecond) / float64(serviceTime)})
+	c.setExecutorFaults(c.site.VMs, executor.Faults{SlowFactor: float64(shutdownGrace+500*time.Millisecond) / float64(meanServiceTime)})
 	c.traffic(c.nodes, func() {
 		for _, p := range []*process{c.nodes[0], c.nodes[2]} {
-			c.answered(10)
+			c.waitAnswered(10)
 			p.stop()
-			c.await("the balancer sees it", func() bool { look(); return len(*ready.Load()) == 3 })
-			c.leave(p)
+			c.await("the balancer to notice the stop", func() bool { checkReady(); return len(*ready.Load()) == 3 })
+			c.shutDown(p)
 			c.replace(p)
-			c.await("the balancer sees it back", func() bool { look(); return len(*ready.Load()) == 4 })
+			c.await("the balancer to notice the replacement", func() bool { checkReady(); return len(*ready.Load()) == 4 })
 		}
-		c.answered(10)
+		c.waitAnswered(10)
 	}, balance)
-	c.faulty(c.site.VMs, executor.Faults{})
-	c.awaitServing(c.live()...)
-	c.finish()
+	c.setExecutorFaults(c.site.VMs, executor.Faults{})
+	c.awaitServing(c.liveProcesses()...)
+	c.stopAndCheck()
 }
 
-// TestPeersPartitioned: two entry VMs of a data centre don't reach each other, one way
-// or both, while the log reaches both.
+// TestPeersPartitioned cuts the connections between two entry VMs of a data centre,
+// in one direction or both, while both reach the log.
 func TestPeersPartitioned(t *testing.T) {
-	for name, ways := range map[string]int{"one way": 1, "both ways": 2} {
+	for name, directions := range map[string]int{"one direction": 1, "both directions": 2} {
 		t.Run(name, func(t *testing.T) {
 			c := startCluster(t)
 			a, b := c.nodes[0].settings.NodeID, c.nodes[1].settings.NodeID
 			c.traffic(c.nodes, func() {
-				c.answered(50)
-				c.net.setCut(true, [][2]api.NodeID{{a, b}, {b, a}}[:ways]...)
-				c.outlasted()
+				c.waitAnswered(50)
+				c.net.setCut(true, [][2]api.NodeID{{a, b}, {b, a}}[:directions]...)
+				c.waitFaultDuration()
 				c.net.heal()
-				c.answered(50)
+				c.waitAnswered(50)
 			})
-			c.awaitServing(c.live()...)
-			c.finish()
+			c.awaitServing(c.liveProcesses()...)
+			c.stopAndCheck()
 		})
 	}
 }
 
-// TestLogFaults: the log is down, breaks off, is slow, loses answers, loses
-// appends and lets some take effect late.
+// TestLogFaults checks faults of the log: it is down, aborts connections, refuses
+// writes, is slow, loses answers or appends, or completes appends late.
 func TestLogFaults(t *testing.T) {
 	for name, f := range map[string]logserver.Faults{
 		"down":          {Down: true},
-		"breaks off":    {Abort: true},
-		"read only":     {RefuseWrites: true},
+		"aborts":        {Abort: true},
+		"read-only":     {RefuseWrites: true},
 		"slow":          {Slow: 200 * time.Millisecond},
 		"loses answers": {LoseAnswers: 40},
 		"loses appends": {DropAppends: 20},
-		"late":          {LateAppends: 40, LateBy: time.Second},
+		"late appends":  {LateAppends: 40, LateBy: time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := startCluster(t)
 			c.traffic(c.nodes, func() {
-				c.answered(50)
+				c.waitAnswered(50)
 				c.site.Log.SetFaults(f)
-				c.outlasted()
+				c.waitFaultDuration()
 				c.site.Log.SetFaults(logserver.Faults{})
-				c.answered(50)
+				c.waitAnswered(50)
 			})
-			c.awaitServing(c.live()...)
-			c.finish()
+			c.awaitServing(c.liveProcesses()...)
+			c.stopAndCheck()
 		})
 	}
 }
 
-// TestOneEntryCutOffFromLog: one entry VM doesn't reach the log, its peers do.
+// TestOneEntryCutOffFromLog cuts one entry VM off from the log, while its peers
+// reach it.
 func TestOneEntryCutOffFromLog(t *testing.T) {
 	c := startCluster(t)
 	a := c.nodes[0].settings.NodeID
 	c.traffic(c.nodes, func() {
-		c.answered(50)
-		c.net.setCut(true, [2]api.NodeID{a, logName}, [2]api.NodeID{logName, a})
-		c.outlasted()
+		c.waitAnswered(50)
+		c.net.setCut(true, [2]api.NodeID{a, logNode}, [2]api.NodeID{logNode, a})
+		c.waitFaultDuration()
 		c.net.heal()
-		c.answered(50)
+		c.waitAnswered(50)
 	})
-	c.awaitServing(c.live()...)
-	c.finish()
+	c.awaitServing(c.liveProcesses()...)
+	c.stopAndCheck()
 }
 
-// TestDataCentreCutOff: a data centre that reaches neither the log nor the
-// other one goes on serving idempotent requests.
+// TestDataCentreCutOff checks that a data centre that reaches neither the log nor
+// the other data centre still serves idempotent requests.
 func TestDataCentreCutOff(t *testing.T) {
 	c := startCluster(t)
-	var ways [][2]api.NodeID
-	for _, in := range c.nodes[2:] {
-		for _, out := range []api.NodeID{logName, c.nodes[0].settings.NodeID, c.nodes[1].settings.NodeID} {
-			ways = append(ways, [2]api.NodeID{in.settings.NodeID, out}, [2]api.NodeID{out, in.settings.NodeID})
+	var paths [][2]api.NodeID
+	for _, inside := range c.nodes[2:] {
+		for _, outside := range []api.NodeID{logNode, c.nodes[0].settings.NodeID, c.nodes[1].settings.NodeID} {
+			paths = append(paths, [2]api.NodeID{inside.settings.NodeID, outside}, [2]api.NodeID{outside, inside.settings.NodeID})
 		}
 	}
 	c.traffic(c.nodes, func() {
-		c.answered(50)
-		c.net.setCut(true, ways...)
-		c.outlasted()
+		c.waitAnswered(50)
+		c.net.setCut(true, paths...)
+		c.waitFaultDuration()
 		c.awaitIdempotent(c.nodes...)
 		c.net.heal()
-		c.answered(50)
+		c.waitAnswered(50)
 	})
-	c.awaitServing(c.live()...)
-	c.finish()
+	c.awaitServing(c.liveProcesses()...)
+	c.stopAndCheck()
 }
 
-// TestVMListFaults: the list of VMs is down, then shrinks to one VM of each
-// data centre and grows again.
+// TestVMListFaults makes the VM list unavailable, then reduces it to one VM per data
+// centre, and finally restores it.
 func TestVMListFaults(t *testing.T) {
 	c := startCluster(t)
 	c.traffic(c.nodes, func() {
-		c.answered(50)
+		c.waitAnswered(50)
 		c.site.List.SetDown(true)
-		c.outlasted()
+		c.waitFaultDuration()
 		c.site.List.SetDown(false)
 		for i, vm := range c.site.VMs {
 			if i%4 > 0 {
 				c.site.List.Remove(vm.ID)
 			}
 		}
-		c.outlasted()
+		c.waitFaultDuration()
 		for _, vm := range c.site.VMs {
 			c.site.List.Put(vm)
 		}
-		c.answered(50)
+		c.waitAnswered(50)
 	})
-	c.awaitServing(c.live()...)
-	c.finish()
+	c.awaitServing(c.liveProcesses()...)
+	c.stopAndCheck()
 }
 
-// TestExecutorFaults: half of the executors of a data centre do wrong, each
-// in its turn.
+// TestExecutorFaults checks faults of half of the executors of a data centre.
 func TestExecutorFaults(t *testing.T) {
 	for name, f := range map[string]executor.Faults{
 		"fail all":         {FailAll: true},
@@ -216,24 +216,25 @@
 		t.Run(name, func(t *testing.T) {
 			c := startCluster(t)
 			c.traffic(c.nodes, func() {
-				c.answered(50)
-				c.faulty(c.site.VMs[:2], f)
-				c.outlasted()
-				c.faulty(c.site.VMs[:2], executor.Faults{})
-				c.answered(50)
+				c.waitAnswered(50)
+				c.setExecutorFaults(c.site.VMs[:2], f)
+				c.waitFaultDuration()
+				c.setExecutorFaults(c.site.VMs[:2], executor.Faults{})
+				c.waitAnswered(50)
 			})
-			c.awaitServing(c.live()...)
-			c.finish()
+			c.awaitServing(c.liveProcesses()...)
+			c.stopAndCheck()
 		})
 	}
 }
 
-// TestExecutorsLeaving: a VM of each data centre is listed as leaving, and
-// the endpoints of another say so themselves.
+// TestExecutorsLeaving lists one VM per data centre as leaving, and lets the
+// executor of another report that it is leaving. No new work may start there after
+// maxWorkAfterLeaving.
 func TestExecutorsLeaving(t *testing.T) {
 	c := startCluster(t)
 	c.traffic(c.nodes, func() {
-		c.answered(50)
+		c.waitAnswered(50)
 		for i, vm := range c.site.VMs {
 			switch i % 4 {
 			case 0:
@@ -244,65 +245,66 @@
 				continue
 			}
 			for _, ep := range vm.Endpoints {
-				c.rec.AddLeavingNotice(history.LeavingNotice{Endpoint: ep.ID, VM: vm.ID, At: time.Now()})
+				c.recorder.AddLeavingNotice(history.LeavingNotice{Endpoint: ep.ID, VM: vm.ID, At: time.Now()})
 			}
 		}
 		announced := time.Now()
-		c.await("the end of the bound", func() bool { return time.Since(announced) > leavingBound+time.Second })
-		c.answered(50)
+		c.await("the end of the time for new work", func() bool { return time.Since(announced) > maxWorkAfterLeaving+time.Second })
+		c.waitAnswered(50)
 	})
-	c.awaitServing(c.live()...)
-	c.finish()
+	c.awaitServing(c.liveProcesses()...)
+	c.stopAndCheck()
 }
 
-// TestLeavingEntryReleasesEndpoints: the endpoints of a leaving entry VM take requests
-// of others while one of its own is still in flight.
+// TestLeavingEntryReleasesEndpoints checks that the endpoints of a leaving entry VM
+// run requests of another while a request of the leaving one is still in flight.
 func TestLeavingEntryReleasesEndpoints(t *testing.T) {
 	c := startCluster(t)
 	victim, other := c.nodes[0], c.nodes[1]
-	if victim.router.Free(service) == 0 {
+	if victim.router.Free(serviceName) == 0 {
 		victim, other = other, victim
 	}
 	endpoints := c.site.VMs[:4]
-	c.faulty(endpoints, executor.Faults{Hang: true})
-	ctx, hangUp := context.WithCancel(t.Context())
-	var asked sync.WaitGroup
+	c.setExecutorFaults(endpoints, executor.Faults{Hang: true})
+	ctx, cancel := context.WithCancel(t.Context())
+	var calls sync.WaitGroup
 	c.await("a request in flight", func() bool {
-		asked.Go(func() { _, _ = c.http.Do(c.hanging(ctx, victim)) }) // nobody waits for the answer
+		calls.Go(func() { _, _ = c.http.Do(c.newHangingRequest(ctx, victim)) }) // the answer is not needed
 		return slices.ContainsFunc(endpoints, func(vm api.VM) bool {
 			id := vm.Endpoints[0].ID
 			return victim.router.MaxInFlight([]api.EndpointID{id}) > 0 && c.isRunning(id)
 		})
 	})
-	c.faulty(endpoints, executor.Faults{})
+	c.setExecutorFaults(endpoints, executor.Faults{})
 	stopped := time.Now()
 	victim.stop()
-	c.await("every endpoint takes requests of the other", func() bool {
-		c.serves(other, "", true)
+	c.await("every endpoint to run requests of the other entry VM", func() bool {
+		c.probe(other, "", true)
 		return c.allRanSince(endpoints, stopped)
 	})
 	if victim.chain.Gate().InFlight() == 0 {
-		t.Error("the request in flight did not last until then")
+		t.Error("the request in flight ended too early")
 	}
-	hangUp()
-	asked.Wait()
-	c.leave(victim)
-	c.finish()
+	cancel()
+	calls.Wait()
+	c.shutDown(victim)
+	c.stopAndCheck()
 }
 
-// hanging returns an idempotent request through p that gets no answer.
-func (c *cluster) hanging(ctx context.Context, p *process) *http.Request {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.callers()+"/v1/services/"+service+"/", nil)
+// newHangingRequest returns an idempotent request through p with a timeout so long
+// that it hangs until ctx ends.
+func (c *cluster) newHangingRequest(ctx context.Context, p *process) *http.Request {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.callersAddress()+"/v1/services/"+serviceName+"/", nil)
 	must(c.t, err)
-	id := fmt.Sprintf("hanging-%d", c.rec.Now())
-	c.rec.AddRequest(history.Request{ID: id, Idempotent: true, Start: c.rec.Now()})
+	id := fmt.Sprintf("hanging-%d", c.recorder.Now())
+	c.recorder.AddRequest(history.Request{ID: id, Idempotent: true, Start: c.recorder.Now()})
 	req.Header.Set(api.HeaderRequestID, id)
 	req.Header.Set(api.HeaderIdempotent, "true")
-	req.Header.Set(api.HeaderTimeout, fmt.Sprint(deadline.Milliseconds()))
+	req.Header.Set(api.HeaderTimeout, fmt.Sprint(waitTimeout.Milliseconds()))
 	return req
 }
 
-// isRunning reports whether an executor has a request in progress.
+// isRunning reports whether an executor is running a request.
 func (c *cluster) isRunning(id api.EndpointID) bool {
 	for _, runs := range c.site.Executors[id].Record().Runs {
 		if runs[len(runs)-1].End.IsZero() {
@@ -312,8 +314,8 @@
 	return false
 }
 
-// allRanSince reports whether every executor on vms started a request later
-// than at.
+// allRanSince reports whether every executor on vms has started a request after
+// the given time.
 func (c *cluster) allRanSince(vms []api.VM, at time.Time) bool {
 	for _, vm := range vms {
 		started := false
--- a/internal/entry/fuzz_test.go
+++ b/internal/entry/fuzz_test.go
@@ -12,8 +12,9 @@
 	"github.com/skylarklock/skylarklock/internal/reqkey"
 )
 
-// FuzzStream: no entry of a data centre's stream makes a machine fail, a
-// rejected entry changes nothing, and two readers agree on each.
+// FuzzStream checks that no entry of a data centre's stream makes a state machine
+// panic, that a rejected entry changes nothing, and that two readers get the same
+// state.
 func FuzzStream(f *testing.F) {
 	spec := api.JobSpec{ID: "j", Tasks: 1, Resources: api.Resources{MilliCPU: 1}}
 	f.Add(uint8(journal.TypeCellFirst), cell.SubmitEntry(spec, 1).Body)
@@ -25,17 +26,17 @@
 		first, second := fuzzMachines(t, entry), fuzzMachines(t, entry)
 		for i := range first {
 			if !bytes.Equal(first[i], second[i]) {
-				t.Fatalf("two readers disagree on entry type %d", kind)
+				t.Fatalf("two readers have different states after entry type %d", kind)
 			}
 		}
 	})
 }
 
-// fuzzMachines applies an entry twice to fresh machines and returns their
+// fuzzMachines applies an entry twice to new state machines and returns their
 // snapshots.
 func fuzzMachines(t *testing.T, e journal.Entry) [][]byte {
 	owners := ownership.NewStateMachine()
-	machines := []journal.StateMachine{owners, reqkey.NewStateMachine(), cell.New(epochSource{owners: owners}, counter.NewSet())}
+	machines := []journal.StateMachine{owners, reqkey.NewStateMachine(), cell.New(epochSource{ownershipState: owners}, counter.NewSet())}
 	var snapshots [][]byte
 	for _, m := range machines {
 		for range 2 {
--- a/internal/entry/identity.go
+++ b/internal/entry/identity.go
@@ -9,7 +9,7 @@
 	"github.com/skylarklock/skylarklock/internal/ownership"
 )
 
-// newIncarnation draws the incarnation of this run of the process.
+// newIncarnation returns a random incarnation other than zero.
 func newIncarnation() api.Incarnation {
 	var b [8]byte
 	for {
@@ -20,7 +20,7 @@
 	}
 }
 
-// identityOf returns the roster's form of an origin.
+// identityOf returns the identity in the roster of an origin.
 func identityOf(o journal.Origin) ownership.Identity {
 	return ownership.Identity{Node: o.Node, Incarnation: o.Incarnation}
 }
--- a/internal/entry/jobs.go
+++ b/internal/entry/jobs.go
@@ -12,21 +12,22 @@
 	"github.com/skylarklock/skylarklock/internal/journal"
 )
 
-// journalRetry is told to callers whose entry could not be journaled.
-const journalRetry = time.Second
+// journalRetryAfter is the retry delay sent to callers whose entry could not be
+// journaled.
+const journalRetryAfter = time.Second
 
-// callerJobs takes callers' jobs into the data centre's stream.
-type callerJobs struct {
-	machine  *cell.Machine
-	proposer journal.Proposer
-	complete func(api.JobSpec) (api.JobSpec, error) // checks and fills in defaults
-	now      func() time.Time
+// jobService proposes callers' jobs and cancellations to the data centre's stream.
+type jobService struct {
+	cellState *cell.Machine
+	proposer  journal.Proposer
+	validate  func(api.JobSpec) (api.JobSpec, error) // validates a job and sets its defaults
+	now       func() time.Time
 }
 
-// Submit implements front.Jobs. A job that is known already under the same
-// description was accepted before: repeats are answered alike.
-func (j callerJobs) Submit(ctx context.Context, spec api.JobSpec) error {
-	spec, err := j.complete(spec)
+// Submit implements front.Jobs. A job that is already known with the same
+// specification was accepted before: a repeated submission gets the same answer.
+func (j jobService) Submit(ctx context.Context, spec api.JobSpec) error {
+	spec, err := j.validate(spec)
 	if err != nil {
 		return api.NotRun(api.ReasonMalformed, 0, err.Error())
 	}
@@ -34,16 +35,16 @@
 }
 
 // Cancel implements front.Jobs.
-func (j callerJobs) Cancel(ctx context.Context, id api.JobID) error {
-	if _, ok := j.machine.Job(id); !ok {
+func (j jobService) Cancel(ctx context.Context, id api.JobID) error {
+	if _, ok := j.cellState.Job(id); !ok {
 		return api.NotRun(api.ReasonUnknownJob, 0, fmt.Sprintf("no job %q here", id))
 	}
 	return refusalOf(j.proposer.Propose(ctx, cell.CancelEntry([]api.JobID{id}, j.now().UnixMilli())))
 }
 
 // Status implements front.Jobs.
-func (j callerJobs) Status(_ context.Context, id api.JobID) (front.JobStatus, error) {
-	view, ok := j.machine.Job(id)
+func (j jobService) Status(_ context.Context, id api.JobID) (front.JobStatus, error) {
+	view, ok := j.cellState.Job(id)
 	if !ok {
 		return front.JobStatus{}, api.NotRun(api.ReasonUnknownJob, 0, fmt.Sprintf("no job %q here", id))
 	}
@@ -53,13 +54,13 @@
 			status.Tasks[api.TaskState(state).String()] = n
 		}
 	}
-	if e, ok := j.machine.Explain(id); ok && e.Wait != nil {
+	if e, ok := j.cellState.Explain(id); ok && e.Wait != nil {
 		status.Reason, status.Detail = e.Wait.Reason, e.Wait.Detail
 	}
 	return status, nil
 }
 
-// refusalOf turns what became of a proposal into the answer for its caller.
+// refusalOf converts the result of a proposal to the answer for the caller.
 func refusalOf(err error) error {
 	var rejected *cell.Rejection
 	switch {
@@ -68,7 +69,7 @@
 	case errors.As(err, &rejected):
 		return api.NotRun(rejected.Reason, 0, rejected.Detail)
 	case errors.Is(err, journal.ErrNotWritten):
-		return api.NotRun(api.ReasonJournalUnavailable, journalRetry, err.Error())
+		return api.NotRun(api.ReasonJournalUnavailable, journalRetryAfter, err.Error())
 	default:
 		return api.Unknown(api.ReasonJournalUnsettled, err.Error())
 	}
--- a/internal/entry/jobs_test.go
+++ b/internal/entry/jobs_test.go
@@ -16,21 +16,21 @@
 	"github.com/skylarklock/skylarklock/internal/standin/worker"
 )
 
-// runTime is how long each task takes by itself.
+// runTime is the run time of a short task.
 const runTime = 300 * time.Millisecond
 
-// work is a set of jobs that were submitted to one data centre.
-type work struct {
+// jobSet is a set of jobs submitted to one data centre.
+type jobSet struct {
 	c    *cluster
 	jobs []history.Job
 }
 
 // submit submits n batch jobs and n gang jobs of four tasks each through the
-// entry VMs of a data centre in turn. An answer that is lost or open is asked
-// for again.
-func (c *cluster) submit(dc api.DataCentre, name string, n int, runTime time.Duration) *work {
+// entry VMs of a data centre in turn. It repeats a submission until the answer says
+// that the job was accepted.
+func (c *cluster) submit(dc api.DataCentre, name string, n int, runTime time.Duration) *jobSet {
 	c.t.Helper()
-	w := &work{c: c}
+	w := &jobSet{c: c}
 	for i := range 2 * n {
 		class := api.ClassBatch
 		if i%2 == 1 {
@@ -44,7 +44,7 @@
 		must(c.t, err)
 		job := history.Job{Spec: spec}
 		c.await("submission of "+string(spec.ID), func() bool {
-			_, job.Submitted, _, _ = c.do(http.MethodPost, c.entryOf(dc, i)+"/v1/jobs", string(body))
+			_, job.Submitted, _, _ = c.do(http.MethodPost, c.callersURL(dc, i)+"/v1/jobs", string(body))
 			return job.Submitted == api.OutcomeRan
 		})
 		w.jobs = append(w.jobs, job)
@@ -52,42 +52,42 @@
 	return w
 }
 
-// entryOf returns the callers' URL of a live entry VM of a data centre.
-func (c *cluster) entryOf(dc api.DataCentre, turn int) string {
+// callersURL returns the callers' URL of a live entry VM of a data centre.
+func (c *cluster) callersURL(dc api.DataCentre, turn int) string {
 	var urls []string
-	for _, p := range c.live() {
+	for _, p := range c.liveProcesses() {
 		if p.settings.DataCentre == dc {
-			urls = append(urls, "http://"+p.callers())
+			urls = append(urls, "http://"+p.callersAddress())
 		}
 	}
 	return urls[turn%len(urls)]
 }
 
-// cancel cancels all jobs at once.
-func (w *work) cancel() {
+// cancelAll cancels all jobs concurrently.
+func (w *jobSet) cancelAll() {
 	w.c.t.Helper()
-	var wave sync.WaitGroup
+	var calls sync.WaitGroup
 	for i := range w.jobs {
 		job := &w.jobs[i]
-		wave.Go(func() {
-			job.Cancelled = w.c.within(func() bool {
-				_, outcome, _, _ := w.c.do(http.MethodDelete, w.c.entryOf(dcOf(job), i)+"/v1/jobs/"+string(job.Spec.ID), "")
+		calls.Go(func() {
+			job.Cancelled = w.c.poll(func() bool {
+				_, outcome, _, _ := w.c.do(http.MethodDelete, w.c.callersURL(dataCentreOf(job), i)+"/v1/jobs/"+string(job.Spec.ID), "")
 				return outcome == api.OutcomeRan
 			})
 		})
 	}
-	wave.Wait()
+	calls.Wait()
 }
 
-func dcOf(job *history.Job) api.DataCentre { return api.DataCentre(job.Spec.ID[:3]) }
+func dataCentreOf(job *history.Job) api.DataCentre { return api.DataCentre(job.Spec.ID[:3]) }
 
-// await waits until every task has come to its end.
-func (w *work) await() {
+// waitEnded waits until every task has ended.
+func (w *jobSet) waitEnded() {
 	w.c.t.Helper()
 	for i := range w.jobs {
 		job := &w.jobs[i]
 		w.c.await("end of "+string(job.Spec.ID), func() bool {
-			_, _, answer, err := w.c.do(http.MethodGet, w.c.entryOf(dcOf(job), 0)+"/v1/jobs/"+string(job.Spec.ID), "")
+			_, _, answer, err := w.c.do(http.MethodGet, w.c.callersURL(dataCentreOf(job), 0)+"/v1/jobs/"+string(job.Spec.ID), "")
 			var status front.JobStatus
 			if err != nil || json.Unmarshal(answer, &status) != nil {
 				return false
@@ -98,17 +98,17 @@
 	}
 }
 
-// finish waits for the end of every task and records the jobs.
-func (w *work) finish() {
+// waitAndRecord waits until every task has ended and records the jobs.
+func (w *jobSet) waitAndRecord() {
 	w.c.t.Helper()
-	w.await()
+	w.waitEnded()
 	for _, job := range w.jobs {
-		w.c.rec.AddJob(job)
+		w.c.recorder.AddJob(job)
 	}
 }
 
-// running waits until n tasks are running in a data centre.
-func (c *cluster) running(dc api.DataCentre, n int) {
+// waitRunning waits until n tasks are running in a data centre.
+func (c *cluster) waitRunning(dc api.DataCentre, n int) {
 	c.t.Helper()
 	c.await(fmt.Sprintf("%d running tasks", n), func() bool {
 		count := 0
@@ -123,7 +123,7 @@
 	})
 }
 
-// TestWorkerFaults: one of the workers of a data centre does wrong under work.
+// TestWorkerFaults checks faults of one worker of a data centre that runs jobs.
 func TestWorkerFaults(t *testing.T) {
 	for name, fault := range map[string]func(vm *worker.VM){
 		"frozen":        func(vm *worker.VM) { vm.SetFaults(worker.Faults{Frozen: true}) },
@@ -136,58 +136,59 @@
 		t.Run(name, func(t *testing.T) {
 			c := startCluster(t)
 			first := c.submit("bne", "first", 2, 6*runTime)
-			c.running("bne", 8)
+			c.waitRunning("bne", 8)
 			fault(c.site.Workers.VM(c.site.VMs[0].ID))
 			if name == "leaving" {
-				c.rec.AddLeavingNotice(history.LeavingNotice{VM: c.site.VMs[0].ID, At: time.Now()})
+				c.recorder.AddLeavingNotice(history.LeavingNotice{VM: c.site.VMs[0].ID, At: time.Now()})
 			}
 			second := c.submit("bne", "second", 2, runTime)
-			second.await()
+			second.waitEnded()
 			if name != "leaving" {
 				c.site.Workers.VM(c.site.VMs[0].ID).SetFaults(worker.Faults{})
 			}
 			third := c.submit("bne", "third", 2, runTime)
-			for _, w := range []*work{first, second, third} {
-				w.finish()
+			for _, w := range []*jobSet{first, second, third} {
+				w.waitAndRecord()
 			}
-			c.finish()
+			c.stopAndCheck()
 		})
 	}
 }
 
-// TestPlacementHolderLost: the entry VM that places tasks dies, or stops for a
-// while and goes on with what it had decided.
+// TestPlacementHolderLost checks that jobs complete when the entry VM that places
+// tasks is killed, leaves, loses its connections, or is frozen and then continues
+// with what it had decided.
 func TestPlacementHolderLost(t *testing.T) {
 	for name, lose := range map[string]func(c *cluster, holder *process){
 		"killed": func(c *cluster, holder *process) { c.kill(holder); c.replace(holder) },
 		"frozen": func(c *cluster, holder *process) { c.net.setFrozen(holder.settings.NodeID, true) },
 		"cut from log": func(c *cluster, holder *process) {
-			c.net.setCut(true, [2]api.NodeID{holder.settings.NodeID, logName}, [2]api.NodeID{logName, holder.settings.NodeID})
+			c.net.setCut(true, [2]api.NodeID{holder.settings.NodeID, logNode}, [2]api.NodeID{logNode, holder.settings.NodeID})
 		},
 		"cut from workers": func(c *cluster, holder *process) {
-			c.net.setCut(true, [2]api.NodeID{workersName, holder.settings.NodeID})
+			c.net.setCut(true, [2]api.NodeID{workersNode, holder.settings.NodeID})
 		},
-		"leaves": func(c *cluster, holder *process) { c.leave(holder); c.replace(holder) },
+		"leaves": func(c *cluster, holder *process) { c.shutDown(holder); c.replace(holder) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := startCluster(t)
 			first := c.submit("bne", "first", 2, 6*runTime)
-			c.running("bne", 8)
+			c.waitRunning("bne", 8)
 			lose(c, c.placementHolder("bne"))
-			var second *work
+			var second *jobSet
 			start := time.Now()
 			if name == "frozen" || name == "cut from log" {
-				c.await("the fault has lasted", func() bool { return time.Since(start) > faultTime })
+				c.await("the fault to last long enough", func() bool { return time.Since(start) > minFaultDuration })
 				c.net.heal()
 			}
 			second = c.submit("bne", "second", 2, runTime)
 			if name == "cut from workers" {
-				c.await("the fault has lasted", func() bool { return time.Since(start) > faultTime })
+				c.await("the fault to last long enough", func() bool { return time.Since(start) > minFaultDuration })
 				c.net.heal()
 			}
-			first.finish()
-			second.finish()
-			c.finish()
+			first.waitAndRecord()
+			second.waitAndRecord()
+			c.stopAndCheck()
 		})
 	}
 }
@@ -195,8 +196,8 @@
 // placementHolder waits until some entry VM of a data centre places tasks.
 func (c *cluster) placementHolder(dc api.DataCentre) (holder *process) {
 	c.t.Helper()
-	c.await("holder of the placement shard", func() bool {
-		for _, p := range c.live() {
+	c.await("a holder of the placement shard", func() bool {
+		for _, p := range c.liveProcesses() {
 			if _, held, _ := p.owner.CellAuthority(time.Now()); held && p.settings.DataCentre == dc {
 				holder = p
 			}
@@ -206,15 +207,15 @@
 	return holder
 }
 
-// TestConcurrentCancellations: all jobs are cancelled at once while the log loses
-// answers; some run, some wait.
+// TestConcurrentCancellations cancels running and waiting jobs concurrently while
+// the log loses answers.
 func TestConcurrentCancellations(t *testing.T) {
 	c := startCluster(t)
 	w := c.submit("bne", "wave", 15, time.Hour)
-	c.running("bne", 8)
+	c.waitRunning("bne", 8)
 	c.site.Log.SetFaults(logserver.Faults{LoseAnswers: 20})
-	w.cancel()
-	w.finish()
+	w.cancelAll()
+	w.waitAndRecord()
 	c.site.Log.SetFaults(logserver.Faults{})
-	c.finish()
+	c.stopAndCheck()
 }
--- a/internal/entry/network_test.go
+++ b/internal/entry/network_test.go
@@ -12,27 +12,27 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// Names of the outside systems in a network.
+// Nodes of a network that stand for external systems.
 const (
-	logName       api.NodeID = "log"
-	listName      api.NodeID = "vm-list"
-	workersName   api.NodeID = "workers"
-	executorsName api.NodeID = "executors"
+	logNode       api.NodeID = "log"
+	vmListNode    api.NodeID = "vm-list"
+	workersNode   api.NodeID = "workers"
+	executorsNode api.NodeID = "executors"
 )
 
 var (
-	errCut  = errors.New("no way through the network")
-	errDead = errors.New("the process is dead")
+	errPartitioned = errors.New("network is partitioned")
+	errDead        = errors.New("the process is dead")
 )
 
-// network stands between the nodes and all that they talk to. A cut way holds
-// what is sent on it until it is healed, as lost packets that are sent again
-// are. What a frozen node sends or gets waits until it thaws; its deadlines
-// don't end the wait, so that it goes on with what it had decided. Of a dead
-// node nothing gets out.
+// network connects the nodes with each other and with external systems. Data that
+// is sent over a cut path is delayed until the path is healed, like packets that
+// are lost and sent again. Data that a frozen node sends or receives is delayed
+// until the end of the freeze. The node's deadlines don't end this delay, so that
+// it continues with what it had decided. A dead node can't send anything.
 type network struct {
 	mu      sync.Mutex
-	changed chan struct{} // closed and renewed with each change
+	changed chan struct{} // closed and replaced with each change
 	names   map[string]api.NodeID
 	cut     map[[2]api.NodeID]bool
 	frozen  map[api.NodeID]bool
@@ -46,7 +46,7 @@
 	}
 }
 
-// change makes a change and wakes all that waits.
+// change makes a change and wakes all waiters.
 func (n *network) change(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -55,10 +55,10 @@
 	n.changed = make(chan struct{})
 }
 
-func (n *network) setCut(cut bool, ways ...[2]api.NodeID) {
+func (n *network) setCut(cut bool, paths ...[2]api.NodeID) {
 	n.change(func() {
-		for _, way := range ways {
-			n.cut[way] = cut
+		for _, path := range paths {
+			n.cut[path] = cut
 		}
 	})
 }
@@ -79,9 +79,9 @@
 	})
 }
 
-// pass waits until something gets from one to the other. done ends the wait,
-// unless the sender is frozen.
-func (n *network) pass(done <-chan struct{}, from, to api.NodeID) error {
+// awaitPath waits until data can be sent from one node to another. done ends the
+// wait unless the sender is frozen.
+func (n *network) awaitPath(done <-chan struct{}, from, to api.NodeID) error {
 	for {
 		n.mu.Lock()
 		frozen, cut := n.frozen[from], n.cut[[2]api.NodeID{from, to}] || n.frozen[to]
@@ -96,7 +96,7 @@
 			select {
 			case <-changed:
 			case <-done:
-				return errCut
+				return errPartitioned
 			}
 		default:
 			return nil
@@ -104,21 +104,21 @@
 	}
 }
 
-// call does a call of a node to an outside system. sent is false when nothing
-// of it can have got there.
+// call makes a call of a node to an external system. sent is false if the call
+// certainly did not reach the system.
 func (n *network) call(ctx context.Context, node, system api.NodeID, do func(ctx context.Context)) (sent bool, err error) {
-	if err := n.pass(ctx.Done(), node, system); err != nil {
+	if err := n.awaitPath(ctx.Done(), node, system); err != nil {
 		return false, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(n.death(ctx, node), cancel)()
+	defer context.AfterFunc(n.contextUntilDead(ctx, node), cancel)()
 	do(ctx)
-	return true, n.pass(ctx.Done(), system, node)
+	return true, n.awaitPath(ctx.Done(), system, node)
 }
 
-// death returns a context that ends when node is dead, or with ctx.
-func (n *network) death(ctx context.Context, node api.NodeID) context.Context {
+// contextUntilDead returns a context that ends with ctx or when node is dead.
+func (n *network) contextUntilDead(ctx context.Context, node api.NodeID) context.Context {
 	dead, cancel := context.WithCancel(ctx)
 	go func() {
 		defer cancel()
@@ -139,8 +139,8 @@
 	return dead
 }
 
-// outside puts the network between a node and its adapters.
-func (n *network) outside(node api.NodeID, o Adapters) Adapters {
+// wrap returns adapters that connect a node through the network.
+func (n *network) wrap(node api.NodeID, o Adapters) Adapters {
 	return Adapters{
 		Log: netLog{n, node, o.Log}, VMList: netList{n, node, o.VMList},
 		Worker: netWorker{n, node, o.Worker}, Endpoint: netEndpoint{n, node, o.Endpoint}, DialPeer: n.dialer(node),
@@ -154,7 +154,7 @@
 }
 
 func (l netLog) Append(ctx context.Context, stream string, data []byte) (offset platform.Offset, err error) {
-	sent, cut := l.net.call(ctx, l.node, logName, func(ctx context.Context) { offset, err = l.log.Append(ctx, stream, data) })
+	sent, cut := l.net.call(ctx, l.node, logNode, func(ctx context.Context) { offset, err = l.log.Append(ctx, stream, data) })
 	switch {
 	case !sent:
 		return 0, platform.ErrUnavailable
@@ -165,7 +165,7 @@
 }
 
 func (l netLog) Read(ctx context.Context, stream string, from platform.Offset, max int, wait time.Duration) (batch platform.LogBatch, err error) {
-	_, cut := l.net.call(ctx, l.node, logName, func(ctx context.Context) { batch, err = l.log.Read(ctx, stream, from, max, wait) })
+	_, cut := l.net.call(ctx, l.node, logNode, func(ctx context.Context) { batch, err = l.log.Read(ctx, stream, from, max, wait) })
 	if cut != nil {
 		return platform.LogBatch{}, platform.ErrUnavailable
 	}
@@ -179,7 +179,7 @@
 }
 
 func (l netList) List(ctx context.Context, dc api.DataCentre) (vms []api.VM, err error) {
-	if _, cut := l.net.call(ctx, l.node, listName, func(ctx context.Context) { vms, err = l.list.List(ctx, dc) }); cut != nil {
+	if _, cut := l.net.call(ctx, l.node, vmListNode, func(ctx context.Context) { vms, err = l.list.List(ctx, dc) }); cut != nil {
 		return nil, cut
 	}
 	return vms, err
@@ -192,7 +192,7 @@
 }
 
 func (w netWorker) Sync(ctx context.Context, vm api.VM, msg platform.WorkerSync) (report platform.WorkerReport, err error) {
-	sent, cut := w.net.call(ctx, w.node, workersName, func(ctx context.Context) { report, err = w.worker.Sync(ctx, vm, msg) })
+	sent, cut := w.net.call(ctx, w.node, workersNode, func(ctx context.Context) { report, err = w.worker.Sync(ctx, vm, msg) })
 	switch {
 	case !sent:
 		return platform.WorkerReport{}, platform.ErrWorkerUnreachable
@@ -209,7 +209,7 @@
 }
 
 func (e netEndpoint) Attempt(ctx context.Context, ep api.Endpoint, epoch api.Epoch, req *api.Request, maxAnswer int64) (answer *api.Answer, f platform.Feedback, err error) {
-	sent, cut := e.net.call(ctx, e.node, executorsName, func(ctx context.Context) {
+	sent, cut := e.net.call(ctx, e.node, executorsNode, func(ctx context.Context) {
 		answer, f, err = e.EndpointClient.Attempt(ctx, ep, epoch, req, maxAnswer)
 	})
 	failure := &platform.AttemptError{Certainty: platform.MayHaveRun, Reason: api.ReasonAnswerTimeout, Endpoint: ep.ID, Cause: cut}
@@ -222,14 +222,15 @@
 	return answer, f, err
 }
 
-// dialer dials peers of node, which the network knows by their addresses.
+// dialer returns a function that dials peers of node. The network identifies the
+// peers by their addresses.
 func (n *network) dialer(node api.NodeID) peer.Dialer {
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		n.mu.Lock()
 		to := n.names[address]
 		n.mu.Unlock()
-		for _, way := range [][2]api.NodeID{{node, to}, {to, node}} {
-			if err := n.pass(ctx.Done(), way[0], way[1]); err != nil {
+		for _, path := range [][2]api.NodeID{{node, to}, {to, node}} {
+			if err := n.awaitPath(ctx.Done(), path[0], path[1]); err != nil {
 				return nil, err
 			}
 		}
@@ -242,28 +243,29 @@
 	}
 }
 
-// netConn is a connection of one node to another. What is written on a cut way
-// is kept, in order, until it gets through, as the system's buffers do.
+// netConn is a connection of one node to another. Data that is written to a cut
+// path is held, in order, until the path is healed, like in the buffers of an
+// operating system.
 type netConn struct {
 	net.Conn
-	net      *network
-	from, to api.NodeID
-	once     sync.Once
-	closed   chan struct{}
-	mu       sync.Mutex
-	kept     []byte // written, but held up; while there is some, sendKept runs
+	net       *network
+	from, to  api.NodeID
+	once      sync.Once
+	closed    chan struct{}
+	mu        sync.Mutex
+	heldBytes []byte // written, but not yet sent; flushHeld runs while it is not empty
 }
 
 func (c *netConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if cut := c.net.pass(c.closed, c.to, c.from); cut != nil {
+	if cut := c.net.awaitPath(c.closed, c.to, c.from); cut != nil {
 		return 0, cut
 	}
 	return n, err
 }
 
-// through is a done channel that ends a wait at once.
-var through = func() chan struct{} {
+// closedChannel is a done channel that ends a wait immediately.
+var closedChannel = func() chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
@@ -272,28 +274,28 @@
 func (c *netConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	err := c.net.pass(through, c.from, c.to)
+	err := c.net.awaitPath(closedChannel, c.from, c.to)
 	switch {
 	case errors.Is(err, errDead):
 		return 0, err
-	case err == nil && len(c.kept) == 0:
+	case err == nil && len(c.heldBytes) == 0:
 		return c.Conn.Write(b)
-	case len(c.kept) == 0:
-		go c.sendKept()
+	case len(c.heldBytes) == 0:
+		go c.flushHeld()
 	}
-	c.kept = append(c.kept, b...)
+	c.heldBytes = append(c.heldBytes, b...)
 	return len(b), nil
 }
 
-// sendKept sends what was kept once the way is free.
-func (c *netConn) sendKept() {
-	if c.net.pass(c.closed, c.from, c.to) != nil {
+// flushHeld sends the held data once the path is healed.
+func (c *netConn) flushHeld() {
+	if c.net.awaitPath(c.closed, c.from, c.to) != nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, _ = c.Conn.Write(c.kept) // a failure shows in the next call
-	c.kept = nil
+	_, _ = c.Conn.Write(c.heldBytes) // a failure is returned by the next call
+	c.heldBytes = nil
 }
 
 func (c *netConn) Close() error {
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -31,10 +31,10 @@
 	"github.com/skylarklock/skylarklock/internal/settings"
 )
 
-// workerDialTimeout bounds the connect to a worker agent.
+// workerDialTimeout is the timeout for connecting to a worker agent.
 const workerDialTimeout = time.Second
 
-// Adapters holds the adapters to the outside. Tests put fakes in their place.
+// Adapters holds the clients of external systems. Tests replace them with fakes.
 type Adapters struct {
 	Log      platform.Log
 	VMList   platform.VMList
@@ -56,33 +56,33 @@
 	origin   journal.Origin
 	started  time.Time
 	counters *counter.Set
-	outside  Adapters
+	adapters Adapters
 
-	streams    *streams
-	owner      *ownership.Controller
-	members    *member.Service
-	heartbeats *peer.Client // small calls
-	handovers  *peer.Client // requests with their bodies
-	peerServer *peer.Server
-	router     *router.Router
-	chain      *filter.Chain
-	keys       *reqkey.Keys
-	logWatch   *logWatch
-	front      *front.Server
-	cell       *cellParts
-	listeners  listeners
-	answered   atomic.Bool   // the drain has answered all callers
-	aborted    chan struct{} // closed by Abort
-	abortOnce  sync.Once
+	streams         *streams
+	owner           *ownership.Controller
+	members         *member.Service
+	heartbeatClient *peer.Client // for small calls
+	handoverClient  *peer.Client // for requests with their bodies
+	peerServer      *peer.Server
+	router          *router.Router
+	chain           *filter.Chain
+	requestKeys     *reqkey.Keys
+	logHealth       *logHealth
+	front           *front.Server
+	cell            *cellControllers
+	listeners       listeners
+	callersAnswered atomic.Bool   // all callers were answered during the drain
+	aborted         chan struct{} // closed by Abort
+	abortOnce       sync.Once
 }
 
-// listeners are open from New on, so that a port that is taken is reported
-// before anything runs.
+// listeners holds the listeners of a node. New opens them, so that a port that is
+// in use is reported before anything runs.
 type listeners struct {
 	callers, operators, peers net.Listener
 }
 
-// New makes a node from checked settings and opens its listeners.
+// New returns a node with validated settings and opens its listeners.
 func New(s *settings.Settings, log *logrus.Logger) (*Node, error) {
 	logs, err := httplog.NewClient(httplog.Config{BaseURL: s.Log.URLs[0]})
 	if err != nil {
@@ -96,28 +96,28 @@
 	})
 }
 
-// NewWithAdapters is New with given adapters to the outside.
-func NewWithAdapters(s *settings.Settings, log *logrus.Logger, outside Adapters) (*Node, error) {
+// NewWithAdapters is like New, but with the given adapters.
+func NewWithAdapters(s *settings.Settings, log *logrus.Logger, adapters Adapters) (*Node, error) {
 	n := &Node{
 		settings: s,
 		log:      logging.ForNode(log, s.NodeID, s.DataCentre),
 		origin:   journal.Origin{Node: s.NodeID, Incarnation: newIncarnation()},
 		started:  time.Now(),
 		counters: counter.NewSet(),
-		outside:  outside,
+		adapters: adapters,
 		aborted:  make(chan struct{}),
 	}
 	var err error
-	n.logWatch = newLogWatch(outside.Log, time.Now)
-	n.streams, err = newStreams(s, n.logWatch, n.origin, n.entries, n.counters, n.log)
+	n.logHealth = newLogHealth(adapters.Log, time.Now)
+	n.streams, err = newStreams(s, n.logHealth, n.origin, n.entryVMCount, n.counters, n.log)
 	if err != nil {
 		return nil, err
 	}
-	n.connectPeers()
-	n.connectRequests()
-	n.cell = newCellParts(n)
-	n.front = front.New(frontSettings(s), n.chain, n.callerJobs(), n.chain.Gate(), n.counters, n.log)
-	if err := n.register(); err != nil {
+	n.buildPeerServices()
+	n.buildRequestPath()
+	n.cell = newCellControllers(n)
+	n.front = front.New(frontSettings(s), n.chain, n.jobService(), n.chain.Gate(), n.counters, n.log)
+	if err := n.registerPeerServices(); err != nil {
 		return nil, err
 	}
 	return n, n.listen()
@@ -126,17 +126,17 @@
 // Counters returns the node's counters of refusals, retries and waits.
 func (n *Node) Counters() *counter.Set { return n.counters }
 
-// entries is the number of entry VMs that share the budget of appends: those
-// of this data centre times the data centres.
-func (n *Node) entries() int {
+// entryVMCount returns the number of entry VMs that share the append budget: those of
+// this data centre times the number of data centres.
+func (n *Node) entryVMCount() int {
 	if n.streams == nil {
 		return 1
 	}
-	roster, _ := n.streams.owners.Roster()
+	roster, _ := n.streams.ownershipState.Roster()
 	return max(1, len(roster)) * max(1, len(n.settings.DataCentres))
 }
 
-// advertised is the address told to peers.
+// advertised returns the address at which peers reach this node.
 func (n *Node) advertised() string {
 	if n.settings.AdvertisePeer != "" {
 		return n.settings.AdvertisePeer
@@ -144,16 +144,17 @@
 	return n.settings.Listen.Peers
 }
 
-// connectPeers makes heartbeats, ownership and the peers' server.
-func (n *Node) connectPeers() {
+// buildPeerServices creates the heartbeat service, the ownership controller and the
+// server for peers.
+func (n *Node) buildPeerServices() {
 	s := n.settings
 	limits := peer.DefaultLimits()
 	limits.Call = s.Limits.PeerTimeout.Std()
-	n.heartbeats = peer.NewClient(limits, n.outside.DialPeer)
+	n.heartbeatClient = peer.NewClient(limits, n.adapters.DialPeer)
 	limits.MaxRequest = int(s.Limits.MaxPeerBytes)
 	limits.MaxAnswer = int(s.Limits.MaxPeerBytes)
 	limits.Call = s.Limits.MaxRequestTimeout.Std()
-	n.handovers = peer.NewClient(limits, n.outside.DialPeer)
+	n.handoverClient = peer.NewClient(limits, n.adapters.DialPeer)
 	n.peerServer = peer.NewServer(limits, n.log)
 	n.members = member.New(member.Config{
 		Self:       identityOf(n.origin),
@@ -162,13 +163,13 @@
 		Seeds:      s.Peers,
 		Timing:     member.Timing{Heartbeat: s.Hold.Heartbeat.Std()},
 		Hold:       s.Hold.Hold.Std(),
-		Caller:     n.heartbeats,
+		Caller:     n.heartbeatClient,
 		Roster: func() []ownership.Member {
-			roster, _ := n.streams.owners.Roster()
+			roster, _ := n.streams.ownershipState.Roster()
 			return roster
 		},
 		Applied:    n.streams.cell.Applied,
-		FreeSlots:  n.load,
+		FreeSlots:  n.freeSlots,
 		IsDraining: func() bool { return n.front.Leaving() || n.owner.Draining() },
 		Random:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
@@ -176,24 +177,24 @@
 		Self:       identityOf(n.origin),
 		Address:    n.advertised(),
 		Timing:     ownership.Timing{HoldDuration: s.Hold.Hold.Std(), MaxClockDrift: s.Hold.Drift},
-		Machine:    n.streams.owners,
+		Machine:    n.streams.ownershipState,
 		Proposer:   n.streams.cell,
 		Follower:   n.streams.cell,
 		Health:     n.members.Health,
 		Unlisted:   n.unlisted,
-		InFlight:   n.inFlight,
+		InFlight:   n.maxInFlight,
 		StopNewUse: func() { n.cell.endpoints.Step() },
 		Logger:     n.log,
 	})
 	n.members.Bind(n.owner)
 }
 
-// connectRequests makes the way of a request.
-func (n *Node) connectRequests() {
+// buildRequestPath creates the components that process requests.
+func (n *Node) buildRequestPath() {
 	s := n.settings
 	n.router = router.New(router.Config{})
-	n.streams.configs.Subscribe(n.configChanged)
-	n.keys = reqkey.NewKeys(n.streams.marks, n.streams.cell, n.origin, reqkey.DefaultMaxBodyBytes)
+	n.streams.configState.Subscribe(n.updateServices)
+	n.requestKeys = reqkey.NewKeys(n.streams.markState, n.streams.cell, n.origin, reqkey.DefaultMaxBodyBytes)
 	n.chain = filter.New(filter.Settings{
 		Node:           s.NodeID,
 		DataCentre:     s.DataCentre,
@@ -203,35 +204,35 @@
 		JournalTimeout: s.Log.AppendTimeout.Std(),
 		MarkRetention:  s.RequestRetention.Std(),
 	}, filter.Deps{
-		Router:   slots{router: n.router},
-		Endpoint: n.outside.Endpoint,
-		Peers: peers{
+		Router:   routerAdapter{router: n.router},
+		Endpoint: n.adapters.Endpoint,
+		Peers: peerAdapter{
 			self: s.NodeID, address: n.advertised(),
-			members: n.members, owners: n.streams.owners, client: n.handovers, counts: n.counters,
+			members: n.members, ownershipState: n.streams.ownershipState, client: n.handoverClient, counters: n.counters,
 		},
-		Keys:     promptKeys{Keys: n.keys, log: n.logWatch},
-		Services: records{configs: n.streams.configs},
-		Limits:   records{configs: n.streams.configs},
+		Keys:     failFastKeys{Keys: n.requestKeys, health: n.logHealth},
+		Services: configAdapter{configState: n.streams.configState},
+		Limits:   configAdapter{configState: n.streams.configState},
 		Counters: n.counters,
 		Now:      time.Now,
 		Log:      n.log,
 	})
 }
 
-// configChanged passes records of services on to the router.
-func (n *Node) configChanged(c config.Change) {
+// updateServices passes changed service records to the router.
+func (n *Node) updateServices(c config.Change) {
 	if c.Restored || c.Key.Kind == api.KindService {
-		for _, spec := range n.streams.configs.Services() {
+		for _, spec := range n.streams.configState.Services() {
 			n.router.SetService(spec.Service, spec)
 		}
 	}
 }
 
-// load tells peers how many more requests of each service this node could
-// send out.
-func (n *Node) load() []member.ServiceFree {
+// freeSlots returns, for peers, how many more requests of each service this node
+// could send to endpoints.
+func (n *Node) freeSlots() []member.ServiceFree {
 	var free []member.ServiceFree
-	for _, spec := range n.streams.configs.Services() {
+	for _, spec := range n.streams.configState.Services() {
 		if len(free) == member.MaxServices {
 			break
 		}
@@ -240,17 +241,17 @@
 	return free
 }
 
-// register adds the services that peers call.
-func (n *Node) register() error {
-	wait := n.settings.Limits.MaxRequestTimeout.Std()
+// registerPeerServices registers the services that peers call.
+func (n *Node) registerPeerServices() error {
+	maxWait := n.settings.Limits.MaxRequestTimeout.Std()
 	if err := n.peerServer.Register(member.ServiceName, n.members.Handler()); err != nil {
 		return errors.Wrap(err, "register heartbeats")
 	}
 	if err := n.peerServer.Register(statesService, &States{replicas: n.replicas()}); err != nil {
 		return errors.Wrap(err, "register states")
 	}
-	err := n.peerServer.Register(requestsService, &Requests{chain: n.chain, wait: wait})
-	return errors.Wrap(err, "register hand-overs")
+	err := n.peerServer.Register(requestsService, &Requests{chain: n.chain, maxWait: maxWait})
+	return errors.Wrap(err, "register handovers")
 }
 
 // listen opens the listeners.
@@ -274,7 +275,7 @@
 	return nil
 }
 
-// frontSettings takes the bounds of the callers' server from the settings.
+// frontSettings returns the settings of the callers' server.
 func frontSettings(s *settings.Settings) front.Settings {
 	return front.Settings{
 		MaxHeaderBytes:    s.Limits.MaxHeaderBytes,
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -13,12 +13,12 @@
 	"github.com/skylarklock/skylarklock/internal/ownership"
 )
 
-// operatorHandler returns the operators' service of this node.
+// operatorHandler returns the HTTP handler for operators.
 func (n *Node) operatorHandler() http.Handler {
 	return operator.NewHandler(operator.Dependencies{
-		Config:    n.streams.configs,
-		Publisher: config.NewPublisher(n.streams.configs, n.streams.config),
-		Explainer: explainer{machine: n.streams.tasks},
+		Config:    n.streams.configState,
+		Publisher: config.NewPublisher(n.streams.configState, n.streams.config),
+		Explainer: explainer{cellState: n.streams.cellState},
 		Reporter:  n,
 		Counters:  n.counters,
 		Vars:      n.vars(),
@@ -26,7 +26,8 @@
 	}, operator.Options{MaxBodyBytes: n.settings.Limits.MaxOperatorBytes})
 }
 
-// vars returns what the parts count besides refusals, retries and waits.
+// vars returns the components' own counters, besides those of refusals, retries
+// and waits.
 func (n *Node) vars() map[string]expvar.Var {
 	stats := func(r *journal.Replica) expvar.Var {
 		return expvar.Func(func() any { return r.Stats() })
@@ -37,8 +38,8 @@
 		"heartbeats":      n.members.Vars(),
 		"ownership":       n.owner.Vars(),
 		"peer_server":     n.peerServer.Vars(),
-		"peer_heartbeats": n.heartbeats.Vars(),
-		"peer_handovers":  n.handovers.Vars(),
+		"peer_heartbeats": n.heartbeatClient.Vars(),
+		"peer_handovers":  n.handoverClient.Vars(),
 		"requests":        expvar.Func(func() any { return n.chain.Report() }),
 	}
 }
@@ -51,8 +52,8 @@
 		DataCentre:  n.settings.DataCentre,
 		Incarnation: n.origin.Incarnation,
 		Draining:    n.owner.Draining(),
-		Revision:    n.streams.configs.Revision(),
-		Unreadable:  n.streams.configs.UnreadableCount(),
+		Revision:    n.streams.configState.Revision(),
+		Unreadable:  n.streams.configState.UnreadableCount(),
 		Requests:    n.chain.Gate().InFlight(),
 		Uptime:      now.Sub(n.started),
 		Tasks:       map[string]int{},
@@ -89,7 +90,7 @@
 
 func (n *Node) memberStatus(now time.Time) []api.MemberStatus {
 	health := n.members.Health(now)
-	roster, _ := n.streams.owners.Roster()
+	roster, _ := n.streams.ownershipState.Roster()
 	var list []api.MemberStatus
 	for _, m := range roster {
 		state := "alive"
@@ -120,8 +121,8 @@
 }
 
 func (n *Node) countTasks(tasks map[string]int) {
-	for _, id := range n.streams.tasks.Jobs() {
-		job, ok := n.streams.tasks.Job(id)
+	for _, id := range n.streams.cellState.Jobs() {
+		job, ok := n.streams.cellState.Job(id)
 		if !ok {
 			continue
 		}
@@ -131,33 +132,33 @@
 	}
 }
 
-// explainer gives operators what the cell's machine knows of jobs and tasks.
+// explainer explains the state of jobs and tasks to operators.
 type explainer struct {
-	machine *cell.Machine
+	cellState *cell.Machine
 }
 
 // ExplainJob implements operator.Explainer.
 func (e explainer) ExplainJob(id api.JobID) (api.Explanation, bool) {
-	x, ok := e.machine.Explain(id)
+	x, ok := e.cellState.Explain(id)
 	if !ok {
 		return api.Explanation{}, false
 	}
 	out := explanationOf(x)
 	out.Tasks = make(map[string]int, len(x.Job.Counts))
-	least := api.TaskCancelled
+	minState := api.TaskCancelled
 	for state, count := range x.Job.Counts {
 		if count > 0 {
 			out.Tasks[api.TaskState(state).String()] = int(count)
-			least = min(least, api.TaskState(state))
+			minState = min(minState, api.TaskState(state))
 		}
 	}
-	out.State = least.String()
+	out.State = minState.String()
 	return out, true
 }
 
 // ExplainTask implements operator.Explainer.
 func (e explainer) ExplainTask(id api.TaskID) (api.Explanation, bool) {
-	x, ok := e.machine.ExplainTask(id)
+	x, ok := e.cellState.ExplainTask(id)
 	if !ok || x.Task == nil {
 		return api.Explanation{}, false
 	}
@@ -171,7 +172,8 @@
 	return out, true
 }
 
-// explanationOf fills in what explanations of jobs and tasks share.
+// explanationOf returns the part that explanations of jobs and tasks have in
+// common.
 func explanationOf(x cell.Explanation) api.Explanation {
 	out := api.Explanation{Job: x.Job.Spec.ID, Team: x.Job.Spec.Team, Class: x.Job.Spec.Class}
 	if x.Wait != nil {
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -13,28 +13,28 @@
 	"github.com/skylarklock/skylarklock/internal/peer"
 )
 
-// peers lets the filter chain reach other entry VMs. Entry VMs of other data
-// centres are named by the address of their peer service.
-type peers struct {
-	self    api.NodeID
-	address string // of this node's own peer service
-	members *member.Service
-	owners  *ownership.StateMachine
-	client  *peer.Client
-	counts  filter.Counters
+// peerAdapter connects the filter chain to other entry VMs. Entry VMs of other data
+// centres are identified by the address of their peer service.
+type peerAdapter struct {
+	self           api.NodeID
+	address        string // of this node's own peer service
+	members        *member.Service
+	ownershipState *ownership.StateMachine
+	client         *peer.Client
+	counters       filter.Counters
 }
 
-// groupHandover counts what peers made of hand-overs, by reason: as answered,
-// or the reason of the refusal.
+// counterHandover is the counter group of handovers. The reason is one of the three
+// below, or that of the peer's refusal.
 const (
-	groupHandover              = "handover"
-	countAnswered   api.Reason = "answered"
-	countNoReply    api.Reason = "no_reply"
-	countNotReached api.Reason = "not_reached"
+	counterHandover             = "handover"
+	reasonAnswered   api.Reason = "answered"
+	reasonNoReply    api.Reason = "no_reply"
+	reasonNotReached api.Reason = "not_reached"
 )
 
 // Candidates implements filter.Peers.
-func (p peers) Candidates(service string) []filter.PeerLoad {
+func (p peerAdapter) Candidates(service string) []filter.PeerLoad {
 	var loads []filter.PeerLoad
 	for _, c := range p.members.Candidates(service) {
 		loads = append(loads, filter.PeerLoad{Node: c.Node, FreeSlots: c.Free})
@@ -43,7 +43,7 @@
 }
 
 // EntryVMs implements filter.Peers.
-func (p peers) EntryVMs(dc api.DataCentre) []api.NodeID {
+func (p peerAdapter) EntryVMs(dc api.DataCentre) []api.NodeID {
 	var nodes []api.NodeID
 	for _, address := range p.members.EntryAddresses(dc) {
 		if address != p.address {
@@ -54,10 +54,10 @@
 }
 
 // Forward implements filter.Peers.
-func (p peers) Forward(ctx context.Context, node api.NodeID, req *filter.ForwardRequest) (*filter.ForwardReply, error) {
+func (p peerAdapter) Forward(ctx context.Context, node api.NodeID, req *filter.ForwardRequest) (*filter.ForwardReply, error) {
 	reply := new(filter.ForwardReply)
 	err := p.call(ctx, node, methodForward, req, reply)
-	p.counts.Inc(groupHandover, handoverReason(reply, err))
+	p.counters.Inc(counterHandover, handoverReason(reply, err))
 	if err != nil {
 		return nil, err
 	}
@@ -68,17 +68,17 @@
 	var failed *filter.PeerError
 	switch {
 	case errors.As(err, &failed) && !failed.Sent:
-		return countNotReached
+		return reasonNotReached
 	case err != nil:
-		return countNoReply
+		return reasonNoReply
 	case reply.Refusal != nil:
 		return reply.Refusal.Reason
 	}
-	return countAnswered
+	return reasonAnswered
 }
 
 // AnswerOf implements filter.Peers.
-func (p peers) AnswerOf(ctx context.Context, node api.NodeID, query *filter.AnswerQuery) (*filter.AnswerReply, error) {
+func (p peerAdapter) AnswerOf(ctx context.Context, node api.NodeID, query *filter.AnswerQuery) (*filter.AnswerReply, error) {
 	reply := new(filter.AnswerReply)
 	if err := p.call(ctx, node, methodAnswerOf, query, reply); err != nil {
 		return nil, err
@@ -86,31 +86,31 @@
 	return reply, nil
 }
 
-func (p peers) call(ctx context.Context, node api.NodeID, method string, args, reply any) error {
+func (p peerAdapter) call(ctx context.Context, node api.NodeID, method string, args, reply any) error {
 	address, err := p.addressOf(node)
 	if err != nil {
 		return &filter.PeerError{Node: node, Cause: err}
 	}
 	if err := p.client.Call(ctx, address, method, args, reply); err != nil {
-		return &filter.PeerError{Node: node, Sent: !refusedUnread(err), Cause: err}
+		return &filter.PeerError{Node: node, Sent: !certainlyNotRun(err), Cause: err}
 	}
 	return nil
 }
 
-// refusedUnread reports whether a failed call certainly did nothing at the
+// certainlyNotRun reports whether a failed call certainly had no effect on the
 // peer.
-func refusedUnread(err error) bool {
+func certainlyNotRun(err error) bool {
 	var remote *peer.RemoteError
 	if errors.As(err, &remote) {
-		return remote.Text == errNotTaking.Error()
+		return remote.Text == errHandoversRefused.Error()
 	}
 	return errors.Is(err, peer.ErrNotSent)
 }
 
-// addressOf returns the peer address of a member of the roster, or of an
-// entry VM named by its address.
-func (p peers) addressOf(node api.NodeID) (string, error) {
-	if m, ok := p.owners.Member(node); ok {
+// addressOf returns the peer address of a member of the roster, or of an entry VM
+// that is identified by its address.
+func (p peerAdapter) addressOf(node api.NodeID) (string, error) {
+	if m, ok := p.ownershipState.Member(node); ok {
 		return m.Address, nil
 	}
 	if _, err := netip.ParseAddrPort(string(node)); err == nil {
--- a/internal/entry/requests.go
+++ b/internal/entry/requests.go
@@ -11,37 +11,37 @@
 	"github.com/skylarklock/skylarklock/internal/router"
 )
 
-// slots lets the filter chain take slots from the router.
-type slots struct {
+// routerAdapter connects the filter chain to the router.
+type routerAdapter struct {
 	router *router.Router
 }
 
 // Acquire implements filter.Router.
-func (s slots) Acquire(ctx context.Context, service string, class api.Class, caller string, exclude []api.EndpointID) (filter.Ticket, error) {
+func (s routerAdapter) Acquire(ctx context.Context, service string, class api.Class, caller string, exclude []api.EndpointID) (filter.Ticket, error) {
 	t, err := s.router.Acquire(ctx, service, class, caller, exclude)
 	if err != nil {
 		return nil, err
 	}
-	return ticket{t}, nil
+	return ticketAdapter{t}, nil
 }
 
 // FreeSlots implements filter.Router.
-func (s slots) FreeSlots(service string) int {
+func (s routerAdapter) FreeSlots(service string) int {
 	return s.router.Free(service)
 }
 
 // Check implements filter.Router.
-func (s slots) Check(ctx context.Context, service string, class api.Class, caller string) *api.Refusal {
+func (s routerAdapter) Check(ctx context.Context, service string, class api.Class, caller string) *api.Refusal {
 	return s.router.Check(ctx, service, class, caller)
 }
 
-// ticket lets the filter chain give a slot back to the router.
-type ticket struct {
+// ticketAdapter returns a slot of the filter chain to the router.
+type ticketAdapter struct {
 	*router.Ticket
 }
 
 // Done implements filter.Ticket.
-func (t ticket) Done(r filter.Result) {
+func (t ticketAdapter) Done(r filter.Result) {
 	if !r.Sent {
 		t.Release()
 		return
@@ -49,53 +49,54 @@
 	t.Ticket.Done(router.Result{Err: r.Err, Status: r.Status, Latency: r.Latency, Feedback: r.Feedback})
 }
 
-// records lets the filter chain read the records in force.
-type records struct {
-	configs *config.StateMachine
+// configAdapter provides the filter chain with the records in force.
+type configAdapter struct {
+	configState *config.StateMachine
 }
 
 // Service implements filter.Services.
-func (r records) Service(name string) (api.ServiceSpec, bool) {
-	return r.configs.Service(name)
+func (r configAdapter) Service(name string) (api.ServiceSpec, bool) {
+	return r.configState.Service(name)
 }
 
 // CallerLimits implements filter.Limits.
-func (r records) CallerLimits(caller string) api.LimitsSpec {
-	return r.configs.Limits(caller)
+func (r configAdapter) CallerLimits(caller string) api.LimitsSpec {
+	return r.configState.Limits(caller)
 }
 
-// Requests answers other entry VMs' hand-overs. Its methods are called by
-// net/rpc.
+// Requests serves requests that other entry VMs hand over. Its methods are called
+// by net/rpc.
 type Requests struct {
-	chain *filter.Chain
-	wait  time.Duration // longest that a hand-over may take
+	chain   *filter.Chain
+	maxWait time.Duration // maximum duration of a handover
 }
 
-// Names of the peers' service and its methods.
+// Names of the service and its methods.
 const (
 	requestsService = "Requests"
 	methodForward   = requestsService + ".Forward"
 	methodAnswerOf  = requestsService + ".AnswerOf"
 )
 
-// errNotTaking refuses a hand-over unread: the entry VM drains or is not ready,
-// and the sender may ask another.
-var errNotTaking = errors.New("entry: takes no hand-overs")
+// errHandoversRefused refuses a handover before it is processed, because this entry
+// VM drains or is not ready. The sender may try another entry VM. The sender
+// compares the text, so it must not change.
+var errHandoversRefused = errors.New("entry: takes no hand-overs")
 
-// Forward runs a request that another entry VM handed over.
+// Forward processes a request that another entry VM has handed over.
 func (r *Requests) Forward(req *filter.ForwardRequest, reply *filter.ForwardReply) error {
 	if r.chain.Gate().State() != filter.GateOpen {
-		return errNotTaking
+		return errHandoversRefused
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), min(req.Remaining, r.wait))
+	ctx, cancel := context.WithTimeout(context.Background(), min(req.Remaining, r.maxWait))
 	defer cancel()
 	*reply = *r.chain.ServeForward(ctx, req)
 	return nil
 }
 
-// AnswerOf tells what became of a request that this entry VM marked.
+// AnswerOf returns the outcome of a request that this entry VM has marked.
 func (r *Requests) AnswerOf(query *filter.AnswerQuery, reply *filter.AnswerReply) error {
-	ctx, cancel := context.WithTimeout(context.Background(), min(query.Wait+r.wait, r.wait))
+	ctx, cancel := context.WithTimeout(context.Background(), min(query.Wait+r.maxWait, r.maxWait))
 	defer cancel()
 	*reply = *r.chain.AnswerOf(ctx, query)
 	return nil
--- a/internal/entry/run.go
+++ b/internal/entry/run.go
@@ -14,31 +14,31 @@
 	"github.com/skylarklock/skylarklock/internal/reqkey"
 )
 
-// stopGrace bounds the parts of a shutdown that come after the drain.
-const stopGrace = 2 * time.Second
+// shutdownGrace is the timeout of each step of a shutdown after the drain.
+const shutdownGrace = 2 * time.Second
 
-// rotationInterval is the time between two looks at the age of request keys.
+// rotationInterval is the interval at which the age of request keys is checked.
 const rotationInterval = time.Second
 
-// handOverPatience is how old the last reading of the log may be in a
-// hand-over.
-const handOverPatience = 5 * time.Second
+// maxHandoverLogAge is the maximum age of the last read of the log while shards are
+// released.
+const maxHandoverLogAge = 5 * time.Second
 
-// readinessInterval is the time between two looks at the streams' state.
-const readinessInterval = 50 * time.Millisecond
+// pollInterval is the interval at which the state of streams and requests is checked.
+const pollInterval = 50 * time.Millisecond
 
 // ErrAborted is returned by Run after Abort.
 var ErrAborted = errors.New("entry: aborted")
 
-// Abort makes Run end at once, without a drain: requests in flight are cut off
-// and nothing is handed over, as when the process dies.
+// Abort makes Run return immediately without a drain, as if the process had
+// crashed: requests in flight are aborted and no shard is released.
 func (n *Node) Abort() {
 	n.abortOnce.Do(func() { close(n.aborted) })
 }
 
-// Run serves until ctx ends, then shuts down gracefully within the drain
-// deadline. It returns nil after a graceful shutdown, and otherwise the error
-// of the part that failed first.
+// Run serves until ctx ends and then shuts down gracefully within the drain
+// deadline. It returns nil after a graceful shutdown, and otherwise the error of
+// the component that failed first.
 func (n *Node) Run(ctx context.Context) error {
 	n.log.WithFields(logrus.Fields{
 		"event": "entry_started", "incarnation": n.origin.Incarnation,
@@ -51,18 +51,18 @@
 	n.addServers(work, &g)
 	g.Add(func() error { return n.awaitShutdown(ctx, work) }, func(error) { stopWork() })
 	err := g.Run()
-	n.handovers.Close()
-	n.heartbeats.Close()
+	n.handoverClient.Close()
+	n.heartbeatClient.Close()
 	if ctx.Err() != nil && errors.Is(err, context.Canceled) {
-		err = nil // loops end so after a graceful shutdown
+		err = nil // the loops return this after a graceful shutdown
 	}
 	n.log.WithField("event", "entry_stopped").Info("entry stopped")
 	return err
 }
 
-// addLoops adds every controller.
+// addLoops adds the loops of every component.
 func (n *Node) addLoops(work context.Context, g *run.Group) {
-	loops := []func(context.Context) error{
+	runFuncs := []func(context.Context) error{
 		n.streams.config.Run,
 		n.streams.cell.Run,
 		n.members.Run,
@@ -71,17 +71,17 @@
 		n.rotateKeys,
 		n.bootstrap,
 	}
-	loops = append(loops, n.cell.loops()...)
-	for _, loop := range loops {
+	runFuncs = append(runFuncs, n.cell.runFuncs()...)
+	for _, loop := range runFuncs {
 		ctx, cancel := context.WithCancel(work)
 		g.Add(func() error { return loop(ctx) }, func(error) { cancel() })
 	}
 }
 
-// watchReadiness opens the gate to callers once the state is complete, and
-// closes it when a stream has a gap.
+// watchReadiness opens the gate for callers once the state is complete, and closes
+// it when a stream has a gap.
 func (n *Node) watchReadiness(ctx context.Context) error {
-	ticker := time.NewTicker(readinessInterval)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		n.chain.Gate().SetReady(n.streams.ready())
@@ -93,8 +93,8 @@
 	}
 }
 
-// rotateKeys starts new generations of request keys, so that marks older than
-// the retention are forgotten by all entry VMs alike.
+// rotateKeys starts new generations of request keys, so that all entry VMs remove
+// the same marks once these are older than the retention.
 func (n *Node) rotateKeys(ctx context.Context) error {
 	limits := reqkey.DefaultLimits
 	rotation := &reqkey.Rotation{
@@ -109,14 +109,14 @@
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		if err := n.keys.Rotate(ctx, rotation, time.Now()); err != nil {
-			n.counters.Inc("request_keys", "rotation_not_applied") // the next look tries again
+		if err := n.requestKeys.Rotate(ctx, rotation, time.Now()); err != nil {
+			n.counters.Inc("request_keys", "rotation_not_applied") // the next check tries again
 		}
 	}
 }
 
-// addServers adds the three listeners. The callers' server ends with the drain
-// and then waits for the rest of the shutdown.
+// addServers adds the servers of the three listeners. The callers' server ends
+// during the drain and then waits for the rest of the shutdown.
 func (n *Node) addServers(work context.Context, g *run.Group) {
 	operators := operator.NewServer(n.operatorHandler(), n.settings.Limits)
 	g.Add(
@@ -127,35 +127,35 @@
 			<-work.Done()
 			return nil
 		},
-		func(error) { n.stopCallers() },
+		func(error) { n.drainCallers() },
 	)
 	g.Add(
 		func() error { return n.peerServer.Serve(n.listeners.peers) },
-		func(error) { n.stopWithin(n.peerServer.Shutdown) },
+		func(error) { n.stopWithGrace(n.peerServer.Shutdown) },
 	)
 	g.Add(
 		func() error { return operators.Serve(n.listeners.operators) },
-		func(error) { n.stopWithin(operators.Shutdown) },
+		func(error) { n.stopWithGrace(operators.Shutdown) },
 	)
 }
 
-// handOver releases what this node holds. It gives up once the log has not
-// been read for a while: without it nothing can be handed over, and the others
-// take over after the hold time.
-func (n *Node) handOver(ctx context.Context) error {
-	ctx, giveUp := context.WithCancelCause(ctx)
-	defer giveUp(nil)
-	watch := time.NewTicker(readinessInterval)
-	defer watch.Stop()
+// releaseShards releases the shards that this node holds. It stops once the log
+// has not been read for maxHandoverLogAge: without the log no shard can be
+// released, and the other members take over after the hold duration.
+func (n *Node) releaseShards(ctx context.Context) error {
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	go func() {
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-watch.C:
+			case <-ticker.C:
 			}
-			if time.Since(n.streams.cell.ConfirmedAt()) > handOverPatience {
-				giveUp(errLogUnread)
+			if time.Since(n.streams.cell.ConfirmedAt()) > maxHandoverLogAge {
+				cancel(errLogUnreadable)
 				return
 			}
 		}
@@ -166,20 +166,20 @@
 	return nil
 }
 
-// errLogUnread ends a hand-over that can't be journaled.
-var errLogUnread = errors.New("the log can't be read")
+// errLogUnreadable is the cause of ending a release that can't be journaled.
+var errLogUnreadable = errors.New("the log can't be read")
 
-// stopCallers drains the callers' server, unless that was done.
-func (n *Node) stopCallers() {
+// drainCallers drains the callers' server unless it was drained before.
+func (n *Node) drainCallers() {
 	if !n.front.Leaving() {
-		n.stopWithin(n.front.Drain)
+		n.stopWithGrace(n.front.Drain)
 	}
 }
 
-// stopWithin calls stop, which gets the grace for what is still open. An
-// aborted node has none.
-func (n *Node) stopWithin(stop func(context.Context) error) {
-	ctx, cancel := context.WithTimeout(context.Background(), stopGrace)
+// stopWithGrace calls stop with the timeout shutdownGrace. The context of an aborted
+// node has already ended.
+func (n *Node) stopWithGrace(stop func(context.Context) error) {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownGrace)
 	defer cancel()
 	select {
 	case <-n.aborted:
@@ -189,7 +189,8 @@
 	_ = stop(ctx)
 }
 
-// awaitShutdown waits until ctx ends and drains.
+// awaitShutdown waits until ctx ends and then drains. It returns early if the node
+// is aborted or another component fails.
 func (n *Node) awaitShutdown(ctx, work context.Context) error {
 	select {
 	case <-work.Done():
@@ -212,43 +213,43 @@
 	return nil
 }
 
-// drain answers the callers and meanwhile hands the shards over, so that
-// others use the endpoints while the last requests here are in flight. The
-// node leaves the roster after its last answer. When nobody can take over, the
-// shards are kept until then.
+// drain answers the callers and releases the shards at the same time, so that
+// other members use the endpoints while the last requests of this node are in
+// flight. The node leaves the roster after its last answer. If no member can take
+// over, it keeps the shards until then.
 func (n *Node) drain(ctx context.Context) {
-	leave := sync.OnceFunc(func() {
-		n.awaitUnqueued(ctx)
-		n.drainStep(ctx, "ownership", n.handOver)
+	releaseOnce := sync.OnceFunc(func() {
+		n.awaitRequestsDispatched(ctx)
+		n.runDrainStep(ctx, "ownership", n.releaseShards)
 	})
-	if n.canHandOver() {
-		go leave()
+	if n.canReleaseShards() {
+		go releaseOnce()
 	}
-	n.drainStep(ctx, "callers", n.front.Drain)
-	n.drainStep(ctx, "outcomes", n.chain.Close)
-	n.answered.Store(true)
-	leave()
+	n.runDrainStep(ctx, "callers", n.front.Drain)
+	n.runDrainStep(ctx, "outcomes", n.chain.Close)
+	n.callersAnswered.Store(true)
+	releaseOnce()
 }
 
-// canHandOver reports whether there is another member, and the log that a
-// hand-over goes through.
-func (n *Node) canHandOver() bool {
-	roster, _ := n.streams.owners.Roster()
+// canReleaseShards reports whether shards can be released to others: there is another
+// member, and the log can be read.
+func (n *Node) canReleaseShards() bool {
+	roster, _ := n.streams.ownershipState.Roster()
 	return len(roster) > 1 && time.Since(n.streams.cell.ConfirmedAt()) < n.settings.Hold.Hold.Std()
 }
 
-func (n *Node) drainStep(ctx context.Context, name string, do func(context.Context) error) {
+func (n *Node) runDrainStep(ctx context.Context, name string, do func(context.Context) error) {
 	if err := do(ctx); err != nil {
 		n.log.WithError(err).WithField("step", name).Warn("drain incomplete")
 	}
 }
 
-// awaitUnqueued waits until nothing new is taken on and every request in
-// flight is at an endpoint: one that waits for a slot would find none after
-// the hand-over.
-func (n *Node) awaitUnqueued(ctx context.Context) {
-	look := time.NewTicker(readinessInterval)
-	defer look.Stop()
+// awaitRequestsDispatched waits until new requests are refused and every request in
+// flight has been sent to an endpoint. A request that waits for a slot would not
+// get one after the shards are released.
+func (n *Node) awaitRequestsDispatched(ctx context.Context) {
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	for {
 		gate := n.chain.Gate()
 		if gate.State() == filter.GateDraining && gate.InFlight() <= n.router.InFlight() {
@@ -257,7 +258,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-look.C:
+		case <-ticker.C:
 		}
 	}
 }
--- a/internal/entry/world_test.go
+++ b/internal/entry/schedulerstate_test.go
@@ -12,19 +12,19 @@
 	"github.com/skylarklock/skylarklock/internal/scheduler"
 )
 
-// applied applies what is proposed at once.
-type applied struct{ machine journal.StateMachine }
+// applyingProposer applies proposed entries immediately.
+type applyingProposer struct{ machine journal.StateMachine }
 
-func (a applied) Propose(_ context.Context, e journal.Entry) error {
+func (a applyingProposer) Propose(_ context.Context, e journal.Entry) error {
 	return a.machine.Apply(journal.Position{}, e)
 }
 
-// A quota that is published or deleted while this node places tasks is in
-// force from the next cycle on.
+// TestQuotaChangeAppliesToNextCycle checks that a quota that is published or
+// deleted while this node places tasks is in force from the next cycle on.
 func TestQuotaChangeAppliesToNextCycle(t *testing.T) {
 	configs := config.NewStateMachine()
-	publisher := config.NewPublisher(configs, applied{configs})
-	w := (&Node{streams: &streams{configs: configs}}).newWorld()
+	publisher := config.NewPublisher(configs, applyingProposer{configs})
+	w := (&Node{streams: &streams{configState: configs}}).newSchedulerState()
 	now := time.Now()
 	w.PutVM(scheduler.VM{ID: "v", Schedulable: true, Capacity: api.Resources{MilliCPU: 10, MemoryMB: 10}})
 	one := api.Resources{MilliCPU: 1, MemoryMB: 1}
@@ -49,6 +49,6 @@
 	}
 	publish(revision, true)
 	if n := len(w.Cycle(now.Add(time.Second), 10).Starts); n != 2 {
-		t.Fatalf("%d starts once the quota is gone, want the other 2", n)
+		t.Fatalf("%d starts after the quota was deleted, want the other 2", n)
 	}
 }
--- a/internal/entry/streams.go
+++ b/internal/entry/streams.go
@@ -16,42 +16,43 @@
 	"github.com/skylarklock/skylarklock/internal/settings"
 )
 
-// ConfigStream is the stream of operators' records.
+// ConfigStream is the name of the stream of operators' records.
 const ConfigStream = "config"
 
-// DataCentreStream returns the stream of a data centre.
+// DataCentreStream returns the name of a data centre's stream.
 func DataCentreStream(dc api.DataCentre) string {
 	return "dc/" + string(dc)
 }
 
-// configShare is the share of a node's appends that is kept for the config
+// configAppendShare is the share of a node's appends that is reserved for the config
 // stream.
-const configShare = 0.2
+const configAppendShare = 0.2
 
-// confirmationsPerHold is how often a quiet stream is read in a hold time, so
-// that one read that fails does not end the hold.
-const confirmationsPerHold = 5
+// readsPerHold is how often an idle stream is read within the hold duration, so that
+// one failed read does not end the hold.
+const readsPerHold = 5
 
-// streams are the two streams that an entry VM follows.
+// streams holds the two streams that an entry VM follows: the state machines and
+// the replicas that feed them.
 type streams struct {
-	configs *config.StateMachine
-	owners  *ownership.StateMachine
-	marks   *reqkey.StateMachine
-	tasks   *cell.Machine
+	configState    *config.StateMachine
+	ownershipState *ownership.StateMachine
+	markState      *reqkey.StateMachine
+	cellState      *cell.Machine
 
 	config *journal.Replica
 	cell   *journal.Replica
 }
 
-// newStreams makes the machines and the replicas that feed them. entries
-// tells how many entry VMs share the budget of appends.
+// newStreams creates the state machines and the replicas that feed them. entries
+// returns how many entry VMs share the append budget.
 func newStreams(s *settings.Settings, log platform.Log, origin journal.Origin, entries func() int, counters *counter.Set, logger logrus.FieldLogger) (*streams, error) {
 	st := &streams{
-		configs: config.NewStateMachine(),
-		owners:  ownership.NewStateMachine(),
-		marks:   reqkey.NewStateMachine(),
+		configState:    config.NewStateMachine(),
+		ownershipState: ownership.NewStateMachine(),
+		markState:      reqkey.NewStateMachine(),
 	}
-	st.tasks = cell.New(epochSource{owners: st.owners}, counters)
+	st.cellState = cell.New(epochSource{ownershipState: st.ownershipState}, counters)
 	replica := func(stream string, share float64, pollWait time.Duration, machines ...journal.StateMachine) (*journal.Replica, error) {
 		return journal.NewReplica(journal.Config{
 			Stream: stream, Origin: origin, Log: log, StateMachines: machines, Logger: logger,
@@ -72,32 +73,32 @@
 		})
 	}
 	readWait := s.Log.ReadWait.Std()
-	holdWait := min(readWait, s.Hold.Hold.Std()/confirmationsPerHold)
+	holdWait := min(readWait, s.Hold.Hold.Std()/readsPerHold)
 	var err error
-	if st.config, err = replica(ConfigStream, configShare, readWait, st.configs); err != nil {
+	if st.config, err = replica(ConfigStream, configAppendShare, readWait, st.configState); err != nil {
 		return nil, err
 	}
-	if st.cell, err = replica(DataCentreStream(s.DataCentre), 1-configShare, holdWait, st.owners, st.marks, st.tasks); err != nil {
+	if st.cell, err = replica(DataCentreStream(s.DataCentre), 1-configAppendShare, holdWait, st.ownershipState, st.markState, st.cellState); err != nil {
 		return nil, err
 	}
 	return st, nil
 }
 
-// ready reports whether both streams are complete.
+// ready reports whether the state of both streams is complete.
 func (st *streams) ready() bool {
 	return st.config.Ready() && st.cell.Ready()
 }
 
-// epochSource tells the cell's machine which epoch holds the placement shard
-// at the place in the log that is being applied.
+// epochSource provides the cell's state machine with the epoch of the placement
+// shard at the log position that is being applied.
 type epochSource struct {
-	owners *ownership.StateMachine
+	ownershipState *ownership.StateMachine
 }
 
-// CellEpoch implements cell.EpochSource. It is zero while nobody holds the
+// CellEpoch implements cell.EpochSource. It returns zero while nobody holds the
 // shard, so that no start is accepted.
 func (e epochSource) CellEpoch() api.Epoch {
-	h := e.owners.Holder(ownership.Cell)
+	h := e.ownershipState.Holder(ownership.Cell)
 	if h.Status != ownership.StatusHeld {
 		return 0
 	}
--- a/internal/entry/traffic_test.go
+++ b/internal/entry/traffic_test.go
@@ -13,14 +13,14 @@
 	"github.com/skylarklock/skylarklock/internal/standin/executor"
 )
 
-// awaitServing waits until every one of nodes answers requests of both kinds,
-// those whose home is another data centre included.
+// awaitServing waits until each of nodes runs idempotent and other requests,
+// including those whose home is another data centre.
 func (c *cluster) awaitServing(nodes ...*process) {
 	c.t.Helper()
 	c.awaitIdempotent(nodes...)
-	c.each(nodes, func(p *process) bool {
+	c.checkEach(nodes, func(p *process) bool {
 		for _, home := range p.settings.DataCentres {
-			if !c.within(func() bool { return c.serves(p, string(home)+"/", false) }) {
+			if !c.poll(func() bool { return c.probe(p, string(home)+"/", false) }) {
 				return false
 			}
 		}
@@ -28,20 +28,21 @@
 	})
 }
 
-// awaitIdempotent waits until every one of nodes answers idempotent requests.
+// awaitIdempotent waits until each of nodes runs idempotent requests.
 func (c *cluster) awaitIdempotent(nodes ...*process) {
 	c.t.Helper()
-	c.each(nodes, func(p *process) bool { return c.within(func() bool { return c.serves(p, "", true) }) })
+	c.checkEach(nodes, func(p *process) bool { return c.poll(func() bool { return c.probe(p, "", true) }) })
 }
 
-// each calls served for all of nodes at once; all must be true.
-func (c *cluster) each(nodes []*process, served func(p *process) bool) {
+// checkEach calls served concurrently for all nodes and fails the test unless all
+// calls return true.
+func (c *cluster) checkEach(nodes []*process, served func(p *process) bool) {
 	c.t.Helper()
 	var all sync.WaitGroup
 	for _, p := range nodes {
 		all.Go(func() {
 			if !served(p) {
-				c.t.Errorf("%s doesn't serve", p.settings.NodeID)
+				c.t.Errorf("%s does not serve requests", p.settings.NodeID)
 			}
 		})
 	}
@@ -51,13 +52,14 @@
 	}
 }
 
-// serves sends one request through p and reports whether it ran.
-func (c *cluster) serves(p *process, prefix string, idempotent bool) bool {
+// probe sends requests through p until the first result and reports whether a
+// request ran.
+func (c *cluster) probe(p *process, prefix string, idempotent bool) bool {
 	ran := false
-	id := fmt.Sprintf("%s%s-probe-%d", prefix, p.settings.NodeID, c.rec.Now())
-	c.load(id, load.Config{
-		Entries: []string{p.callers()}, MaxOpen: 1, Duration: time.Second,
-		Streams: []load.Stream{{Service: service, Rate: 1000, Idempotent: idempotent, Timeout: c.timeout}},
+	id := fmt.Sprintf("%s%s-probe-%d", prefix, p.settings.NodeID, c.recorder.Now())
+	c.runLoad(id, load.Config{
+		Entries: []string{p.callersAddress()}, MaxOpen: 1, Duration: time.Second,
+		Streams: []load.Stream{{Service: serviceName, Rate: 1000, Idempotent: idempotent, Timeout: c.requestTimeout}},
 	}, func(r *load.Runner, stop func()) {
 		record := r.OnSample
 		r.OnSample = func(s load.Sample) {
@@ -69,8 +71,8 @@
 	return ran
 }
 
-// load runs a load to its end and records it.
-func (c *cluster) load(prefix string, cfg load.Config, prepare ...func(r *load.Runner, stop func())) []*load.Result {
+// runLoad runs a load to its end and records the requests.
+func (c *cluster) runLoad(prefix string, cfg load.Config, prepare ...func(r *load.Runner, stop func())) []*load.Result {
 	cfg.Seed, cfg.IDPrefix = 1, prefix
 	runner, err := load.NewRunner(cfg)
 	must(c.t, err)
@@ -85,26 +87,26 @@
 }
 
 func (c *cluster) record(cfg load.Config, s load.Sample) {
-	end := c.rec.Now()
+	end := c.recorder.Now()
 	stream := cfg.Streams[s.Stream]
-	c.rec.AddRequest(history.Request{
+	c.recorder.AddRequest(history.Request{
 		ID: s.ID, Idempotent: stream.Idempotent, Body: make([]byte, stream.BodyBytes), Start: end - s.Latency, End: end,
 		Outcome: s.Outcome, Reason: s.Reason, Status: s.Status, Answer: s.Answer, Checksum: s.Checksum,
 	})
 }
 
-// traffic is load of both kinds through all of nodes, with repeats of half of
-// the ids through another entry VM, while faults are made.
+// traffic sends idempotent and other requests through all nodes while faults runs.
+// Half of the request IDs are sent a second time through another entry VM.
 func (c *cluster) traffic(nodes []*process, faults func(), prepare ...func(r *load.Runner, stop func())) []*load.Result {
 	c.t.Helper()
 	cfg := load.Config{MaxOpen: 500, Duration: load.MaxDuration}
 	for _, idempotent := range []bool{true, false} {
 		cfg.Streams = append(cfg.Streams, load.Stream{
-			Caller: fmt.Sprintf("caller-%t", idempotent), Service: service, Rate: c.rate, Idempotent: idempotent, BodyBytes: 1000, Timeout: c.timeout, Repeat: 0.5,
+			Caller: fmt.Sprintf("caller-%t", idempotent), Service: serviceName, Rate: c.requestRate, Idempotent: idempotent, BodyBytes: 1000, Timeout: c.requestTimeout, Repeat: 0.5,
 		})
 	}
 	for _, p := range nodes {
-		cfg.Entries = append(cfg.Entries, p.callers())
+		cfg.Entries = append(cfg.Entries, p.callersAddress())
 	}
 	over := func(_ *load.Runner, stop func()) {
 		go func() {
@@ -112,7 +114,7 @@
 			faults()
 		}()
 	}
-	results := c.load("r", cfg, append(prepare, over)...)
+	results := c.runLoad("r", cfg, append(prepare, over)...)
 	for i, r := range results {
 		var line bytes.Buffer
 		r.Print(&line, cfg.Streams[i].Caller)
@@ -121,24 +123,24 @@
 	return results
 }
 
-// answered waits until n more requests were answered as run.
-func (c *cluster) answered(n int) {
-	before := c.ran()
-	c.await(fmt.Sprintf("%d answers", n), func() bool { return c.ran() >= before+n })
+// waitAnswered waits until n more requests have run according to their answers.
+func (c *cluster) waitAnswered(n int) {
+	before := c.ranCount()
+	c.await(fmt.Sprintf("%d answers", n), func() bool { return c.ranCount() >= before+n })
 }
 
-// outlasted waits until a fault has lasted, and requests were answered as run
-// meanwhile.
-func (c *cluster) outlasted() {
+// waitFaultDuration waits until a fault has lasted for minFaultDuration and more
+// requests have run in the meantime.
+func (c *cluster) waitFaultDuration() {
 	c.t.Helper()
 	start := time.Now()
-	c.answered(50)
-	c.await("the fault has lasted", func() bool { return time.Since(start) > faultTime })
+	c.waitAnswered(50)
+	c.await("the fault to last long enough", func() bool { return time.Since(start) > minFaultDuration })
 }
 
-func (c *cluster) ran() int {
+func (c *cluster) ranCount() int {
 	n := 0
-	for _, r := range c.rec.History().Requests {
+	for _, r := range c.recorder.History().Requests {
 		if r.Outcome == api.OutcomeRan {
 			n++
 		}
@@ -146,8 +148,8 @@
 	return n
 }
 
-// faulty sets the faults of the executors on vms.
-func (c *cluster) faulty(vms []api.VM, f executor.Faults) {
+// setExecutorFaults sets the faults of all executors on vms.
+func (c *cluster) setExecutorFaults(vms []api.VM, f executor.Faults) {
 	for _, vm := range vms {
 		for _, ep := range vm.Endpoints {
 			c.site.Executors[ep.ID].SetFaults(f)
