--- a/cmd/skylarklock/main_test.go
+++ b/cmd/skylarklock/main_test.go
@@ -98,15 +98,15 @@
 // once, a batch job finishes, and both processes shut down gracefully.
 func TestEndToEndWithSeparateProcesses(t *testing.T) {
 	s, err := site.Start(site.Config{
-		DataCentres: []api.DataCentre{"dc-a"}, VMs: 3, VMsPerRack: 2,
+		DataCentres: []api.DataCentre{"dc-a"}, VMsPerDataCentre: 3, VMsPerRack: 2,
 		Capacity: api.Resources{MilliCPU: 32_000, MemoryMB: 64 << 10},
-		Services: []site.Service{{Name: "torquebench", Executors: 3, Slots: 8, Connections: 60, ServiceTime: time.Millisecond}},
+		Services: []site.Service{{Name: "torquebench", ExecutorsPerDataCentre: 3, Slots: 8, Connections: 60, ServiceTime: time.Millisecond}},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	entries, err := s.Entries(2)
+	entries, err := s.EntrySettings(2)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -195,13 +195,13 @@
 // and checks that it terminates the process before the drain ends.
 func TestSecondSignalTerminatesImmediately(t *testing.T) {
 	s, err := site.Start(site.Config{
-		DataCentres: []api.DataCentre{"dc-a"}, VMs: 1, Capacity: api.Resources{MilliCPU: 1000, MemoryMB: 1000},
+		DataCentres: []api.DataCentre{"dc-a"}, VMsPerDataCentre: 1, Capacity: api.Resources{MilliCPU: 1000, MemoryMB: 1000},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	entries, err := s.Entries(1)
+	entries, err := s.EntrySettings(1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/capacity/idle.go
+++ b/internal/capacity/idle.go
@@ -33,13 +33,13 @@
 func idleSite(entries, vms int) (idle, error) {
 	before := liveBytes()
 	s, err := site.Start(site.Config{
-		DataCentres: []api.DataCentre{"dc-a"}, VMs: vms, VMsPerRack: 6, Capacity: vmSize,
+		DataCentres: []api.DataCentre{"dc-a"}, VMsPerDataCentre: vms, VMsPerRack: 6, Capacity: vmSize,
 	})
 	if err != nil {
 		return idle{}, err
 	}
 	defer s.Close()
-	all, err := s.Entries(entries)
+	all, err := s.EntrySettings(entries)
 	if err != nil {
 		return idle{}, err
 	}
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -18,8 +18,8 @@
 	Run func(size int) (cost float64, err error)
 }
 
-// All returns every measurement, in the order in which they are run.
-func All() []Measurement {
+// AllMeasurements returns every measurement, in the order in which they are run.
+func AllMeasurements() []Measurement {
 	var all []Measurement
 	for _, group := range []func() []Measurement{
 		cellMemory, cellTime, requestKeys, configRecords, ownershipPlan, heartbeats,
--- a/internal/capacity/measure_test.go
+++ b/internal/capacity/measure_test.go
@@ -31,7 +31,7 @@
 // Every measurement can be fitted and has a name of its own.
 func TestAllMeasurements(t *testing.T) {
 	known := make(map[string]bool)
-	for _, m := range All() {
+	for _, m := range AllMeasurements() {
 		if known[m.Name] || m.Run == nil || m.XLabel == "" || m.YLabel == "" || len(m.Sizes) < MinPoints {
 			t.Errorf("measurement %q is not complete or not the only one of its name", m.Name)
 		}
--- a/internal/capacity/process.go
+++ b/internal/capacity/process.go
@@ -82,7 +82,7 @@
 	return string(first)
 }
 
-// Machine describes what the figures were taken on.
-func Machine() string {
+// DescribeMachine describes what the figures were taken on.
+func DescribeMachine() string {
 	return fmt.Sprintf("%s, %d processors, %s/%s", runtime.Version(), runtime.NumCPU(), runtime.GOOS, runtime.GOARCH)
 }
--- a/internal/capacity/whole.go
+++ b/internal/capacity/whole.go
@@ -29,14 +29,14 @@
 // second of one entry process, its callers and its executors.
 func wholeRequests(int) (map[int]float64, error) {
 	s, err := site.Start(site.Config{
-		DataCentres: []api.DataCentre{"dc-a"}, VMs: 50, VMsPerRack: 6, Capacity: vmSize,
-		Services: []site.Service{{Name: "torquebench", Executors: 50, Slots: 8, Connections: 60, ServiceTime: time.Millisecond}},
+		DataCentres: []api.DataCentre{"dc-a"}, VMsPerDataCentre: 50, VMsPerRack: 6, Capacity: vmSize,
+		Services: []site.Service{{Name: "torquebench", ExecutorsPerDataCentre: 50, Slots: 8, Connections: 60, ServiceTime: time.Millisecond}},
 	})
 	if err != nil {
 		return nil, err
 	}
 	defer s.Close()
-	all, err := s.Entries(1)
+	all, err := s.EntrySettings(1)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/controller/placement/site_test.go
+++ b/internal/controller/placement/site_test.go
@@ -127,7 +127,7 @@
 			return platform.WorkerReport{}, platform.ErrWorkerUncertain
 		}
 	}
-	if w.Dead() || b.chance(5) {
+	if w.IsFrozen() || b.chance(5) {
 		return platform.WorkerReport{}, platform.ErrWorkerUncertain
 	}
 	report, err := w.Sync(msg)
--- a/internal/ctl/capacity.go
+++ b/internal/ctl/capacity.go
@@ -62,9 +62,9 @@
 // prints their results. Unless out is empty, it also writes plots to that
 // directory.
 func runCapacity(ctx context.Context, stdout io.Writer, only []string, out string) ([]capacityResult, error) {
-	fmt.Fprintf(stdout, "machine=%q load_average=%s\n", capacity.Machine(), capacity.LoadAverage())
+	fmt.Fprintf(stdout, "machine=%q load_average=%s\n", capacity.DescribeMachine(), capacity.LoadAverage())
 	var results []capacityResult
-	for _, m := range capacity.All() {
+	for _, m := range capacity.AllMeasurements() {
 		if !isSelected(m.Name, only) {
 			continue
 		}
--- a/internal/ctl/load.go
+++ b/internal/ctl/load.go
@@ -25,7 +25,7 @@
 	fs.Var(&streams, "stream", "`key=value,...` of one stream, may be given several times: "+streamKeys)
 	cfg := load.Config{}
 	fs.DurationVar(&cfg.Duration, "for", 10*time.Second, "how long to send, at most 5m")
-	fs.DurationVar(&cfg.Check, "check", 500*time.Millisecond, "between looks at the readiness of entry VMs; 0: none")
+	fs.DurationVar(&cfg.ReadinessInterval, "check", 500*time.Millisecond, "between looks at the readiness of entry VMs; 0: none")
 	fs.IntVar(&cfg.MaxOpen, "max-open", 5000, "open requests of all streams")
 	fs.Uint64Var(&cfg.Seed, "seed", 1, "of the times between requests")
 	return &ffcli.Command{
@@ -93,7 +93,7 @@
 	case "rate":
 		s.Rate, err = strconv.ParseFloat(value, 64)
 	case "repeat":
-		s.Repeat, err = strconv.ParseFloat(value, 64)
+		s.RepeatShare, err = strconv.ParseFloat(value, 64)
 	case "bytes":
 		s.BodyBytes, err = strconv.Atoi(value)
 	case "idempotent":
--- a/internal/ctl/standin.go
+++ b/internal/ctl/standin.go
@@ -42,10 +42,10 @@
 				return flag.ErrHelp
 			}
 			cfg := site.Config{
-				VMs: *vms, VMsPerRack: 6,
+				VMsPerDataCentre: *vms, VMsPerRack: 6,
 				Capacity: api.Resources{MilliCPU: 32_000, MemoryMB: 64 << 10},
 				Services: []site.Service{{
-					Name: "torquebench", Executors: *executors, Slots: 8, Connections: 60,
+					Name: "torquebench", ExecutorsPerDataCentre: *executors, Slots: 8, Connections: 60,
 					ServiceTime: 40 * time.Millisecond, Spread: 0.5,
 				}},
 			}
@@ -63,7 +63,7 @@
 		return err
 	}
 	defer s.Close()
-	all, err := s.Entries(entries)
+	all, err := s.EntrySettings(entries)
 	if err != nil {
 		return err
 	}
@@ -78,7 +78,7 @@
 		}
 		fmt.Fprintf(stdout, "settings=%s callers=%s operators=%s\n", path, e.Listen.Callers, e.Listen.Operators)
 	}
-	fmt.Fprintf(stdout, "log=%s vm_list=%s workers=%s\n", s.LogAddress, s.ListAddress, s.WorkerAddress)
+	fmt.Fprintf(stdout, "log=%s vm_list=%s workers=%s\n", s.LogAddress, s.VMListAddress, s.WorkerAddress)
 	ctx, cancel := context.WithTimeout(ctx, duration)
 	defer cancel()
 	<-ctx.Done()
--- a/internal/demo/jobs.go
+++ b/internal/demo/jobs.go
@@ -63,7 +63,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Wrapf(ErrBroken, "service %s has tasks %v", serviceJob, status.Tasks)
+			return errors.Wrapf(ErrGuaranteeViolated, "service %s has tasks %v", serviceJob, status.Tasks)
 		case <-time.After(settlePoll):
 		}
 	}
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -27,8 +27,8 @@
 	maxAttempts   = 3 // runs that one copy of an idempotent request may cause
 )
 
-// ErrBroken is returned when a promise was broken.
-var ErrBroken = errors.New("a promise was broken")
+// ErrGuaranteeViolated is returned when a promise was broken.
+var ErrGuaranteeViolated = errors.New("a promise was broken")
 
 // Run runs the demo and prints what happened to out; the nodes log to logs.
 // It fails with ErrBroken, or with what kept it from running.
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, err
 	}
-	entries, err := s.Entries(entriesPerDC)
+	entries, err := s.EntrySettings(entriesPerDC)
 	if err != nil {
 		s.Close()
 		return nil, err
@@ -77,7 +77,7 @@
 func traffic(ctx context.Context, c *cluster.Cluster, recorder *history.Recorder, out io.Writer) error {
 	cfg := load.Config{
 		Entries: c.Callers(), Streams: streams(), Duration: trafficFor,
-		MaxOpen: 4000, Check: balancerCheck, Seed: seed, IDPrefix: "demo",
+		MaxOpen: 4000, ReadinessInterval: balancerCheck, Seed: seed, IDPrefix: "demo",
 	}
 	runner, err := load.NewRunner(cfg)
 	if err != nil {
@@ -120,7 +120,7 @@
 		fmt.Fprintf(out, "broken %s\n", v)
 	}
 	if len(violations) > 0 {
-		return errors.Wrapf(ErrBroken, "%d violations", len(violations))
+		return errors.Wrapf(ErrGuaranteeViolated, "%d violations", len(violations))
 	}
 	fmt.Fprintf(out, "kept: at most once, not-run is true, whole answers, slots and connections, one place, capacity, truthful jobs; requests=%d\n", len(h.Requests))
 	return nil
--- a/internal/demo/scenario.go
+++ b/internal/demo/scenario.go
@@ -27,18 +27,18 @@
 func siteConfig(seed uint64) site.Config {
 	service := func(name string, mean time.Duration) site.Service {
 		return site.Service{
-			Name: name, Executors: executorsPerDC, Slots: 8, Connections: 60,
+			Name: name, ExecutorsPerDataCentre: executorsPerDC, Slots: 8, Connections: 60,
 			ServiceTime: mean, Spread: 0.5,
 		}
 	}
 	return site.Config{
-		DataCentres: []api.DataCentre{"dc-a", "dc-b", "dc-c", "dc-d"},
-		VMs:         vmsPerDC,
-		VMsPerRack:  vmsPerRack,
-		Capacity:    api.Resources{MilliCPU: 32_000, MemoryMB: 64 << 10},
-		Services:    []site.Service{service("torquebench", 60*time.Millisecond), service("auction", 90*time.Millisecond)},
-		UsageLag:    500 * time.Millisecond,
-		Seed:        seed,
+		DataCentres:      []api.DataCentre{"dc-a", "dc-b", "dc-c", "dc-d"},
+		VMsPerDataCentre: vmsPerDC,
+		VMsPerRack:       vmsPerRack,
+		Capacity:         api.Resources{MilliCPU: 32_000, MemoryMB: 64 << 10},
+		Services:         []site.Service{service("torquebench", 60*time.Millisecond), service("auction", 90*time.Millisecond)},
+		UsageLag:         500 * time.Millisecond,
+		Seed:             seed,
 	}
 }
 
@@ -47,15 +47,15 @@
 	return []load.Stream{
 		{
 			Caller: "workshop", Class: "interactive", Service: "torquebench", Path: "/sweep",
-			Rate: 120, Idempotent: true, BodyBytes: 200, Timeout: 5 * time.Second, Repeat: 0.05,
+			Rate: 120, Idempotent: true, BodyBytes: 200, Timeout: 5 * time.Second, RepeatShare: 0.05,
 		},
 		{
 			Caller: "warranty", Class: "interactive", Service: "torquebench", Path: "/billed-check",
-			Rate: 40, BodyBytes: 200, Timeout: 5 * time.Second, Repeat: 0.1,
+			Rate: 40, BodyBytes: 200, Timeout: 5 * time.Second, RepeatShare: 0.1,
 		},
 		{
 			Caller: "sales", Class: "batch", Service: "auction", Path: "/deposit-check",
-			Rate: 40, BodyBytes: 400, Timeout: 8 * time.Second, Repeat: 0.1,
+			Rate: 40, BodyBytes: 400, Timeout: 8 * time.Second, RepeatShare: 0.1,
 		},
 	}
 }
@@ -84,7 +84,7 @@
 		}},
 		{4 * time.Second, "one worker VM restarts, another fails everything", func(_ context.Context, c *cluster.Cluster) {
 			c.Site.Workers.VM("dc-a-vm001").Restart()
-			c.Site.Workers.VM("dc-b-vm002").SetFaults(worker.Faults{FailEverything: true})
+			c.Site.Workers.VM("dc-b-vm002").SetFaults(worker.Faults{FailAllStarts: true})
 		}},
 		{5 * time.Second, "the log is down for two seconds", func(_ context.Context, c *cluster.Cluster) {
 			c.Site.Log.SetFaults(logserver.Faults{Down: true})
--- a/internal/entry/bootstrap_test.go
+++ b/internal/entry/bootstrap_test.go
@@ -21,14 +21,14 @@
 func TestStartWithLogDownTakesStateFromPeers(t *testing.T) {
 	t.Parallel()
 	s, err := site.Start(site.Config{
-		DataCentres: []api.DataCentre{"a"}, VMs: 1, Capacity: api.Resources{MilliCPU: 1000, MemoryMB: 1000},
-		Services: []site.Service{{Name: "torquebench", Executors: 2, Slots: 8, Connections: 60}},
+		DataCentres: []api.DataCentre{"a"}, VMsPerDataCentre: 1, Capacity: api.Resources{MilliCPU: 1000, MemoryMB: 1000},
+		Services: []site.Service{{Name: "torquebench", ExecutorsPerDataCentre: 2, Slots: 8, Connections: 60}},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	entries, err := s.Entries(2)
+	entries, err := s.EntrySettings(2)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/entry/cluster_test.go
+++ b/internal/entry/cluster_test.go
@@ -92,9 +92,9 @@
 	t.Helper()
 	t.Parallel()
 	s, err := site.Start(site.Config{
-		DataCentres: []api.DataCentre{"bne", "cas"}, VMs: 4, VMsPerRack: 2,
+		DataCentres: []api.DataCentre{"bne", "cas"}, VMsPerDataCentre: 4, VMsPerRack: 2,
 		Capacity: api.Resources{MilliCPU: 4000, MemoryMB: 4096},
-		Services: []site.Service{{Name: serviceName, Executors: 4, Slots: 8, Connections: 60, ServiceTime: meanServiceTime, Spread: 0.5}},
+		Services: []site.Service{{Name: serviceName, ExecutorsPerDataCentre: 4, Slots: 8, Connections: 60, ServiceTime: meanServiceTime, Spread: 0.5}},
 		Seed:     1,
 	})
 	must(t, err)
@@ -103,7 +103,7 @@
 	c := &cluster{t: t, site: s, net: newNetwork(), recorder: history.NewRecorder(), log: log, http: &http.Client{Timeout: waitTimeout},
 		requestRate: 30, requestTimeout: defaultRequestTimeout}
 	t.Cleanup(c.close)
-	all, err := s.Entries(2)
+	all, err := s.EntrySettings(2)
 	must(t, err)
 	c.registerAddresses(all)
 	for _, e := range all {
--- a/internal/entry/combined_faults_test.go
+++ b/internal/entry/combined_faults_test.go
@@ -41,13 +41,13 @@
 	},
 	func(c *cluster, r *rand.Rand) func() {
 		c.site.Log.SetFaults([]logserver.Faults{
-			{Down: true}, {Abort: true}, {Slow: 200 * time.Millisecond}, {LoseAnswers: 20}, {DropAppends: 10}, {LateAppends: 20, LateBy: time.Second},
+			{Down: true}, {Abort: true}, {Delay: 200 * time.Millisecond}, {LoseAnswers: 20}, {DropAppends: 10}, {LateAppends: 20, LateBy: time.Second},
 		}[r.IntN(6)])
 		return func() { c.site.Log.SetFaults(logserver.Faults{}) }
 	},
 	func(c *cluster, r *rand.Rand) func() {
 		vm := c.site.Workers.VM(c.site.VMs[r.IntN(len(c.site.VMs))].ID)
-		vm.SetFaults(worker.Faults{Frozen: r.IntN(2) == 0, LoseAnswers: 20, FailEverything: r.IntN(4) == 0})
+		vm.SetFaults(worker.Faults{Frozen: r.IntN(2) == 0, LoseAnswers: 20, FailAllStarts: r.IntN(4) == 0})
 		return func() { vm.SetFaults(worker.Faults{}); vm.Restart() }
 	},
 	func(c *cluster, r *rand.Rand) func() {
@@ -60,8 +60,8 @@
 		return func() { c.shutDown(p); c.replace(p) }
 	},
 	func(c *cluster, r *rand.Rand) func() {
-		c.site.List.SetDown(true)
-		return func() { c.site.List.SetDown(false) }
+		c.site.VMList.SetDown(true)
+		return func() { c.site.VMList.SetDown(false) }
 	},
 }
 
--- a/internal/entry/faults_test.go
+++ b/internal/entry/faults_test.go
@@ -68,7 +68,7 @@
 	}
 	checkReady()
 	balance := func(r *load.Runner, _ func()) {
-		r.Pick = func() string { return (*ready.Load())[picks.Add(1)%uint64(len(*ready.Load()))] }
+		r.PickEntry = func() string { return (*ready.Load())[picks.Add(1)%uint64(len(*ready.Load()))] }
 		record := r.OnSample
 		r.OnSample = func(s load.Sample) {
 			record(s)
@@ -121,7 +121,7 @@
 		"down":          {Down: true},
 		"aborts":        {Abort: true},
 		"read-only":     {RefuseWrites: true},
-		"slow":          {Slow: 200 * time.Millisecond},
+		"slow":          {Delay: 200 * time.Millisecond},
 		"loses answers": {LoseAnswers: 40},
 		"loses appends": {DropAppends: 20},
 		"late appends":  {LateAppends: 40, LateBy: time.Second},
@@ -185,17 +185,17 @@
 	c := startCluster(t)
 	c.traffic(c.nodes, func() {
 		c.waitAnswered(50)
-		c.site.List.SetDown(true)
+		c.site.VMList.SetDown(true)
 		c.waitFaultDuration()
-		c.site.List.SetDown(false)
+		c.site.VMList.SetDown(false)
 		for i, vm := range c.site.VMs {
 			if i%4 > 0 {
-				c.site.List.Remove(vm.ID)
+				c.site.VMList.Remove(vm.ID)
 			}
 		}
 		c.waitFaultDuration()
 		for _, vm := range c.site.VMs {
-			c.site.List.Put(vm)
+			c.site.VMList.Put(vm)
 		}
 		c.waitAnswered(50)
 	})
@@ -238,7 +238,7 @@
 		for i, vm := range c.site.VMs {
 			switch i % 4 {
 			case 0:
-				c.site.List.Leave(vm.ID)
+				c.site.VMList.MarkLeaving(vm.ID)
 			case 1:
 				c.site.Executors[vm.Endpoints[0].ID].SetFaults(executor.Faults{Leaving: true})
 			default:
--- a/internal/entry/jobs_test.go
+++ b/internal/entry/jobs_test.go
@@ -130,7 +130,7 @@
 		"restart":       func(vm *worker.VM) { vm.Restart() },
 		"loses answers": func(vm *worker.VM) { vm.SetFaults(worker.Faults{LoseAnswers: 30}) },
 		"slow answers":  func(vm *worker.VM) { vm.SetFaults(worker.Faults{Delay: 700 * time.Millisecond}) },
-		"fails all":     func(vm *worker.VM) { vm.SetFaults(worker.Faults{FailEverything: true}) },
+		"fails all":     func(vm *worker.VM) { vm.SetFaults(worker.Faults{FailAllStarts: true}) },
 		"leaving":       func(vm *worker.VM) { vm.SetFaults(worker.Faults{Leaving: true}) },
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/entry/traffic_test.go
+++ b/internal/entry/traffic_test.go
@@ -102,7 +102,7 @@
 	cfg := load.Config{MaxOpen: 500, Duration: load.MaxDuration}
 	for _, idempotent := range []bool{true, false} {
 		cfg.Streams = append(cfg.Streams, load.Stream{
-			Caller: fmt.Sprintf("caller-%t", idempotent), Service: serviceName, Rate: c.requestRate, Idempotent: idempotent, BodyBytes: 1000, Timeout: c.requestTimeout, Repeat: 0.5,
+			Caller: fmt.Sprintf("caller-%t", idempotent), Service: serviceName, Rate: c.requestRate, Idempotent: idempotent, BodyBytes: 1000, Timeout: c.requestTimeout, RepeatShare: 0.5,
 		})
 	}
 	for _, p := range nodes {
--- a/internal/experiment/cell.go
+++ b/internal/experiment/cell.go
@@ -29,8 +29,8 @@
 	if err != nil {
 		return nil, err
 	}
-	s.Log.SetFaults(logserver.Faults{Slow: cfg.LogDelay})
-	all, err := s.EntriesOf(cfg.Cell.Entries)
+	s.Log.SetFaults(logserver.Faults{Delay: cfg.LogDelay})
+	all, err := s.EntrySettingsFor(cfg.Cell.Entries)
 	if err != nil {
 		s.Close()
 		return nil, err
--- a/internal/experiment/command.go
+++ b/internal/experiment/command.go
@@ -23,16 +23,16 @@
 	cell := fs.String("cell", "voltwren", "whose sizes: voltwren or agence")
 	policy := fs.String("policy", both, "routing policies to compare, separated by commas")
 	var cfg Config
-	fs.IntVar(&cfg.Seconds, "seconds", 10, "length of each measured phase, 1 to 60")
+	fs.IntVar(&cfg.PhaseSeconds, "seconds", 10, "length of each measured phase, 1 to 60")
 	fs.DurationVar(&cfg.ServiceTime, "service-time", 400*time.Millisecond, "mean service time of the executors")
 	fs.DurationVar(&cfg.Timeout, "timeout", 1200*time.Millisecond, "of callers' requests")
-	fs.BoolVar(&cfg.Wait, "wait", false, "executors let requests wait beyond their slots")
+	fs.BoolVar(&cfg.WaitForSlot, "wait", false, "executors let requests wait beyond their slots")
 	fs.BoolVar(&cfg.PerEntry, "per-entry", false, "the same share of the load for each entry VM, not each data centre")
 	fs.DurationVar(&cfg.LogDelay, "log-delay", 5*time.Millisecond, "delay of every call of the log")
 	fs.DurationVar(&cfg.BatchDelay, "batch-delay", 0, "journal.batch_delay of the entry VMs; 0: the default")
-	fs.Float64Var(&cfg.Appends, "appends", 0, "journal.appends_per_second of the entry VMs; 0: the default")
+	fs.Float64Var(&cfg.AppendsPerSecond, "appends", 0, "journal.appends_per_second of the entry VMs; 0: the default")
 	fs.DurationVar(&cfg.Heartbeat, "heartbeat", 0, "hold.heartbeat of the entry VMs; 0: the default")
-	fs.IntVar(&cfg.Executors, "executors", 0, "executors in each data centre; 0: the cell's")
+	fs.IntVar(&cfg.ExecutorsPerDataCentre, "executors", 0, "executors in each data centre; 0: the cell's")
 	fs.Uint64Var(&cfg.Seed, "seed", 1, "of the load")
 	return &ffcli.Command{
 		Name:       "experiment",
@@ -48,8 +48,8 @@
 			if !ok {
 				return errors.Newf("experiment: no cell %q", *cell)
 			}
-			if cfg.Executors > 0 {
-				sizes.Executors = cfg.Executors
+			if cfg.ExecutorsPerDataCentre > 0 {
+				sizes.ExecutorsPerDataCentre = cfg.ExecutorsPerDataCentre
 			}
 			cfg.Cell = sizes
 			cfg.Policies = strings.Split(*policy, ",")
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -44,8 +44,8 @@
 		return err
 	}
 	fmt.Fprintf(w, "experiment=%s cell=%s entries=%v executors=%dx%d slots=%d service_time=%s timeout=%s seconds=%d wait=%t per_entry=%t log_delay=%s cpus=%d load_average=%q\n",
-		name, cfg.Cell.Name, cfg.Cell.Entries, len(cfg.Cell.DataCentres), cfg.Cell.Executors, slots,
-		cfg.ServiceTime, cfg.Timeout, cfg.Seconds, cfg.Wait, cfg.PerEntry, cfg.LogDelay, runtime.NumCPU(), loadAverage())
+		name, cfg.Cell.Name, cfg.Cell.Entries, len(cfg.Cell.DataCentres), cfg.Cell.ExecutorsPerDataCentre, slots,
+		cfg.ServiceTime, cfg.Timeout, cfg.PhaseSeconds, cfg.WaitForSlot, cfg.PerEntry, cfg.LogDelay, runtime.NumCPU(), loadAverage())
 	r := newReport(w)
 	err := do(ctx, cfg, r)
 	r.flush(w)
--- a/internal/experiment/faults.go
+++ b/internal/experiment/faults.go
@@ -145,7 +145,7 @@
 			}
 		}
 		if changed {
-			c.Site.List.Put(vm)
+			c.Site.VMList.Put(vm)
 		}
 	}
 }
--- a/internal/experiment/inforce.go
+++ b/internal/experiment/inforce.go
@@ -29,9 +29,9 @@
 		fault func()
 	}{
 		{"sound", func() {}},
-		{"answer lost", func() { c.Site.Log.SetFaults(logserver.Faults{Slow: cfg.LogDelay, LoseAnswers: 1}) }},
+		{"answer lost", func() { c.Site.Log.SetFaults(logserver.Faults{Delay: cfg.LogDelay, LoseAnswers: 1}) }},
 		{"answer lost, an entry VM dies", func() {
-			c.Site.Log.SetFaults(logserver.Faults{Slow: cfg.LogDelay, LoseAnswers: 1})
+			c.Site.Log.SetFaults(logserver.Faults{Delay: cfg.LogDelay, LoseAnswers: 1})
 			c.killLast()
 		}},
 	} {
--- a/internal/experiment/latency.go
+++ b/internal/experiment/latency.go
@@ -28,7 +28,7 @@
 func latency(ctx context.Context, cfg Config, r *report) error {
 	cfg.ServiceTime = quick
 	r.note("service_time=%s", quick)
-	one := site.Service{Name: single, Executors: 1, Slots: singleSlots, Connections: 2 * singleSlots, ServiceTime: quick, Spread: spread}
+	one := site.Service{Name: single, ExecutorsPerDataCentre: 1, Slots: singleSlots, Connections: 2 * singleSlots, ServiceTime: quick, Spread: spread}
 	c, err := startCell(ctx, cfg, one)
 	if err != nil {
 		return err
--- a/internal/experiment/outage.go
+++ b/internal/experiment/outage.go
@@ -24,9 +24,9 @@
 		name   string
 		faults logserver.Faults
 	}{
-		{"log up,", logserver.Faults{Slow: cfg.LogDelay}},
+		{"log up,", logserver.Faults{Delay: cfg.LogDelay}},
 		{"log down,", logserver.Faults{Down: true}},
-		{"log up again,", logserver.Faults{Slow: cfg.LogDelay}},
+		{"log up again,", logserver.Faults{Delay: cfg.LogDelay}},
 	} {
 		c.Site.Log.SetFaults(p.faults)
 		o, err := c.run(ctx, phase{streams: streams})
--- a/internal/experiment/phase.go
+++ b/internal/experiment/phase.go
@@ -131,7 +131,7 @@
 	duration := c.cfg.duration()
 	runner, err := load.NewRunner(load.Config{
 		Entries: entries, Streams: p.streams, Duration: duration, MaxOpen: maxOpen,
-		Seed: c.cfg.Seed, IDPrefix: nextPrefix(), Check: p.check,
+		Seed: c.cfg.Seed, IDPrefix: nextPrefix(), ReadinessInterval: p.check,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/experiment/truth.go
+++ b/internal/experiment/truth.go
@@ -40,7 +40,7 @@
 		switch {
 		case n > 1 && !stream.Idempotent:
 			t.runTwice++
-		case n > 0 && s.Outcome == api.OutcomeNotRun && stream.Repeat == 0:
+		case n > 0 && s.Outcome == api.OutcomeNotRun && stream.RepeatShare == 0:
 			t.notRunRan++
 		case n == 0 && s.Outcome == api.OutcomeRan:
 			t.ranNowhere++
--- a/internal/history/requests.go
+++ b/internal/history/requests.go
@@ -18,7 +18,7 @@
 	runs := make(map[string]int)
 	for _, ep := range endpoints {
 		for id := range ep.Runs {
-			runs[id] += ep.Count(id)
+			runs[id] += ep.RunCount(id)
 		}
 	}
 	return runs
--- a/internal/journal/recovery_test.go
+++ b/internal/journal/recovery_test.go
@@ -214,7 +214,7 @@
 		var torn error
 		go func() { torn = b.propose("torn", time.Minute) }()
 		waitIdle()
-		log.Tear("dc/a", 3, []byte("damaged at rest"))
+		log.Corrupt("dc/a", 3, []byte("damaged at rest"))
 		logOfB.cutReads.Store(false)
 		waitIdle()
 		wantErr(t, torn, ErrUnsettled)
@@ -347,7 +347,7 @@
 	upTo := func(ms int) time.Duration { return time.Duration(rng.IntN(ms)) * time.Millisecond }
 	all := []logserver.Faults{
 		{}, {Down: true}, {Abort: true}, {RefuseWrites: true}, {LoseAnswers: 3}, {DropAppends: 3},
-		{LateAppends: 3, LateBy: upTo(5000)}, {Slow: upTo(3000)},
+		{LateAppends: 3, LateBy: upTo(5000)}, {Delay: upTo(3000)},
 	}
 	return all[rng.IntN(len(all))]
 }
@@ -394,7 +394,7 @@
 	runInBubble(t, func(t *testing.T, log *logserver.Server) {
 		a := readyNode(t, log, "a", nil)
 		proposeRange(t, a, 0, 10)
-		log.SetFaults(logserver.Faults{Slow: time.Second})
+		log.SetFaults(logserver.Faults{Delay: time.Second})
 		b := startNode(t, log, "b", func(c *Config) { c.MaxReadRecords = 1 })
 		time.Sleep(5500 * time.Millisecond)
 		if got := b.Applied(); got == 0 || got >= a.Applied() || b.Ready() || !b.ConfirmedAt().IsZero() {
--- a/internal/load/config.go
+++ b/internal/load/config.go
@@ -25,30 +25,30 @@
 
 // Stream is the traffic of one caller.
 type Stream struct {
-	Caller     string
-	Class      string
-	Service    string
-	Path       string
-	Rate       float64 // requests per second
-	Idempotent bool
-	BodyBytes  int
-	Timeout    time.Duration
-	Repeat     float64 // share of requests sent a second time with the same id, 0 to 1
-	Direct     bool    // straight to an executor: any whole answer counts as ran
+	Caller      string
+	Class       string
+	Service     string
+	Path        string
+	Rate        float64 // requests per second
+	Idempotent  bool
+	BodyBytes   int
+	Timeout     time.Duration
+	RepeatShare float64 // share of requests sent a second time with the same id, 0 to 1
+	Direct      bool    // straight to an executor: any whole answer counts as ran
 }
 
 // Config describes one load run.
 type Config struct {
 	Entries []string // callers' addresses, IP:port; taken in turn
-	// Check is the time between two looks at the readiness of each entry VM,
+	// ReadinessInterval is the time between two looks at the readiness of each entry VM,
 	// as a balancer takes them; requests go to ready ones only. Zero: none,
 	// every entry VM gets its share.
-	Check    time.Duration
-	Streams  []Stream
-	Duration time.Duration
-	MaxOpen  int // open requests of all streams together
-	Seed     uint64
-	IDPrefix string // keeps the ids of two runs apart
+	ReadinessInterval time.Duration
+	Streams           []Stream
+	Duration          time.Duration
+	MaxOpen           int // open requests of all streams together
+	Seed              uint64
+	IDPrefix          string // keeps the ids of two runs apart
 }
 
 // Validate reports every fault of c. Targets must be loopback addresses.
@@ -63,7 +63,7 @@
 	total := 0.0
 	for _, s := range c.Streams {
 		l.Check(s.Rate > 0, "streams.rate", s.Rate, "more than 0")
-		l.Check(s.Repeat >= 0 && s.Repeat <= 1, "streams.repeat", s.Repeat, "0 to 1")
+		l.Check(s.RepeatShare >= 0 && s.RepeatShare <= 1, "streams.repeat", s.RepeatShare, "0 to 1")
 		l.Check(s.BodyBytes >= 0 && s.BodyBytes <= maxBodyBytes, "streams.bytes", s.BodyBytes, "0 to 16777216")
 		l.Check(s.Timeout > 0, "streams.timeout", s.Timeout, "more than 0")
 		l.Check(s.Service != "", "streams.service", nil, "a service name")
@@ -71,7 +71,7 @@
 	}
 	l.Check(total <= MaxRate, "streams.rate", total, "at most 50000 in all")
 	l.Check(c.Duration > 0 && c.Duration <= MaxDuration, "duration", c.Duration, "up to 5m")
-	l.Check(c.Check >= 0, "check", c.Check, "not negative")
+	l.Check(c.ReadinessInterval >= 0, "check", c.ReadinessInterval, "not negative")
 	l.Check(c.MaxOpen > 0 && c.MaxOpen <= MaxOpen, "max_open", c.MaxOpen, "1 to 20000")
 	return l.Err()
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -12,8 +12,8 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-func TestConfigFindingsAreReportedTogether(t *testing.T) {
-	cfg := Config{Entries: []string{"10.0.0.1:80"}, Streams: []Stream{{Repeat: 2}}, MaxOpen: 0}
+func TestValidateReportsAllFindings(t *testing.T) {
+	cfg := Config{Entries: []string{"10.0.0.1:80"}, Streams: []Stream{{RepeatShare: 2}}, MaxOpen: 0}
 	err := cfg.Validate()
 	if err == nil {
 		t.Fatal("no findings")
@@ -39,7 +39,7 @@
 	defer server.Close()
 	runner, err := NewRunner(Config{
 		Entries:  []string{strings.TrimPrefix(server.URL, "http://")},
-		Streams:  []Stream{{Service: "s", Rate: 500, Repeat: 1, Timeout: time.Second}},
+		Streams:  []Stream{{Service: "s", Rate: 500, RepeatShare: 1, Timeout: time.Second}},
 		Duration: 100 * time.Millisecond, MaxOpen: 1000, Seed: 1, IDPrefix: "t",
 	})
 	if err != nil {
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -98,15 +98,15 @@
 	return r.outcomes[o]
 }
 
-// Ran is the latency at quantile q (0 to 100) of the requests that ran.
-func (r *Result) Ran(q float64) time.Duration {
+// RanLatency is the latency at quantile q (0 to 100) of the requests that ran.
+func (r *Result) RanLatency(q float64) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return time.Duration(r.ran.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Refused is the latency at quantile q of all other answers.
-func (r *Result) Refused(q float64) time.Duration {
+// OtherLatency is the latency at quantile q of all other answers.
+func (r *Result) OtherLatency(q float64) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return time.Duration(r.refused.ValueAtQuantile(q)) * time.Microsecond
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -30,9 +30,9 @@
 	OnSample func(Sample)
 	// KeepAnswers keeps the answers' bodies in the samples.
 	KeepAnswers bool
-	// Pick, when set, chooses the entry VM of each request, as a balancer
+	// PickEntry, when set, chooses the entry VM of each request, as a balancer
 	// does, in place of taking turns.
-	Pick func() string
+	PickEntry func() string
 }
 
 // NewRunner returns a runner, or every finding in cfg.
@@ -60,8 +60,8 @@
 	results := make([]*Result, len(r.cfg.Streams))
 	checking, stopChecks := context.WithCancel(ctx)
 	defer stopChecks()
-	if r.cfg.Check > 0 {
-		r.targets.watch(checking, r.cfg.Check)
+	if r.cfg.ReadinessInterval > 0 {
+		r.targets.watch(checking, r.cfg.ReadinessInterval)
 	}
 	start := time.Now()
 	var streams, requests sync.WaitGroup
@@ -88,7 +88,7 @@
 		}
 		id := fmt.Sprintf("%s-%d-%d", r.cfg.IDPrefix, i, n)
 		copies := 1
-		if rnd.Float64() < s.Repeat {
+		if rnd.Float64() < s.RepeatShare {
 			copies = 2
 		}
 		for range copies {
@@ -143,7 +143,7 @@
 			return sample
 		}
 		resp, err := r.client.Do(req)
-		if notConnected(err) && r.cfg.Check > 0 {
+		if notConnected(err) && r.cfg.ReadinessInterval > 0 {
 			continue
 		}
 		if err != nil {
@@ -197,8 +197,8 @@
 
 // entry returns the entry VM for the next request.
 func (r *Runner) entry() string {
-	if r.Pick != nil {
-		return r.Pick()
+	if r.PickEntry != nil {
+		return r.PickEntry()
 	}
 	return r.targets.next()
 }
--- a/internal/platform/httpendpoint/attempt_test.go
+++ b/internal/platform/httpendpoint/attempt_test.go
@@ -166,7 +166,7 @@
 			if feedback.Leaving != tc.faults.Leaving {
 				t.Errorf("unexpected feedback %+v", feedback)
 			}
-			if got := standin.Record().Count("r1"); got != tc.runs {
+			if got := standin.Record().RunCount("r1"); got != tc.runs {
 				t.Errorf("ran %d times, want %d", got, tc.runs)
 			}
 		})
@@ -236,7 +236,7 @@
 	for range cap(failures) {
 		wantFailure(t, <-failures, platform.MayHaveRun, api.ReasonCallerGone)
 	}
-	if record := standin.Record(); record.MaxConnections != 2 || record.Count("r1") != 3 {
+	if record := standin.Record(); record.MaxConnections != 2 || record.RunCount("r1") != 3 {
 		t.Errorf("record %+v", record)
 	}
 }
--- a/internal/platform/httpendpoint/outcomes_test.go
+++ b/internal/platform/httpendpoint/outcomes_test.go
@@ -65,7 +65,7 @@
 		if certainty == platform.CertainNotRun {
 			want = 0
 		}
-		if got := standins[ep.ID].Record().Count(id); got != want {
+		if got := standins[ep.ID].Record().RunCount(id); got != want {
 			t.Errorf("%s at %s ran %d times, want %d: %v", id, ep.ID, got, want, err)
 		}
 		if answer != nil && answer.Status == 200 && string(answer.Body) != id+"\n"+string(body) {
@@ -90,12 +90,12 @@
 	}
 	client.Retain(nil)
 	for id, standin := range standins {
-		for standin.Record().Connections > 0 {
+		for standin.Record().OpenConnections > 0 {
 			time.Sleep(time.Millisecond) // until the server has noticed the closed connections
 		}
 		record := standin.Record()
-		if record.MaxRequests > 8 || record.MaxConnections > 60 || record.TurnedAway > 0 {
-			t.Errorf("%s: requests %d, connections %d, turned away %d", id, record.MaxRequests, record.MaxConnections, record.TurnedAway)
+		if record.MaxRequests > 8 || record.MaxConnections > 60 || record.RejectedConnections > 0 {
+			t.Errorf("%s: requests %d, connections %d, turned away %d", id, record.MaxRequests, record.MaxConnections, record.RejectedConnections)
 		}
 	}
 }
--- a/internal/standin/executor/executor.go
+++ b/internal/standin/executor/executor.go
@@ -41,9 +41,9 @@
 	ServiceTime time.Duration // mean
 	Spread      float64       // share of ServiceTime that varies either way, 0 to 1
 	Seed        uint64        // of service times and failures
-	// Wait lets requests beyond the slots wait for one, as many as there are
+	// WaitForSlot lets requests beyond the slots wait for one, as many as there are
 	// connections. Otherwise they are refused in-band.
-	Wait bool
+	WaitForSlot bool
 }
 
 // Executor is a stand-in endpoint. It is an http.Handler.
@@ -70,7 +70,7 @@
 		recorder: recorder{record: Record{Runs: make(map[string][]Run)}},
 		rand:     rand.New(rand.NewPCG(cfg.Seed, 1)),
 	}
-	if cfg.Wait {
+	if cfg.WaitForSlot {
 		e.waiting = make(chan struct{}, cfg.Slots)
 	}
 	return e
--- a/internal/standin/executor/record.go
+++ b/internal/standin/executor/record.go
@@ -14,17 +14,17 @@
 
 // Record is the truth about a stand-in.
 type Record struct {
-	Runs           map[string][]Run `json:"runs"`            // by request id
-	Refused        int              `json:"refused"`         // in-band, without running
-	MaxRequests    int              `json:"max_requests"`    // most running at once
-	MaxConnections int              `json:"max_connections"` // most open at once
-	Connections    int              `json:"connections"`     // open now
-	Opened         int              `json:"opened"`          // connections ever accepted
-	TurnedAway     int              `json:"turned_away"`     // connections beyond the limit
+	Runs                map[string][]Run `json:"runs"`            // by request id
+	Refused             int              `json:"refused"`         // in-band, without running
+	MaxRequests         int              `json:"max_requests"`    // most running at once
+	MaxConnections      int              `json:"max_connections"` // most open at once
+	OpenConnections     int              `json:"connections"`     // open now
+	AcceptedConnections int              `json:"opened"`          // connections ever accepted
+	RejectedConnections int              `json:"turned_away"`     // connections beyond the limit
 }
 
-// Count returns how many times request id ran.
-func (r Record) Count(id string) int {
+// RunCount returns how many times request id ran.
+func (r Record) RunCount(id string) int {
 	return len(r.Runs[id])
 }
 
@@ -70,13 +70,13 @@
 func (r *recorder) connect(limit int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.record.Connections >= limit {
-		r.record.TurnedAway++
+	if r.record.OpenConnections >= limit {
+		r.record.RejectedConnections++
 		return false
 	}
-	r.record.Connections++
-	r.record.Opened++
-	r.record.MaxConnections = max(r.record.MaxConnections, r.record.Connections)
+	r.record.OpenConnections++
+	r.record.AcceptedConnections++
+	r.record.MaxConnections = max(r.record.MaxConnections, r.record.OpenConnections)
 	return true
 }
 
@@ -84,7 +84,7 @@
 func (r *recorder) disconnect() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.record.Connections--
+	r.record.OpenConnections--
 }
 
 // copy returns the record as it is now.
--- a/internal/standin/logserver/logserver.go
+++ b/internal/standin/logserver/logserver.go
@@ -34,7 +34,7 @@
 	Down         bool          `json:"down,omitempty"`          // every call fails, certainly without effect
 	Abort        bool          `json:"abort,omitempty"`         // every call breaks off, without effect; appends are uncertain
 	RefuseWrites bool          `json:"refuse_writes,omitempty"` // appends fail, certainly without effect
-	Slow         time.Duration `json:"slow_ns,omitempty"`       // delay of every call before its effect
+	Delay        time.Duration `json:"slow_ns,omitempty"`       // delay of every call before its effect
 	LoseAnswers  int           `json:"lose_answers,omitempty"`  // next appends that take effect and give no answer
 	DropAppends  int           `json:"drop_appends,omitempty"`  // next appends that get lost and give no answer
 	LateAppends  int           `json:"late_appends,omitempty"`  // next appends that give no answer and take effect after LateBy
@@ -120,8 +120,8 @@
 	s.stream(name).trim(offset)
 }
 
-// Tear replaces the data of a kept record, as damage at rest does.
-func (s *Server) Tear(name string, offset platform.Offset, data []byte) {
+// Corrupt replaces the data of a kept record, as damage at rest does.
+func (s *Server) Corrupt(name string, offset platform.Offset, data []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st := s.stream(name)
@@ -221,7 +221,7 @@
 
 // delay waits as long as the server is slow.
 func (s *Server) delay(ctx context.Context) error {
-	slow := s.Faults().Slow
+	slow := s.Faults().Delay
 	if slow <= 0 {
 		return ctx.Err()
 	}
--- a/internal/standin/site/settings.go
+++ b/internal/standin/site/settings.go
@@ -15,19 +15,19 @@
 // portsOfEntry is the number of listeners of an entry VM.
 const portsOfEntry = 3
 
-// Entries returns settings of perDC entry VMs for each data centre of the
+// EntrySettings returns settings of perDC entry VMs for each data centre of the
 // site, on free ports of 127.0.0.1. Every entry VM has the first of each data
 // centre as a seed.
-func (s *Site) Entries(perDC int) ([]*settings.Settings, error) {
+func (s *Site) EntrySettings(perDC int) ([]*settings.Settings, error) {
 	counts := make([]int, len(s.cfg.DataCentres))
 	for i := range counts {
 		counts[i] = perDC
 	}
-	return s.EntriesOf(counts)
+	return s.EntrySettingsFor(counts)
 }
 
-// EntriesOf is Entries with the number of entry VMs of each data centre.
-func (s *Site) EntriesOf(counts []int) ([]*settings.Settings, error) {
+// EntrySettingsFor is Entries with the number of entry VMs of each data centre.
+func (s *Site) EntrySettingsFor(counts []int) ([]*settings.Settings, error) {
 	total := 0
 	for _, n := range counts {
 		total += n
@@ -62,8 +62,8 @@
 	e.Listen = settings.Listen{Callers: ports[0], Operators: ports[1], Peers: ports[2]}
 	e.AdvertisePeer = ports[2]
 	e.Log.URLs = []string{"http://" + s.LogAddress}
-	s.List.Put(api.VM{ID: api.VMID(e.NodeID), DataCentre: dc, Address: e.Listen.Peers, State: api.VMLive})
-	e.VMList.URL = "http://" + s.ListAddress
+	s.VMList.Put(api.VM{ID: api.VMID(e.NodeID), DataCentre: dc, Address: e.Listen.Peers, State: api.VMLive})
+	e.VMList.URL = "http://" + s.VMListAddress
 	return e
 }
 
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -21,39 +21,39 @@
 
 // Service is one service with executors on the VMs of a site.
 type Service struct {
-	Name        string
-	Executors   int // of each data centre
-	Slots       int
-	Connections int
-	ServiceTime time.Duration // mean
-	Spread      float64       // share of ServiceTime that varies either way
-	Wait        bool          // requests beyond the slots wait instead of being refused
+	Name                   string
+	ExecutorsPerDataCentre int // of each data centre
+	Slots                  int
+	Connections            int
+	ServiceTime            time.Duration // mean
+	Spread                 float64       // share of ServiceTime that varies either way
+	WaitForSlot            bool          // requests beyond the slots wait instead of being refused
 }
 
 // Config describes a site. Sizes are for each data centre.
 type Config struct {
-	DataCentres []api.DataCentre
-	VMs         int
-	VMsPerRack  int
-	Capacity    api.Resources // of a VM
-	Services    []Service
-	ListLag     time.Duration // of the VM list
-	UsageLag    time.Duration // of the workers' reports of use
-	Log         logserver.Config
-	Seed        uint64
+	DataCentres      []api.DataCentre
+	VMsPerDataCentre int
+	VMsPerRack       int
+	Capacity         api.Resources // of a VM
+	Services         []Service
+	VMListLag        time.Duration // of the VM list
+	UsageLag         time.Duration // of the workers' reports of use
+	Log              logserver.Config
+	Seed             uint64
 }
 
 // Site is a running set of stand-ins.
 type Site struct {
 	cfg       Config
 	Log       *logserver.Server
-	List      *vmlist.List
+	VMList    *vmlist.List
 	Workers   *worker.Host
 	Executors map[api.EndpointID]*executor.Executor
 	VMs       []api.VM
 
 	LogAddress    string
-	ListAddress   string
+	VMListAddress string
 	WorkerAddress string
 
 	servers []*http.Server
@@ -64,7 +64,7 @@
 	s := &Site{
 		cfg:       cfg,
 		Log:       logserver.New(cfg.Log),
-		List:      vmlist.New(time.Now, cfg.ListLag),
+		VMList:    vmlist.New(time.Now, cfg.VMListLag),
 		Workers:   worker.NewHost(),
 		Executors: make(map[api.EndpointID]*executor.Executor),
 	}
@@ -80,7 +80,7 @@
 	if s.LogAddress, err = s.serve(s.Log.Handler()); err != nil {
 		return err
 	}
-	if s.ListAddress, err = s.serve(s.List); err != nil {
+	if s.VMListAddress, err = s.serve(s.VMList); err != nil {
 		return err
 	}
 	if s.WorkerAddress, err = s.serve(s.Workers); err != nil {
@@ -97,7 +97,7 @@
 // startDataCentre adds the VMs of one data centre and the executors on them,
 // spread evenly.
 func (s *Site) startDataCentre(dc api.DataCentre) error {
-	vms := make([]api.VM, s.cfg.VMs)
+	vms := make([]api.VM, s.cfg.VMsPerDataCentre)
 	for i := range vms {
 		vms[i] = api.VM{
 			ID:         api.VMID(vmName(dc, i)),
@@ -110,7 +110,7 @@
 		s.Workers.Add(worker.New(vms[i].ID, s.cfg.Capacity, time.Now, s.cfg.UsageLag))
 	}
 	for _, service := range s.cfg.Services {
-		for i := range service.Executors {
+		for i := range service.ExecutorsPerDataCentre {
 			vm := &vms[i%len(vms)]
 			ep, err := s.startExecutor(service, *vm, i)
 			if err != nil {
@@ -120,7 +120,7 @@
 		}
 	}
 	for _, vm := range vms {
-		s.List.Put(vm)
+		s.VMList.Put(vm)
 	}
 	s.VMs = append(s.VMs, vms...)
 	return nil
@@ -138,7 +138,7 @@
 	}
 	x := executor.New(executor.Config{
 		ID: ep.ID, Slots: service.Slots, Connections: service.Connections,
-		ServiceTime: service.ServiceTime, Spread: service.Spread, Wait: service.Wait,
+		ServiceTime: service.ServiceTime, Spread: service.Spread, WaitForSlot: service.WaitForSlot,
 		Seed: s.cfg.Seed + uint64(len(s.Executors)),
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/standin/vmlist/vmlist.go
+++ b/internal/standin/vmlist/vmlist.go
@@ -54,8 +54,8 @@
 	l.pending = append(l.pending, change{at: l.clock(), id: vm.ID, vm: &vm})
 }
 
-// Leave marks a VM as leaving.
-func (l *List) Leave(id api.VMID) {
+// MarkLeaving marks a VM as leaving.
+func (l *List) MarkLeaving(id api.VMID) {
 	l.mu.Lock()
 	vm, ok := l.truth[id]
 	l.mu.Unlock()
@@ -80,8 +80,8 @@
 	l.down = down
 }
 
-// Order is the body of POST /order.
-type Order struct {
+// ChangeRequest is the body of POST /order.
+type ChangeRequest struct {
 	Put    []api.VM   `json:"put"`
 	Leave  []api.VMID `json:"leave"`
 	Remove []api.VMID `json:"remove"`
@@ -94,7 +94,7 @@
 }
 
 func (l *List) order(w http.ResponseWriter, r *http.Request) {
-	var o Order
+	var o ChangeRequest
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -103,7 +103,7 @@
 		l.Put(vm)
 	}
 	for _, id := range o.Leave {
-		l.Leave(id)
+		l.MarkLeaving(id)
 	}
 	for _, id := range o.Remove {
 		l.Remove(id)
--- a/internal/standin/vmlist/vmlist_test.go
+++ b/internal/standin/vmlist/vmlist_test.go
@@ -10,7 +10,7 @@
 	"github.com/skylarklock/skylarklock/internal/standin/vmlist"
 )
 
-func TestListLagsAndGoesDown(t *testing.T) {
+func TestListLagAndOutage(t *testing.T) {
 	now := time.Unix(0, 0)
 	l := vmlist.New(func() time.Time { return now }, 10*time.Second)
 	server := httptest.NewServer(l)
@@ -29,7 +29,7 @@
 		t.Error("before the lag: ", got)
 	}
 	now = now.Add(10 * time.Second)
-	l.Leave("a")
+	l.MarkLeaving("a")
 	if got := read(); len(got) != 1 || got[0].State != api.VMLive {
 		t.Error("the leaving shows late: ", got)
 	}
--- a/internal/standin/worker/http.go
+++ b/internal/standin/worker/http.go
@@ -13,12 +13,12 @@
 	"github.com/skylarklock/skylarklock/internal/platform/httpworker"
 )
 
-// FaultOrder is the body of POST /faults. An empty VM means all of them.
-type FaultOrder struct {
-	VM        api.VMID `json:"vm"`
-	Restart   bool     `json:"restart"`
-	UseFactor float64  `json:"use_factor"` // zero: leave
-	Faults    Faults   `json:"faults"`
+// FaultRequest is the body of POST /faults. An empty VM means all of them.
+type FaultRequest struct {
+	VM          api.VMID `json:"vm"`
+	Restart     bool     `json:"restart"`
+	UsageFactor float64  `json:"use_factor"` // zero: leave
+	Faults      Faults   `json:"faults"`
 }
 
 // Host serves many stand-in VMs from one handler, each below /w/{vm}.
@@ -105,15 +105,15 @@
 }
 
 func (h *Host) faults(w http.ResponseWriter, r *http.Request) {
-	var order FaultOrder
+	var order FaultRequest
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	for _, v := range h.selected(order.VM) {
 		v.SetFaults(order.Faults)
-		if order.UseFactor > 0 {
-			v.SetUse(order.UseFactor)
+		if order.UsageFactor > 0 {
+			v.SetUsageFactor(order.UsageFactor)
 		}
 		if order.Restart {
 			v.Restart()
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -22,12 +22,12 @@
 
 // Faults are what a VM is made to do wrong. The zero value is a good VM.
 type Faults struct {
-	FailEverything bool          `json:"fail_everything"` // every start ends badly at once
-	LoseAnswers    int           `json:"lose_answers"`    // so many next exchanges take effect, their answers are lost
-	Delay          time.Duration `json:"delay_ns"`        // before an exchange takes effect
-	Frozen         bool          `json:"frozen"`          // answers nothing; tasks run on until the lease lapses
-	IgnoreFences   bool          `json:"ignore_fences"`   // accepts lower epochs
-	Leaving        bool          `json:"leaving"`         // says so in its reports
+	FailAllStarts bool          `json:"fail_everything"` // every start ends badly at once
+	LoseAnswers   int           `json:"lose_answers"`    // so many next exchanges take effect, their answers are lost
+	Delay         time.Duration `json:"delay_ns"`        // before an exchange takes effect
+	Frozen        bool          `json:"frozen"`          // answers nothing; tasks run on until the lease lapses
+	IgnoreFences  bool          `json:"ignore_fences"`   // accepts lower epochs
+	Leaving       bool          `json:"leaving"`         // says so in its reports
 }
 
 // Run is the record of one attempt: the truth that tests check against.
@@ -225,7 +225,7 @@
 		VM: v.id, Task: s.Task, Attempt: s.Attempt, Resources: s.Resources, Start: v.clock(), State: a.state,
 	})
 	v.inUse = v.inUse.Add(s.Resources)
-	if v.faults.FailEverything {
+	if v.faults.FailAllStarts {
 		v.end(a, platform.RunFailed, v.clock())
 		return
 	}
@@ -294,15 +294,15 @@
 	return u
 }
 
-// SetUse sets what tasks really use, as a factor of what they declared.
-func (v *VM) SetUse(factor float64) {
+// SetUsageFactor sets what tasks really use, as a factor of what they declared.
+func (v *VM) SetUsageFactor(factor float64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.useFactor = factor
 }
 
-// Dead reports whether the VM answers nothing, for tests without sockets.
-func (v *VM) Dead() bool {
+// IsFrozen reports whether the VM answers nothing, for tests without sockets.
+func (v *VM) IsFrozen() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.faults.Frozen
