--- a/internal/standin/executor/executor.go
+++ b/internal/standin/executor/executor.go
@@ -16,13 +16,13 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// Sizes of the users' executors.
+// Defaults of Config: the sizes of the users' executors.
 const (
 	DefaultSlots       = 8
 	DefaultConnections = 60
 )
 
-// Names of what a stand-in adds to an answer.
+// Header and trailer that a stand-in adds to an answer.
 const (
 	// HeaderEndpoint names the endpoint that ran the request.
 	HeaderEndpoint = "Standin-Endpoint"
@@ -30,34 +30,35 @@
 	TrailerChecksum = "Standin-Checksum"
 )
 
-// maxRequestBody bounds what a stand-in reads of a request, in bytes.
+// maxRequestBody is the maximum size of a request body, in bytes.
 const maxRequestBody = 16 << 20
 
-// Config describes a stand-in. Zero fields take their defaults.
+// Config describes a stand-in. Zero Slots and Connections take their defaults.
 type Config struct {
 	ID          api.EndpointID
-	Slots       int           // requests run at once
-	Connections int           // connections accepted
+	Slots       int           // maximum requests running at once
+	Connections int           // maximum open connections
 	ServiceTime time.Duration // mean
-	Spread      float64       // share of ServiceTime that varies either way, 0 to 1
-	Seed        uint64        // of service times and failures
-	// WaitForSlot lets requests beyond the slots wait for one, as many as there are
-	// connections. Otherwise they are refused in-band.
+	Spread      float64       // maximum deviation from ServiceTime in either direction, as a share of it, 0 to 1
+	Seed        uint64        // of the random service times and failures
+	// WaitForSlot makes requests wait while all slots are in use; the number of
+	// waiting requests is bounded by the connections. Otherwise such requests
+	// are refused in-band.
 	WaitForSlot bool
 }
 
 // Executor is a stand-in endpoint. It is an http.Handler.
 type Executor struct {
-	cfg      Config
-	recorder recorder
-	waiting  chan struct{} // one element for each slot in use; nil without Wait
+	cfg        Config
+	recorder   recorder
+	slotsInUse chan struct{} // one element for each slot in use; nil without WaitForSlot
 
 	mu     sync.Mutex
 	faults Faults
 	rand   *rand.Rand
 }
 
-// New returns a sound stand-in.
+// New returns a stand-in without faults.
 func New(cfg Config) *Executor {
 	if cfg.Slots == 0 {
 		cfg.Slots = DefaultSlots
@@ -71,13 +72,13 @@
 		rand:     rand.New(rand.NewPCG(cfg.Seed, 1)),
 	}
 	if cfg.WaitForSlot {
-		e.waiting = make(chan struct{}, cfg.Slots)
+		e.slotsInUse = make(chan struct{}, cfg.Slots)
 	}
 	return e
 }
 
-// Serve serves on l, within the connection limit, until the returned server
-// is closed.
+// Serve accepts connections on l, up to the connection limit, until the
+// returned server is closed.
 func (e *Executor) Serve(l net.Listener) *http.Server {
 	server := &http.Server{Handler: e}
 	limited := &limitedListener{Listener: l, limit: e.cfg.Connections, recorder: &e.recorder}
@@ -85,14 +86,14 @@
 	return server
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the faults in effect.
 func (e *Executor) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
 }
 
-// Record returns all that ran so far.
+// Record returns a copy of the record of all requests so far.
 func (e *Executor) Record() Record {
 	return e.recorder.copy()
 }
@@ -109,7 +110,7 @@
 	}
 }
 
-// serveFaults takes new faults.
+// serveFaults replaces the faults by those in the request body.
 func (e *Executor) serveFaults(w http.ResponseWriter, r *http.Request) {
 	var faults Faults
 	err := json.NewDecoder(r.Body).Decode(&faults)
@@ -124,26 +125,26 @@
 func (e *Executor) serveRequest(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBody))
 	if err != nil {
-		return // the request never arrived whole
+		return // the request body was not received completely
 	}
-	faults, serviceTime, fails := e.draw()
+	faults, serviceTime, fails := e.sampleBehaviour()
 	if faults.Leaving {
 		w.Header().Set(api.HeaderLeaving, "true")
-		refuse(w, e.recorder.refuse())
+		writeRefusal(w, e.recorder.countRefusal())
 		return
 	}
-	leave, ok := e.waitForSlot(r.Context())
+	release, ok := e.acquireSlot(r.Context())
 	if !ok {
-		return // the caller left
+		return // the caller disconnected
 	}
-	defer leave()
+	defer release()
 	id := r.Header.Get(api.HeaderRequestID)
-	busy, run, ok := e.recorder.start(id, e.cfg.Slots)
+	busy, run, ok := e.recorder.startRun(id, e.cfg.Slots)
 	if !ok {
-		refuse(w, busy)
+		writeRefusal(w, busy)
 		return
 	}
-	defer e.recorder.end(id, run)
+	defer e.recorder.endRun(id, run)
 	w.Header().Set(api.HeaderSlotsBusy, strconv.Itoa(busy))
 	w.Header().Set(HeaderEndpoint, string(e.cfg.ID))
 	if fails {
@@ -161,41 +162,44 @@
 	writeAnswer(w, id, body, faults.BreakHalfway)
 }
 
-// waitForSlot waits for a slot when requests may wait. It reports false when
-// ctx ended first; otherwise leave gives the slot back.
-func (e *Executor) waitForSlot(ctx context.Context) (leave func(), ok bool) {
-	if e.waiting == nil {
+// acquireSlot waits for a slot if requests may wait. It returns false if ctx
+// ended first; otherwise the caller must call release to free the slot.
+func (e *Executor) acquireSlot(ctx context.Context) (release func(), ok bool) {
+	if e.slotsInUse == nil {
 		return func() {}, true
 	}
 	select {
-	case e.waiting <- struct{}{}:
-		return func() { <-e.waiting }, true
+	case e.slotsInUse <- struct{}{}:
+		return func() { <-e.slotsInUse }, true
 	case <-ctx.Done():
 		return nil, false
 	}
 }
 
-// draw returns the faults, the service time and whether the request fails.
-func (e *Executor) draw() (Faults, time.Duration, bool) {
+// sampleBehaviour returns the faults in effect, a random service time and
+// whether the request fails.
+func (e *Executor) sampleBehaviour() (Faults, time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	vary := 1 + e.cfg.Spread*(2*e.rand.Float64()-1)
+	factor := 1 + e.cfg.Spread*(2*e.rand.Float64()-1)
 	if e.faults.SlowFactor > 0 {
-		vary *= e.faults.SlowFactor
+		factor *= e.faults.SlowFactor
 	}
 	fails := e.faults.FailAll || e.rand.Float64() < e.faults.FailRate
-	return e.faults, time.Duration(float64(e.cfg.ServiceTime) * vary), fails
+	return e.faults, time.Duration(float64(e.cfg.ServiceTime) * factor), fails
 }
 
-// refuse answers that the request was not run.
-func refuse(w http.ResponseWriter, busy int) {
+// writeRefusal answers that the request was not run and reports the slots in
+// use.
+func writeRefusal(w http.ResponseWriter, busy int) {
 	w.Header().Set(api.HeaderNotRun, "true")
 	w.Header().Set(api.HeaderSlotsBusy, strconv.Itoa(busy))
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// writeAnswer answers with the request's id and body, chunked, and their
-// checksum in a trailer, or aborts half way through.
+// writeAnswer writes the request's ID and body as a chunked answer, with their
+// checksum in a trailer. If broken is set, it aborts the connection halfway
+// through the body.
 func writeAnswer(w http.ResponseWriter, id string, body []byte, broken bool) {
 	w.Header().Set("Trailer", TrailerChecksum)
 	sum := crc32.NewIEEE()
--- a/internal/standin/executor/listener.go
+++ b/internal/standin/executor/listener.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// limitedListener closes every connection beyond the limit at once.
+// limitedListener immediately closes every connection beyond the limit.
 type limitedListener struct {
 	net.Listener
 	limit    int
@@ -19,22 +19,22 @@
 		if err != nil {
 			return nil, err
 		}
-		if l.recorder.connect(l.limit) {
-			return &countedConn{Conn: conn, closed: l.recorder.disconnect}, nil
+		if l.recorder.admitConnection(l.limit) {
+			return &trackedConn{Conn: conn, onClose: l.recorder.removeConnection}, nil
 		}
 		_ = conn.Close()
 	}
 }
 
-// countedConn calls closed once, when it is closed.
-type countedConn struct {
+// trackedConn calls onClose the first time that it is closed.
+type trackedConn struct {
 	net.Conn
-	once   sync.Once
-	closed func()
+	once    sync.Once
+	onClose func()
 }
 
 // Close implements net.Conn.
-func (c *countedConn) Close() error {
-	c.once.Do(c.closed)
+func (c *trackedConn) Close() error {
+	c.once.Do(c.onClose)
 	return c.Conn.Close()
 }
--- a/internal/standin/executor/record.go
+++ b/internal/standin/executor/record.go
@@ -6,38 +6,39 @@
 	"time"
 )
 
-// Run is one request that ran. A request that ran twice has two runs.
+// Run is one execution of a request. A request that ran twice has two runs.
 type Run struct {
 	Start time.Time `json:"start"`
 	End   time.Time `json:"end"` // zero while it runs
 }
 
-// Record is the truth about a stand-in.
+// Record holds everything that a stand-in did. Tests compare the outcomes
+// reported to callers with it.
 type Record struct {
-	Runs                map[string][]Run `json:"runs"`            // by request id
-	Refused             int              `json:"refused"`         // in-band, without running
-	MaxRequests         int              `json:"max_requests"`    // most running at once
-	MaxConnections      int              `json:"max_connections"` // most open at once
-	OpenConnections     int              `json:"connections"`     // open now
-	AcceptedConnections int              `json:"opened"`          // connections ever accepted
-	RejectedConnections int              `json:"turned_away"`     // connections beyond the limit
+	Runs                map[string][]Run `json:"runs"`            // by request ID
+	Refused             int              `json:"refused"`         // requests refused in-band, without running
+	MaxRequests         int              `json:"max_requests"`    // maximum requests running at once
+	MaxConnections      int              `json:"max_connections"` // maximum connections open at once
+	OpenConnections     int              `json:"connections"`     // connections open now
+	AcceptedConnections int              `json:"opened"`          // connections accepted since the start
+	RejectedConnections int              `json:"turned_away"`     // connections closed because of the limit
 }
 
-// RunCount returns how many times request id ran.
+// RunCount returns the number of times that the request with this ID ran.
 func (r Record) RunCount(id string) int {
 	return len(r.Runs[id])
 }
 
-// recorder guards the record and the count of slots in use.
+// recorder is a Record and the number of slots in use, guarded by a mutex.
 type recorder struct {
 	mu      sync.Mutex
 	record  Record
 	running int
 }
 
-// start takes a slot for request id, and returns the slots in use with it
-// and the run's index, or false when all are in use.
-func (r *recorder) start(id string, slots int) (busy, run int, ok bool) {
+// startRun takes a slot for a request. It returns the number of slots in use,
+// this one included, and the index of the run, or false if no slot is free.
+func (r *recorder) startRun(id string, slots int) (busy, run int, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.running >= slots {
@@ -50,24 +51,25 @@
 	return r.running, len(r.record.Runs[id]) - 1, true
 }
 
-// end frees the slot of a run.
-func (r *recorder) end(id string, run int) {
+// endRun records the end of a run and frees its slot.
+func (r *recorder) endRun(id string, run int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.running--
 	r.record.Runs[id][run].End = time.Now()
 }
 
-// refuse counts a refusal and returns the slots in use.
-func (r *recorder) refuse() int {
+// countRefusal counts a refusal and returns the number of slots in use.
+func (r *recorder) countRefusal() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.record.Refused++
 	return r.running
 }
 
-// connect counts a new connection, or one turned away at the limit.
-func (r *recorder) connect(limit int) bool {
+// admitConnection reports whether a new connection is within the limit, and
+// counts it as accepted or rejected.
+func (r *recorder) admitConnection(limit int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.record.OpenConnections >= limit {
@@ -80,14 +82,14 @@
 	return true
 }
 
-// disconnect counts a closed connection.
-func (r *recorder) disconnect() {
+// removeConnection subtracts a closed connection from the open ones.
+func (r *recorder) removeConnection() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.record.OpenConnections--
 }
 
-// copy returns the record as it is now.
+// copy returns a deep copy of the record.
 func (r *recorder) copy() Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/logserver/handler.go
+++ b/internal/standin/logserver/handler.go
@@ -15,12 +15,12 @@
 	"github.com/skylarklock/skylarklock/internal/platform/httplog"
 )
 
-// maxFaultsBytes bounds the body of a change of faults.
+// maxFaultsBytes bounds the body of POST /faults.
 const maxFaultsBytes = 4 << 10
 
-// Handler serves the protocol of package httplog. Besides, GET and POST
-// /faults read and replace the Faults, and GET /stats reads the Stats, all in
-// JSON.
+// Handler serves the protocol of package httplog. In addition, GET /faults and
+// POST /faults read and replace the Faults, and GET /stats returns the Stats,
+// all as JSON.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /streams/{stream...}", s.handleAppend)
@@ -33,7 +33,8 @@
 
 const recordsSuffix = "/records"
 
-// streamName returns the stream of a request, whose name may hold slashes.
+// streamName returns the stream name in the path of a request; the name may
+// contain slashes. If there is none, it answers 404 and returns false.
 func streamName(w http.ResponseWriter, req *http.Request) (string, bool) {
 	name, ok := strings.CutSuffix(req.PathValue("stream"), recordsSuffix)
 	if !ok {
@@ -56,16 +57,17 @@
 	case err == nil:
 		writeJSON(w, http.StatusOK, httplog.AppendAnswer{Offset: uint64(offset)})
 	case errors.Is(err, platform.ErrTooLarge):
-		refuse(w, http.StatusRequestEntityTooLarge, err)
+		writeRefusal(w, http.StatusRequestEntityTooLarge, err)
 	case errors.Is(err, platform.ErrUnavailable):
-		refuse(w, http.StatusServiceUnavailable, err)
+		writeRefusal(w, http.StatusServiceUnavailable, err)
 	default:
-		panic(http.ErrAbortHandler) // the answer is lost
+		panic(http.ErrAbortHandler) // uncertain: abort without an answer
 	}
 }
 
-// refuse answers that the request had no effect.
-func refuse(w http.ResponseWriter, status int, err error) {
+// writeRefusal answers with an error and the header which says that the request
+// had no effect.
+func writeRefusal(w http.ResponseWriter, status int, err error) {
 	w.Header().Set(httplog.HeaderRefused, "true")
 	http.Error(w, err.Error(), status)
 }
@@ -77,13 +79,13 @@
 	}
 	query := req.URL.Query()
 	from, err1 := strconv.ParseUint(query.Get(httplog.ParamFrom), 10, 64)
-	most, err2 := strconv.Atoi(query.Get(httplog.ParamMax))
+	maxRecords, err2 := strconv.Atoi(query.Get(httplog.ParamMax))
 	waitMs, err3 := strconv.ParseInt(query.Get(httplog.ParamWaitMs), 10, 64)
 	if err := errors.Join(err1, err2, err3); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	got, err := s.Read(req.Context(), name, platform.Offset(from), most, time.Duration(waitMs)*time.Millisecond)
+	batch, err := s.Read(req.Context(), name, platform.Offset(from), maxRecords, time.Duration(waitMs)*time.Millisecond)
 	var trimmed *platform.TrimmedError
 	switch {
 	case errors.As(err, &trimmed):
@@ -91,22 +93,22 @@
 	case err != nil && s.Faults().Abort:
 		panic(http.ErrAbortHandler)
 	case err != nil:
-		refuse(w, http.StatusServiceUnavailable, err)
+		writeRefusal(w, http.StatusServiceUnavailable, err)
 	default:
-		writeBatch(w, got, query.Get(httplog.ParamMaxBytes))
+		writeBatch(w, batch, query.Get(httplog.ParamMaxBytes))
 	}
 }
 
-// writeBatch sends as many records as the client's bound on bytes allows, but
-// at least one when there is one.
-func writeBatch(w http.ResponseWriter, got platform.LogBatch, maxBytes string) {
+// writeBatch sends as many records as the client's limit in bytes allows, but
+// at least one if there are any.
+func writeBatch(w http.ResponseWriter, batch platform.LogBatch, maxBytes string) {
 	limit, err := strconv.Atoi(maxBytes)
 	if err != nil {
 		limit = DefaultMaxReadBytes
 	}
-	answer := httplog.ReadAnswer{First: uint64(got.First), Next: uint64(got.Next)}
+	answer := httplog.ReadAnswer{First: uint64(batch.First), Next: uint64(batch.Next)}
 	size := 0
-	for i, rec := range got.Records {
+	for i, rec := range batch.Records {
 		size += len(rec.Data)
 		if i > 0 && size > limit {
 			break
@@ -119,7 +121,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/cbor")
-	_, _ = w.Write(data) // a client that has gone reads again
+	_, _ = w.Write(data) // a client that disconnected repeats the read
 }
 
 func (s *Server) handleFaults(w http.ResponseWriter, req *http.Request) {
@@ -135,5 +137,5 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // a client that has gone asks again
+	_ = json.NewEncoder(w).Encode(v) // a client that disconnected repeats the request
 }
--- a/internal/standin/logserver/logserver.go
+++ b/internal/standin/logserver/logserver.go
@@ -1,6 +1,6 @@
-// Package logserver is a small in-memory stand-in of the platform's log for
-// tests and demonstrations: streams, limited retention, a size limit, a limit
-// of appends a second and faults that can be switched.
+// Package logserver implements a small in-memory stand-in for the platform's
+// log, for tests and demonstrations. It has streams, limited retention, limits
+// on record size and append rate, and faults that can be switched on.
 package logserver
 
 import (
@@ -19,33 +19,33 @@
 	DefaultMaxReadBytes   = 4 << 20
 )
 
-// Config holds the limits of a Server. Zero means no limit, but for the
-// sizes, which take the defaults.
+// Config holds the limits of a Server. Zero means no limit, except for
+// MaxRecordBytes and MaxReadBytes, which take their defaults.
 type Config struct {
-	RetainRecords    int     // newest records kept, of each stream
-	MaxRecordBytes   int     // of one record
-	MaxReadBytes     int     // of the records in one read, besides the first
-	AppendsPerSecond float64 // of all streams together
-	AppendBurst      int     // appends that may follow each other at once
+	RetainRecords    int     // newest records kept in each stream
+	MaxRecordBytes   int     // size of one record
+	MaxReadBytes     int     // total size of the records in one read; the first is always returned
+	AppendsPerSecond float64 // over all streams
+	AppendBurst      int     // appends accepted in a burst
 }
 
-// Faults are the faults in force. The zero value is none.
+// Faults are the faults in effect. The zero value means no faults.
 type Faults struct {
-	Down         bool          `json:"down,omitempty"`          // every call fails, certainly without effect
-	Abort        bool          `json:"abort,omitempty"`         // every call breaks off, without effect; appends are uncertain
-	RefuseWrites bool          `json:"refuse_writes,omitempty"` // appends fail, certainly without effect
-	Delay        time.Duration `json:"slow_ns,omitempty"`       // delay of every call before its effect
-	LoseAnswers  int           `json:"lose_answers,omitempty"`  // next appends that take effect and give no answer
-	DropAppends  int           `json:"drop_appends,omitempty"`  // next appends that get lost and give no answer
-	LateAppends  int           `json:"late_appends,omitempty"`  // next appends that give no answer and take effect after LateBy
+	Down         bool          `json:"down,omitempty"`          // every call fails with the certainty that it had no effect
+	Abort        bool          `json:"abort,omitempty"`         // every call is aborted without effect; appends end with an uncertain outcome
+	RefuseWrites bool          `json:"refuse_writes,omitempty"` // appends fail with the certainty that they had no effect
+	Delay        time.Duration `json:"slow_ns,omitempty"`       // delay of every call before it takes effect
+	LoseAnswers  int           `json:"lose_answers,omitempty"`  // number of next appends that take effect without an answer
+	DropAppends  int           `json:"drop_appends,omitempty"`  // number of next appends that are lost without an answer
+	LateAppends  int           `json:"late_appends,omitempty"`  // number of next appends that take effect after LateBy, without an answer
 	LateBy       time.Duration `json:"late_by_ns,omitempty"`
 }
 
-// Stats counts what has been asked of a Server.
+// Stats counts the calls of a Server.
 type Stats struct {
-	Appends     uint64 `json:"appends"`      // that took effect
-	AppendCalls uint64 `json:"append_calls"` // with those that failed
-	AppendBytes uint64 `json:"append_bytes"` // that took effect
+	Appends     uint64 `json:"appends"`      // appends that took effect
+	AppendCalls uint64 `json:"append_calls"` // all append calls, failed ones included
+	AppendBytes uint64 `json:"append_bytes"` // bytes of the appends that took effect
 	Reads       uint64 `json:"reads"`
 }
 
@@ -62,15 +62,15 @@
 
 var _ platform.Log = (*Server)(nil)
 
-// stream is the kept part of one stream.
+// stream holds the retained records of one stream.
 type stream struct {
-	first   platform.Offset
-	records [][]byte
-	grown   chan struct{} // closed and renewed with each append
+	firstOffset platform.Offset
+	records     [][]byte
+	appended    chan struct{} // closed and replaced with each append
 }
 
-func (s *stream) next() platform.Offset {
-	return s.first + platform.Offset(len(s.records))
+func (s *stream) nextOffset() platform.Offset {
+	return s.firstOffset + platform.Offset(len(s.records))
 }
 
 // New returns an empty server without faults.
@@ -92,14 +92,15 @@
 	}
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the faults in effect.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Faults returns the faults in force; counts show what is left of them.
+// Faults returns the faults in effect. Faults that are counted in appends show
+// the number of appends that remain.
 func (s *Server) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,60 +114,62 @@
 	return s.stats
 }
 
-// Trim drops every record of a stream before offset.
+// Trim removes every record of a stream before offset.
 func (s *Server) Trim(name string, offset platform.Offset) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stream(name).trim(offset)
 }
 
-// Corrupt replaces the data of a kept record, as damage at rest does.
+// Corrupt replaces the data of a retained record, to simulate corruption at
+// rest.
 func (s *Server) Corrupt(name string, offset platform.Offset, data []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st := s.stream(name)
-	st.records[offset-st.first] = data
+	st.records[offset-st.firstOffset] = data
 }
 
-// stream returns the stream of that name, empty when it is new.
+// stream returns the stream with this name and creates it if necessary.
 func (s *Server) stream(name string) *stream {
 	st, ok := s.streams[name]
 	if !ok {
-		st = &stream{grown: make(chan struct{})}
+		st = &stream{appended: make(chan struct{})}
 		s.streams[name] = st
 	}
 	return st
 }
 
 func (s *stream) trim(offset platform.Offset) {
-	if offset <= s.first {
+	if offset <= s.firstOffset {
 		return
 	}
-	drop := min(int(offset-s.first), len(s.records))
+	drop := min(int(offset-s.firstOffset), len(s.records))
 	s.records = append([][]byte(nil), s.records[drop:]...)
-	s.first += platform.Offset(drop)
+	s.firstOffset += platform.Offset(drop)
 }
 
 // Append implements platform.Log.
 func (s *Server) Append(ctx context.Context, name string, data []byte) (platform.Offset, error) {
-	if err := s.delay(ctx); err != nil {
+	if err := s.applyDelay(ctx); err != nil {
 		return 0, platform.ErrUncertain
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats.AppendCalls++
-	if err := s.refusal(data); err != nil {
+	if err := s.checkAppend(data); err != nil {
 		return 0, err
 	}
-	kept := append([]byte(nil), data...)
-	if handled, err := s.faultyAppend(name, kept); handled {
+	record := append([]byte(nil), data...)
+	if handled, err := s.applyAppendFault(name, record); handled {
 		return 0, err
 	}
-	return s.write(name, kept), nil
+	return s.write(name, record), nil
 }
 
-// refusal returns why an append of data certainly has no effect, or breaks off.
-func (s *Server) refusal(data []byte) error {
+// checkAppend returns the error of an append that is rejected or aborted without
+// effect, nil for one that may go ahead.
+func (s *Server) checkAppend(data []byte) error {
 	switch {
 	case s.faults.Abort:
 		return platform.ErrUncertain
@@ -180,8 +183,9 @@
 	return nil
 }
 
-// faultyAppend handles an append whose answer is to be lost.
-func (s *Server) faultyAppend(name string, data []byte) (bool, error) {
+// applyAppendFault applies the fault that is due for this append. It returns
+// false if there is none; otherwise the caller gets no answer.
+func (s *Server) applyAppendFault(name string, data []byte) (bool, error) {
 	f := &s.faults
 	switch {
 	case f.LoseAnswers > 0:
@@ -204,28 +208,29 @@
 	s.write(name, data)
 }
 
-// write adds a record and trims the stream.
+// write appends a record and trims the stream. Trimming starts an eighth above
+// the retention limit, so that not every append copies the stream.
 func (s *Server) write(name string, data []byte) platform.Offset {
 	st := s.stream(name)
-	offset := st.next()
+	offset := st.nextOffset()
 	st.records = append(st.records, data)
 	s.stats.Appends++
 	s.stats.AppendBytes += uint64(len(data))
 	if retain := s.cfg.RetainRecords; retain > 0 && len(st.records) > retain+retain/8 {
-		st.trim(st.next() - platform.Offset(retain))
+		st.trim(st.nextOffset() - platform.Offset(retain))
 	}
-	close(st.grown)
-	st.grown = make(chan struct{})
+	close(st.appended)
+	st.appended = make(chan struct{})
 	return offset
 }
 
-// delay waits as long as the server is slow.
-func (s *Server) delay(ctx context.Context) error {
-	slow := s.Faults().Delay
-	if slow <= 0 {
+// applyDelay waits for the delay of the faults in effect, or until ctx ends.
+func (s *Server) applyDelay(ctx context.Context) error {
+	delay := s.Faults().Delay
+	if delay <= 0 {
 		return ctx.Err()
 	}
-	timer := time.NewTimer(slow)
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -236,66 +241,66 @@
 }
 
 // Read implements platform.Log.
-func (s *Server) Read(ctx context.Context, name string, from platform.Offset, max int, wait time.Duration) (platform.LogBatch, error) {
-	if err := s.delay(ctx); err != nil {
+func (s *Server) Read(ctx context.Context, name string, from platform.Offset, maxRecords int, wait time.Duration) (platform.LogBatch, error) {
+	if err := s.applyDelay(ctx); err != nil {
 		return platform.LogBatch{}, platform.ErrUnavailable
 	}
-	s.count()
+	s.countRead()
 	expired := time.NewTimer(wait)
 	defer expired.Stop()
 	for {
-		got, grown, err := s.readNow(name, from, max)
-		if err != nil || len(got.Records) > 0 {
-			return got, err
+		batch, appended, err := s.readNow(name, from, maxRecords)
+		if err != nil || len(batch.Records) > 0 {
+			return batch, err
 		}
 		select {
-		case <-grown:
+		case <-appended:
 		case <-expired.C:
-			return s.readLast(name, from, max)
+			return s.readAvailable(name, from, maxRecords)
 		case <-ctx.Done():
 			return platform.LogBatch{}, platform.ErrUnavailable
 		}
 	}
 }
 
-func (s *Server) count() {
+func (s *Server) countRead() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats.Reads++
 }
 
-func (s *Server) readLast(name string, from platform.Offset, max int) (platform.LogBatch, error) {
-	got, _, err := s.readNow(name, from, max)
-	return got, err
+func (s *Server) readAvailable(name string, from platform.Offset, maxRecords int) (platform.LogBatch, error) {
+	batch, _, err := s.readNow(name, from, maxRecords)
+	return batch, err
 }
 
-// readNow returns what is there, and a channel that is closed by the next
-// append.
-func (s *Server) readNow(name string, from platform.Offset, max int) (platform.LogBatch, <-chan struct{}, error) {
+// readNow returns the records available now and a channel that the next append
+// closes.
+func (s *Server) readNow(name string, from platform.Offset, maxRecords int) (platform.LogBatch, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.Down || s.faults.Abort {
 		return platform.LogBatch{}, nil, platform.ErrUnavailable
 	}
 	st := s.stream(name)
-	if from < st.first {
-		return platform.LogBatch{}, nil, &platform.TrimmedError{From: from, First: st.first}
+	if from < st.firstOffset {
+		return platform.LogBatch{}, nil, &platform.TrimmedError{From: from, First: st.firstOffset}
 	}
-	return st.read(from, max, s.cfg.MaxReadBytes), st.grown, nil
+	return st.read(from, maxRecords, s.cfg.MaxReadBytes), st.appended, nil
 }
 
-// read returns records from an offset on, within max records and maxBytes
-// bytes, but at least one when there is one.
-func (s *stream) read(from platform.Offset, max, maxBytes int) platform.LogBatch {
-	got := platform.LogBatch{First: s.first, Next: s.next()}
+// read returns the records from an offset on, at most maxRecords records and
+// maxBytes bytes, but at least one record if there are any.
+func (s *stream) read(from platform.Offset, maxRecords, maxBytes int) platform.LogBatch {
+	batch := platform.LogBatch{First: s.firstOffset, Next: s.nextOffset()}
 	size := 0
-	for offset := from; offset < s.next() && len(got.Records) < max; offset++ {
-		data := s.records[offset-s.first]
+	for offset := from; offset < s.nextOffset() && len(batch.Records) < maxRecords; offset++ {
+		data := s.records[offset-s.firstOffset]
 		size += len(data)
-		if size > maxBytes && len(got.Records) > 0 {
+		if size > maxBytes && len(batch.Records) > 0 {
 			break
 		}
-		got.Records = append(got.Records, platform.LogRecord{Offset: offset, Data: data})
+		batch.Records = append(batch.Records, platform.LogRecord{Offset: offset, Data: data})
 	}
-	return got
+	return batch
 }
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -1,6 +1,6 @@
-// Package site starts the stand-ins of all outside systems of a cell on
-// loopback: one log, one VM list, one host of worker agents and one executor
-// per endpoint. Tests, the demo and "skylarkctl standin" use it.
+// Package site starts stand-ins for all external systems of a cell on loopback:
+// one log, one VM list, one host of worker agents and one executor per endpoint.
+// Tests, the demo and "skylarkctl standin" use it.
 package site
 
 import (
@@ -19,26 +19,26 @@
 	"github.com/skylarklock/skylarklock/internal/standin/worker"
 )
 
-// Service is one service with executors on the VMs of a site.
+// Service describes a service whose executors run on the VMs of a site.
 type Service struct {
 	Name                   string
-	ExecutorsPerDataCentre int // of each data centre
+	ExecutorsPerDataCentre int
 	Slots                  int
 	Connections            int
 	ServiceTime            time.Duration // mean
-	Spread                 float64       // share of ServiceTime that varies either way
-	WaitForSlot            bool          // requests beyond the slots wait instead of being refused
+	Spread                 float64       // maximum deviation from ServiceTime in either direction, as a share of it
+	WaitForSlot            bool          // requests wait for a slot instead of being refused
 }
 
-// Config describes a site. Sizes are for each data centre.
+// Config describes a site.
 type Config struct {
 	DataCentres      []api.DataCentre
 	VMsPerDataCentre int
 	VMsPerRack       int
-	Capacity         api.Resources // of a VM
+	Capacity         api.Resources // of each VM
 	Services         []Service
-	VMListLag        time.Duration // of the VM list
-	UsageLag         time.Duration // of the workers' reports of use
+	VMListLag        time.Duration // delay until a change shows in the VM list
+	UsageLag         time.Duration // delay of the usage in the workers' reports
 	Log              logserver.Config
 	Seed             uint64
 }
@@ -59,7 +59,7 @@
 	servers []*http.Server
 }
 
-// Start starts every stand-in on a free port of 127.0.0.1.
+// Start starts all stand-ins on free ports of 127.0.0.1.
 func Start(cfg Config) (*Site, error) {
 	s := &Site{
 		cfg:       cfg,
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// startDataCentre adds the VMs of one data centre and the executors on them,
-// spread evenly.
+// startDataCentre adds the VMs of one data centre and starts its executors,
+// distributed evenly over the VMs.
 func (s *Site) startDataCentre(dc api.DataCentre) error {
 	vms := make([]api.VM, s.cfg.VMsPerDataCentre)
 	for i := range vms {
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// startExecutor starts one executor of a service on a VM.
+// startExecutor starts the i-th executor of a service in the data centre of a VM.
 func (s *Site) startExecutor(service Service, vm api.VM, i int) (api.Endpoint, error) {
 	ep := api.Endpoint{
 		ID:          api.EndpointID(fmt.Sprintf("%s-%s-%03d", vm.DataCentre, service.Name, i)),
@@ -136,26 +136,26 @@
 		Slots:       service.Slots,
 		Connections: service.Connections,
 	}
-	x := executor.New(executor.Config{
+	exec := executor.New(executor.Config{
 		ID: ep.ID, Slots: service.Slots, Connections: service.Connections,
 		ServiceTime: service.ServiceTime, Spread: service.Spread, WaitForSlot: service.WaitForSlot,
 		Seed: s.cfg.Seed + uint64(len(s.Executors)),
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return ep, errors.Wrap(err, "stand-in executor")
+		return ep, errors.Wrap(err, "listen for a stand-in executor")
 	}
 	ep.Address = l.Addr().String()
-	s.servers = append(s.servers, x.Serve(l))
-	s.Executors[ep.ID] = x
+	s.servers = append(s.servers, exec.Serve(l))
+	s.Executors[ep.ID] = exec
 	return ep, nil
 }
 
-// serve serves h on a free port and returns its address.
+// serve serves h on a free port of 127.0.0.1 and returns the address.
 func (s *Site) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return "", errors.Wrap(err, "stand-in")
+		return "", errors.Wrap(err, "listen for a stand-in")
 	}
 	server := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute}
 	s.servers = append(s.servers, server)
@@ -163,12 +163,13 @@
 	return l.Addr().String(), nil
 }
 
-// Close stops every stand-in and cuts their connections.
+// Close stops all stand-ins and closes their connections without waiting for
+// requests in flight.
 func (s *Site) Close() {
-	ended, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	for _, server := range s.servers {
-		_ = server.Shutdown(ended)
+		_ = server.Shutdown(cancelled)
 		_ = server.Close()
 	}
 }
--- a/internal/standin/vmlist/vmlist.go
+++ b/internal/standin/vmlist/vmlist.go
@@ -1,5 +1,5 @@
-// Package vmlist is a small stand-in of the platform's VM list, for tests
-// and demos. Changes show in the list only after a lag.
+// Package vmlist implements a small stand-in for the platform's VM list, for
+// tests and demos. Changes become visible to readers after a lag.
 package vmlist
 
 import (
@@ -12,7 +12,8 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// change is one VM's state from a moment on; a nil vm means removed.
+// change is the state of one VM from a point in time on; a nil vm means that the
+// VM was removed.
 type change struct {
 	at time.Time
 	id api.VMID
@@ -27,22 +28,22 @@
 
 	mu      sync.Mutex
 	down    bool
-	truth   map[api.VMID]api.VM
-	shown   map[api.VMID]api.VM
+	current map[api.VMID]api.VM
+	visible map[api.VMID]api.VM
 	pending []change
 }
 
-// New returns an empty list whose readers see changes lag late.
+// New returns an empty list whose readers see changes after lag.
 func New(clock func() time.Time, lag time.Duration) *List {
 	l := &List{
-		clock: clock,
-		lag:   lag,
-		mux:   http.NewServeMux(),
-		truth: make(map[api.VMID]api.VM),
-		shown: make(map[api.VMID]api.VM),
+		clock:   clock,
+		lag:     lag,
+		mux:     http.NewServeMux(),
+		current: make(map[api.VMID]api.VM),
+		visible: make(map[api.VMID]api.VM),
 	}
-	l.mux.HandleFunc("GET /vms/{dc}", l.get)
-	l.mux.HandleFunc("POST /order", l.order)
+	l.mux.HandleFunc("GET /vms/{dc}", l.handleList)
+	l.mux.HandleFunc("POST /order", l.handleChange)
 	return l
 }
 
@@ -50,14 +51,14 @@
 func (l *List) Put(vm api.VM) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.truth[vm.ID] = vm
+	l.current[vm.ID] = vm
 	l.pending = append(l.pending, change{at: l.clock(), id: vm.ID, vm: &vm})
 }
 
 // MarkLeaving marks a VM as leaving.
 func (l *List) MarkLeaving(id api.VMID) {
 	l.mu.Lock()
-	vm, ok := l.truth[id]
+	vm, ok := l.current[id]
 	l.mu.Unlock()
 	if ok {
 		vm.State = api.VMLeaving
@@ -65,15 +66,15 @@
 	}
 }
 
-// Remove drops a VM.
+// Remove removes a VM.
 func (l *List) Remove(id api.VMID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.truth, id)
+	delete(l.current, id)
 	l.pending = append(l.pending, change{at: l.clock(), id: id})
 }
 
-// SetDown makes every read fail, or ends that.
+// SetDown sets whether every read fails.
 func (l *List) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,47 +94,47 @@
 	l.mux.ServeHTTP(w, r)
 }
 
-func (l *List) order(w http.ResponseWriter, r *http.Request) {
-	var o ChangeRequest
-	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
+func (l *List) handleChange(w http.ResponseWriter, r *http.Request) {
+	var req ChangeRequest
+	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	for _, vm := range o.Put {
+	for _, vm := range req.Put {
 		l.Put(vm)
 	}
-	for _, id := range o.Leave {
+	for _, id := range req.Leave {
 		l.MarkLeaving(id)
 	}
-	for _, id := range o.Remove {
+	for _, id := range req.Remove {
 		l.Remove(id)
 	}
-	if o.Down != nil {
-		l.SetDown(*o.Down)
+	if req.Down != nil {
+		l.SetDown(*req.Down)
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (l *List) get(w http.ResponseWriter, r *http.Request) {
-	vms, ok := l.read(api.DataCentre(r.PathValue("dc")))
+func (l *List) handleList(w http.ResponseWriter, r *http.Request) {
+	vms, ok := l.visibleVMs(api.DataCentre(r.PathValue("dc")))
 	if !ok {
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// A failed write means that the reader has gone.
+	// The write fails only if the reader disconnected.
 	_ = json.NewEncoder(w).Encode(vms)
 }
 
-func (l *List) read(dc api.DataCentre) ([]api.VM, bool) {
+func (l *List) visibleVMs(dc api.DataCentre) ([]api.VM, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.down {
 		return nil, false
 	}
-	l.show()
+	l.applyPending()
 	vms := []api.VM{}
-	for _, vm := range l.shown {
+	for _, vm := range l.visible {
 		if vm.DataCentre == dc {
 			vms = append(vms, vm)
 		}
@@ -142,16 +143,16 @@
 	return vms, true
 }
 
-// show makes visible what is older than the lag.
-func (l *List) show() {
+// applyPending makes the changes visible that are at least as old as the lag.
+func (l *List) applyPending() {
 	horizon := l.clock().Add(-l.lag)
 	for len(l.pending) > 0 && !l.pending[0].at.After(horizon) {
 		c := l.pending[0]
 		l.pending = l.pending[1:]
 		if c.vm == nil {
-			delete(l.shown, c.id)
+			delete(l.visible, c.id)
 			continue
 		}
-		l.shown[c.id] = *c.vm
+		l.visible[c.id] = *c.vm
 	}
 }
--- a/internal/standin/vmlist/vmlist_test.go
+++ b/internal/standin/vmlist/vmlist_test.go
@@ -26,20 +26,20 @@
 	l.Put(api.VM{ID: "a", DataCentre: "cas1", State: api.VMLive})
 	l.Put(api.VM{ID: "b", DataCentre: "cas2", State: api.VMLive})
 	if got := read(); len(got) != 0 {
-		t.Error("before the lag: ", got)
+		t.Error("VM is visible before the lag: ", got)
 	}
 	now = now.Add(10 * time.Second)
 	l.MarkLeaving("a")
 	if got := read(); len(got) != 1 || got[0].State != api.VMLive {
-		t.Error("the leaving shows late: ", got)
+		t.Error("want the VM live until the lag has passed: ", got)
 	}
 	now = now.Add(10 * time.Second)
 	l.Remove("a")
 	if got := read(); len(got) != 1 || got[0].State != api.VMLeaving {
-		t.Error("the removal shows late: ", got)
+		t.Error("want the VM leaving until the lag has passed: ", got)
 	}
 	l.SetDown(true)
 	if _, err := client.List(t.Context(), "cas1"); err == nil {
-		t.Error("down, and answers")
+		t.Error("list answers while it is down")
 	}
 }
--- a/internal/standin/worker/http.go
+++ b/internal/standin/worker/http.go
@@ -13,41 +13,41 @@
 	"github.com/skylarklock/skylarklock/internal/platform/httpworker"
 )
 
-// FaultRequest is the body of POST /faults. An empty VM means all of them.
+// FaultRequest is the body of POST /faults. An empty VM selects all VMs.
 type FaultRequest struct {
 	VM          api.VMID `json:"vm"`
 	Restart     bool     `json:"restart"`
-	UsageFactor float64  `json:"use_factor"` // zero: leave
+	UsageFactor float64  `json:"use_factor"` // zero: unchanged
 	Faults      Faults   `json:"faults"`
 }
 
-// Host serves many stand-in VMs from one handler, each below /w/{vm}.
+// Host is an HTTP handler for many stand-in VMs, each below /w/{vm}.
 type Host struct {
 	mux *http.ServeMux
 	mu  sync.RWMutex
 	vms map[api.VMID]*VM
 }
 
-// NewHost returns a host of vms.
+// NewHost returns a host that serves vms.
 func NewHost(vms ...*VM) *Host {
 	h := &Host{mux: http.NewServeMux(), vms: make(map[api.VMID]*VM)}
 	for _, v := range vms {
 		h.Add(v)
 	}
-	h.mux.HandleFunc("POST /w/{vm}/sync", h.sync)
-	h.mux.HandleFunc("POST /faults", h.faults)
-	h.mux.HandleFunc("GET /record", h.record)
+	h.mux.HandleFunc("POST /w/{vm}/sync", h.handleSync)
+	h.mux.HandleFunc("POST /faults", h.handleFaults)
+	h.mux.HandleFunc("GET /record", h.handleRecord)
 	return h
 }
 
-// Add puts a further VM on the host.
+// Add adds a VM to the host.
 func (h *Host) Add(v *VM) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.vms[v.id] = v
 }
 
-// VM returns a VM of the host, nil when there is none of that name.
+// VM returns the VM with this ID, or nil if the host has none.
 func (h *Host) VM(id api.VMID) *VM {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
@@ -59,7 +59,7 @@
 	h.mux.ServeHTTP(w, r)
 }
 
-func (h *Host) sync(w http.ResponseWriter, r *http.Request) {
+func (h *Host) handleSync(w http.ResponseWriter, r *http.Request) {
 	v := h.VM(api.VMID(r.PathValue("vm")))
 	if v == nil {
 		http.Error(w, "no such VM", http.StatusNotFound)
@@ -70,16 +70,16 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	f := v.beforeExchange()
+	f := v.nextExchangeFaults()
 	if f.Frozen {
-		drop()
+		abortConnection()
 	}
 	if f.Delay > 0 {
 		time.Sleep(f.Delay)
 	}
 	report, err := v.Sync(msg)
 	if f.LoseAnswers > 0 {
-		drop()
+		abortConnection()
 	}
 	if errors.Is(err, platform.ErrWorkerFenced) {
 		http.Error(w, err.Error(), httpworker.StatusFenced)
@@ -88,13 +88,14 @@
 	httpworker.WriteReport(w, report)
 }
 
-// drop breaks the connection off without an answer.
-func drop() {
+// abortConnection closes the connection without an answer.
+func abortConnection() {
 	panic(http.ErrAbortHandler)
 }
 
-// beforeExchange returns the faults for one exchange and counts it.
-func (v *VM) beforeExchange() Faults {
+// nextExchangeFaults returns the faults of the next exchange and counts down the
+// answers to lose.
+func (v *VM) nextExchangeFaults() Faults {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	f := v.faults
@@ -104,36 +105,36 @@
 	return f
 }
 
-func (h *Host) faults(w http.ResponseWriter, r *http.Request) {
-	var order FaultRequest
-	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
+func (h *Host) handleFaults(w http.ResponseWriter, r *http.Request) {
+	var req FaultRequest
+	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	for _, v := range h.selected(order.VM) {
-		v.SetFaults(order.Faults)
-		if order.UsageFactor > 0 {
-			v.SetUsageFactor(order.UsageFactor)
+	for _, v := range h.selectVMs(req.VM) {
+		v.SetFaults(req.Faults)
+		if req.UsageFactor > 0 {
+			v.SetUsageFactor(req.UsageFactor)
 		}
-		if order.Restart {
+		if req.Restart {
 			v.Restart()
 		}
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (h *Host) record(w http.ResponseWriter, r *http.Request) {
+func (h *Host) handleRecord(w http.ResponseWriter, r *http.Request) {
 	records := []Record{}
-	for _, v := range h.selected(api.VMID(r.URL.Query().Get("vm"))) {
+	for _, v := range h.selectVMs(api.VMID(r.URL.Query().Get("vm"))) {
 		records = append(records, v.Record())
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// A failed write means that the reader has gone.
+	// The write fails only if the reader disconnected.
 	_ = json.NewEncoder(w).Encode(records)
 }
 
-// selected returns the named VM, or all in order of their names.
-func (h *Host) selected(id api.VMID) []*VM {
+// selectVMs returns the VM with this ID, or all VMs in order of ID if it is empty.
+func (h *Host) selectVMs(id api.VMID) []*VM {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	var vms []*VM
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -1,12 +1,13 @@
-// Package worker is a small stand-in of worker agents for tests and demos.
-// A task is a timer that runs under the VM's lease on the VM's own clock.
+// Package worker implements a small stand-in for worker agents, for tests and
+// demos. A task is a timer that runs under the VM's lease, on the VM's own clock.
 //
-// The stand-in keeps to these rules, which the real agents are expected to
-// keep too: starts and renewals of an exchange are refused when the exchange
-// names another incarnation or its lease expiry has passed; an attempt that
-// ended is reported until a StopKill for it arrives, and is remembered until
-// no copy of an exchange that started it can be valid any more; when the
-// lease lapses every task is stopped at once.
+// The stand-in follows these rules, which the real agents are expected to follow
+// as well:
+//   - Starts and renewals in an exchange are refused if the exchange names
+//     another incarnation or its lease expiry has passed.
+//   - An ended attempt is reported until a StopKill for it arrives, and is
+//     remembered until no copy of an exchange that started it can be valid.
+//   - When the lease expires, every task is stopped at once.
 package worker
 
 import (
@@ -17,20 +18,20 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// Clock gives the time on a VM. Tests inject it.
+// Clock returns the time on a VM. Tests inject their own.
 type Clock func() time.Time
 
-// Faults are what a VM is made to do wrong. The zero value is a good VM.
+// Faults are the faults of a VM. The zero value is a healthy VM.
 type Faults struct {
-	FailAllStarts bool          `json:"fail_everything"` // every start ends badly at once
-	LoseAnswers   int           `json:"lose_answers"`    // so many next exchanges take effect, their answers are lost
-	Delay         time.Duration `json:"delay_ns"`        // before an exchange takes effect
-	Frozen        bool          `json:"frozen"`          // answers nothing; tasks run on until the lease lapses
-	IgnoreFences  bool          `json:"ignore_fences"`   // accepts lower epochs
-	Leaving       bool          `json:"leaving"`         // says so in its reports
+	FailAllStarts bool          `json:"fail_everything"` // every started task fails at once
+	LoseAnswers   int           `json:"lose_answers"`    // number of next exchanges that take effect but whose answers are lost
+	Delay         time.Duration `json:"delay_ns"`        // delay before an exchange takes effect
+	Frozen        bool          `json:"frozen"`          // answer nothing; tasks continue until the lease expires
+	IgnoreFences  bool          `json:"ignore_fences"`   // accept lower epochs
+	Leaving       bool          `json:"leaving"`         // report that the VM is leaving
 }
 
-// Run is the record of one attempt: the truth that tests check against.
+// Run is the record of one attempt. Tests check reported outcomes against it.
 type Run struct {
 	VM        api.VMID          `json:"vm"`
 	Task      api.TaskID        `json:"task"`
@@ -41,26 +42,26 @@
 	State     platform.RunState `json:"state"`
 }
 
-// Record is what a VM did so far.
+// Record is everything that a VM did so far.
 type Record struct {
 	VM       api.VMID      `json:"vm"`
 	Capacity api.Resources `json:"capacity"`
-	MaxInUse api.Resources `json:"max_in_use"` // largest sum at any moment, field by field
+	MaxInUse api.Resources `json:"max_in_use"` // maximum of the running tasks' resources, for each field separately
 	Runs     []Run         `json:"runs"`
-	Refused  int           `json:"refused"` // exchanges refused by epoch, incarnation or expiry
+	Refused  int           `json:"refused"` // exchanges refused because of epoch, incarnation or lease expiry
 }
 
-// attempt is one attempt held by the VM.
+// attempt is an attempt that runs on the VM or whose end is still reported.
 type attempt struct {
-	start    platform.TaskStart
-	run      int // index in Record.Runs
-	state    platform.RunState
-	began    platform.WorkerTime
-	ends     platform.WorkerTime // zero: runs until stopped
-	throttle bool
+	start     platform.TaskStart
+	runIndex  int // index in Record.Runs
+	state     platform.RunState
+	startedAt platform.WorkerTime
+	endsAt    platform.WorkerTime // zero: runs until stopped
+	throttled bool
 }
 
-type key struct {
+type attemptKey struct {
 	task    api.TaskID
 	attempt uint32
 }
@@ -73,29 +74,29 @@
 
 	mu          sync.Mutex
 	faults      Faults
-	booted      time.Time
+	bootTime    time.Time
 	incarnation uint64
 	epoch       api.Epoch
 	expiry      platform.WorkerTime
-	held        map[key]*attempt
-	tombstones  map[key]platform.WorkerTime // until when copies may arrive
+	attempts    map[attemptKey]*attempt
+	tombstones  map[attemptKey]platform.WorkerTime // time until which copies of the start may arrive
 	inUse       api.Resources
 	record      Record
-	useFactor   float64 // actual over declared use
+	usageFactor float64 // ratio of actual to declared usage
 }
 
-// New returns a VM whose usage reports lag by usageLag.
+// New returns a VM whose reported usage lags by usageLag.
 func New(id api.VMID, capacity api.Resources, clock Clock, usageLag time.Duration) *VM {
 	return &VM{
 		id:          id,
 		clock:       clock,
 		usageLag:    usageLag,
-		booted:      clock(),
+		bootTime:    clock(),
 		incarnation: 1,
-		held:        make(map[key]*attempt),
-		tombstones:  make(map[key]platform.WorkerTime),
+		attempts:    make(map[attemptKey]*attempt),
+		tombstones:  make(map[attemptKey]platform.WorkerTime),
 		record:      Record{VM: id, Capacity: capacity},
-		useFactor:   1,
+		usageFactor: 1,
 	}
 }
 
@@ -107,26 +108,27 @@
 	v.faults = f
 }
 
-// Restart loses everything that the VM runs and holds.
+// Restart simulates a restart of the VM: running tasks are killed, and attempts,
+// lease and epoch are lost.
 func (v *VM) Restart() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.advance()
 	now := v.clock()
-	for _, a := range v.held {
+	for _, a := range v.attempts {
 		if a.state == platform.RunRunning {
-			v.end(a, platform.RunKilled, now)
+			v.endAttempt(a, platform.RunKilled, now)
 		}
 	}
 	v.incarnation++
-	v.booted = now
+	v.bootTime = now
 	v.epoch = 0
 	v.expiry = 0
-	clear(v.held)
+	clear(v.attempts)
 	clear(v.tombstones)
 }
 
-// Record returns what the VM did up to now.
+// Record returns everything that the VM did so far.
 func (v *VM) Record() Record {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -136,7 +138,8 @@
 	return r
 }
 
-// Sync does one exchange. It fails with platform.ErrWorkerFenced.
+// Sync performs one exchange. It fails with platform.ErrWorkerFenced if the epoch
+// is lower than one seen before.
 func (v *VM) Sync(msg platform.WorkerSync) (platform.WorkerReport, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -146,44 +149,44 @@
 		return platform.WorkerReport{}, platform.ErrWorkerFenced
 	}
 	v.epoch = max(v.epoch, msg.Epoch)
-	v.stop(msg.Stops)
-	if v.valid(msg) {
+	v.applyStops(msg.Stops)
+	if v.canRenew(msg) {
 		v.expiry = max(v.expiry, msg.LeaseExpiry)
-		v.start(msg)
+		v.startAttempts(msg)
 	} else if msg.LeaseExpiry != 0 {
 		v.record.Refused++
 	}
-	return v.report(), nil
+	return v.buildReport(), nil
 }
 
-// valid tells whether msg may renew and start.
-func (v *VM) valid(msg platform.WorkerSync) bool {
+// canRenew reports whether msg may renew the lease and start tasks.
+func (v *VM) canRenew(msg platform.WorkerSync) bool {
 	return msg.Incarnation == v.incarnation && msg.LeaseExpiry > v.now()
 }
 
 func (v *VM) now() platform.WorkerTime {
-	// One is added so that no reading is zero, which means "none".
-	return platform.WorkerTime(v.clock().Sub(v.booted)) + 1
+	// 1 is added because a zero WorkerTime means "none".
+	return platform.WorkerTime(v.clock().Sub(v.bootTime)) + 1
 }
 
-func (v *VM) at(t platform.WorkerTime) time.Time {
-	return v.booted.Add(time.Duration(t - 1))
+func (v *VM) wallTime(t platform.WorkerTime) time.Time {
+	return v.bootTime.Add(time.Duration(t - 1))
 }
 
-// advance ends what has ended by itself or by a lapsed lease since the last
-// call, at the times at which it did.
+// advance ends the attempts that completed or whose lease expired since the last
+// call, and records the times at which that happened.
 func (v *VM) advance() {
 	now := v.now()
-	for _, a := range v.held {
+	for _, a := range v.attempts {
 		if a.state != platform.RunRunning {
 			continue
 		}
-		done := a.ends != 0 && a.ends <= min(now, v.expiry)
+		completed := a.endsAt != 0 && a.endsAt <= min(now, v.expiry)
 		switch {
-		case done:
-			v.end(a, platform.RunSucceeded, v.at(a.ends))
+		case completed:
+			v.endAttempt(a, platform.RunSucceeded, v.wallTime(a.endsAt))
 		case v.expiry <= now:
-			v.end(a, platform.RunKilled, v.at(v.expiry))
+			v.endAttempt(a, platform.RunKilled, v.wallTime(v.expiry))
 		}
 	}
 	for k, until := range v.tombstones {
@@ -193,40 +196,40 @@
 	}
 }
 
-func (v *VM) end(a *attempt, state platform.RunState, at time.Time) {
+func (v *VM) endAttempt(a *attempt, state platform.RunState, at time.Time) {
 	a.state = state
 	v.inUse = v.inUse.Sub(a.start.Resources)
-	v.record.Runs[a.run].End = at
-	v.record.Runs[a.run].State = state
+	v.record.Runs[a.runIndex].End = at
+	v.record.Runs[a.runIndex].State = state
 }
 
-func (v *VM) start(msg platform.WorkerSync) {
+func (v *VM) startAttempts(msg platform.WorkerSync) {
 	for _, s := range msg.Starts {
-		k := key{task: s.Task, attempt: s.Attempt}
+		k := attemptKey{task: s.Task, attempt: s.Attempt}
 		if _, ok := v.tombstones[k]; ok {
 			v.tombstones[k] = max(v.tombstones[k], msg.LeaseExpiry)
 			continue
 		}
 		v.tombstones[k] = msg.LeaseExpiry
-		if _, ok := v.held[k]; ok {
+		if _, ok := v.attempts[k]; ok {
 			continue
 		}
-		v.begin(k, s)
+		v.startAttempt(k, s)
 	}
 }
 
-func (v *VM) begin(k key, s platform.TaskStart) {
-	a := &attempt{start: s, run: len(v.record.Runs), state: platform.RunRunning, began: v.now()}
+func (v *VM) startAttempt(k attemptKey, s platform.TaskStart) {
+	a := &attempt{start: s, runIndex: len(v.record.Runs), state: platform.RunRunning, startedAt: v.now()}
 	if s.RunTime > 0 {
-		a.ends = a.began + platform.WorkerTime(s.RunTime)
+		a.endsAt = a.startedAt + platform.WorkerTime(s.RunTime)
 	}
-	v.held[k] = a
+	v.attempts[k] = a
 	v.record.Runs = append(v.record.Runs, Run{
 		VM: v.id, Task: s.Task, Attempt: s.Attempt, Resources: s.Resources, Start: v.clock(), State: a.state,
 	})
 	v.inUse = v.inUse.Add(s.Resources)
 	if v.faults.FailAllStarts {
-		v.end(a, platform.RunFailed, v.clock())
+		v.endAttempt(a, platform.RunFailed, v.clock())
 		return
 	}
 	m := &v.record.MaxInUse
@@ -235,28 +238,28 @@
 	m.Accelerators = max(m.Accelerators, v.inUse.Accelerators)
 }
 
-func (v *VM) stop(stops []platform.TaskStop) {
+func (v *VM) applyStops(stops []platform.TaskStop) {
 	for _, s := range stops {
-		k := key{task: s.Task, attempt: s.Attempt}
-		a := v.held[k]
+		k := attemptKey{task: s.Task, attempt: s.Attempt}
+		a := v.attempts[k]
 		if a == nil {
 			continue
 		}
 		running := a.state == platform.RunRunning
 		switch {
 		case s.Mode == platform.StopThrottle:
-			a.throttle = true
+			a.throttled = true
 		case s.Mode == platform.StopCheckpoint && running:
-			v.end(a, platform.RunCheckpointed, v.clock())
+			v.endAttempt(a, platform.RunCheckpointed, v.clock())
 		case s.Mode == platform.StopKill && running:
-			v.end(a, platform.RunKilled, v.clock())
+			v.endAttempt(a, platform.RunKilled, v.clock())
 		case s.Mode == platform.StopKill:
-			delete(v.held, k)
+			delete(v.attempts, k)
 		}
 	}
 }
 
-func (v *VM) report() platform.WorkerReport {
+func (v *VM) buildReport() platform.WorkerReport {
 	r := platform.WorkerReport{
 		VM:          v.id,
 		Incarnation: v.incarnation,
@@ -264,44 +267,45 @@
 		LeaseExpiry: v.expiry,
 		Leaving:     v.faults.Leaving,
 	}
-	for k, a := range v.held {
+	for k, a := range v.attempts {
 		r.Tasks = append(r.Tasks, platform.TaskReport{
-			Task: k.task, Attempt: k.attempt, State: a.state, Usage: v.usage(a), RunFor: v.ranFor(a),
+			Task: k.task, Attempt: k.attempt, State: a.state, Usage: v.usage(a), RunFor: v.runTime(a),
 		})
 	}
 	return r
 }
 
-func (v *VM) ranFor(a *attempt) time.Duration {
-	run := v.record.Runs[a.run]
+func (v *VM) runTime(a *attempt) time.Duration {
+	run := v.record.Runs[a.runIndex]
 	if !run.End.IsZero() {
 		return run.End.Sub(run.Start)
 	}
-	return time.Duration(v.now() - a.began)
+	return time.Duration(v.now() - a.startedAt)
 }
 
-// usage is the use as it was usageLag ago.
+// usage returns the usage of an attempt as of usageLag ago.
 func (v *VM) usage(a *attempt) api.Resources {
-	if v.ranFor(a) < v.usageLag {
+	if v.runTime(a) < v.usageLag {
 		return api.Resources{}
 	}
 	u := a.start.Resources
-	if a.throttle {
+	if a.throttled {
 		return u
 	}
-	u.MilliCPU = int64(float64(u.MilliCPU) * v.useFactor)
-	u.MemoryMB = int64(float64(u.MemoryMB) * v.useFactor)
+	u.MilliCPU = int64(float64(u.MilliCPU) * v.usageFactor)
+	u.MemoryMB = int64(float64(u.MemoryMB) * v.usageFactor)
 	return u
 }
 
-// SetUsageFactor sets what tasks really use, as a factor of what they declared.
+// SetUsageFactor sets the ratio of actual to declared usage of all tasks.
 func (v *VM) SetUsageFactor(factor float64) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.useFactor = factor
+	v.usageFactor = factor
 }
 
-// IsFrozen reports whether the VM answers nothing, for tests without sockets.
+// IsFrozen reports whether the VM answers nothing. Tests that call Sync directly,
+// without sockets, use it.
 func (v *VM) IsFrozen() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
