--- a/internal/load/balancer.go
+++ b/internal/load/balancer.go
@@ -7,49 +7,52 @@
 	"time"
 )
 
-// readyPath answers 200 while an entry VM takes requests.
-const readyPath = "/v1/ready"
+// readinessPath answers 200 while an entry VM accepts requests.
+const readinessPath = "/v1/ready"
 
-// balancer takes entry VMs in turn. When it watches them, it leaves out those
-// that were not ready at the last look, as the platform's balancer does.
+// balancer selects entry VMs in round-robin order. Once watchReadiness runs, it
+// skips those that were not ready at their last check, as the platform's
+// balancer does.
 type balancer struct {
 	entries []string
 	unready []atomic.Bool
-	turn    atomic.Uint64
+	counter atomic.Uint64
 }
 
 func newBalancer(entries []string) *balancer {
 	return &balancer{entries: entries, unready: make([]atomic.Bool, len(entries))}
 }
 
-// next returns the next entry VM; when none is ready, simply the next.
+// next returns the next ready entry VM. If none is ready, it returns one that is
+// not ready.
 func (b *balancer) next() string {
 	n := uint64(len(b.entries))
-	var at uint64
+	var index uint64
 	for range b.entries {
-		at = b.turn.Add(1) % n
-		if !b.unready[at].Load() {
+		index = b.counter.Add(1) % n
+		if !b.unready[index].Load() {
 			break
 		}
 	}
-	return b.entries[at]
+	return b.entries[index]
 }
 
-// watch looks at the readiness of every entry VM until ctx ends.
-func (b *balancer) watch(ctx context.Context, every time.Duration) {
-	client := &http.Client{Timeout: every}
+// watchReadiness checks the readiness of every entry VM at the interval, in the
+// background, until ctx ends.
+func (b *balancer) watchReadiness(ctx context.Context, interval time.Duration) {
+	client := &http.Client{Timeout: interval}
 	for i := range b.entries {
 		go func() {
 			for ctx.Err() == nil {
-				b.unready[i].Store(!ready(ctx, client, b.entries[i]))
-				sleepUntil(ctx, time.Now().Add(every))
+				b.unready[i].Store(!isReady(ctx, client, b.entries[i]))
+				sleepUntil(ctx, time.Now().Add(interval))
 			}
 		}()
 	}
 }
 
-func ready(ctx context.Context, client *http.Client, entry string) bool {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+entry+readyPath, nil)
+func isReady(ctx context.Context, client *http.Client, entry string) bool {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+entry+readinessPath, nil)
 	if err != nil {
 		return false
 	}
--- a/internal/load/config.go
+++ b/internal/load/config.go
@@ -1,10 +1,11 @@
-// Package load sends requests to entry VMs at a steady rate and records what
-// came back: outcomes, reasons and the time to each answer.
+// Package load sends requests to entry VMs at a steady rate and records their
+// outcomes, reasons and latencies.
 //
-// The schedule is open: a request is due at its time whether or not earlier
-// ones were answered, and its latency counts from when it was due, so that a
-// slow system can't hide behind fewer requests. Requests that would exceed
-// the bound on open requests are counted as skipped.
+// The load is open-loop: requests are sent at their scheduled times whether or
+// not earlier ones were answered, and latency is measured from the scheduled
+// time. A slow system therefore can't lower its measured latency by slowing down
+// the sender. Requests that would exceed the limit on open requests are counted
+// as skipped.
 package load
 
 import (
@@ -14,7 +15,8 @@
 	"github.com/skylarklock/skylarklock/internal/finding"
 )
 
-// Bounds of a load run.
+// Limits of a load run: its duration, the rate of all streams together in
+// requests per second, and the number of open requests.
 const (
 	MaxDuration = 5 * time.Minute
 	MaxRate     = 50_000
@@ -23,7 +25,7 @@
 	maxBodyBytes = 16 << 20
 )
 
-// Stream is the traffic of one caller.
+// Stream describes the traffic of one caller.
 type Stream struct {
 	Caller      string
 	Class       string
@@ -33,25 +35,26 @@
 	Idempotent  bool
 	BodyBytes   int
 	Timeout     time.Duration
-	RepeatShare float64 // share of requests sent a second time with the same id, 0 to 1
-	Direct      bool    // straight to an executor: any whole answer counts as ran
+	RepeatShare float64 // share of requests sent twice with the same ID, 0 to 1
+	Direct      bool    // sent directly to an executor: every complete answer counts as "ran"
 }
 
 // Config describes one load run.
 type Config struct {
-	Entries []string // callers' addresses, IP:port; taken in turn
-	// ReadinessInterval is the time between two looks at the readiness of each entry VM,
-	// as a balancer takes them; requests go to ready ones only. Zero: none,
-	// every entry VM gets its share.
+	Entries []string // addresses of the entry VMs' listeners for callers, IP:port; used in round-robin order
+	// ReadinessInterval is the time between readiness checks of each entry VM.
+	// Requests go only to ready entry VMs, as behind a balancer. With zero there
+	// are no checks, and all entry VMs get the same share of the requests.
 	ReadinessInterval time.Duration
 	Streams           []Stream
 	Duration          time.Duration
-	MaxOpen           int // open requests of all streams together
+	MaxOpen           int // maximum number of open requests of all streams together
 	Seed              uint64
-	IDPrefix          string // keeps the ids of two runs apart
+	IDPrefix          string // distinguishes the request IDs of different runs
 }
 
-// Validate reports every fault of c. Targets must be loopback addresses.
+// Validate returns an error that lists every invalid field of c. The entry VMs
+// must have loopback addresses.
 func (c *Config) Validate() error {
 	var l finding.List
 	l.Check(len(c.Entries) > 0, "entries", nil, "at least one IP:port")
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -16,7 +16,7 @@
 	cfg := Config{Entries: []string{"10.0.0.1:80"}, Streams: []Stream{{RepeatShare: 2}}, MaxOpen: 0}
 	err := cfg.Validate()
 	if err == nil {
-		t.Fatal("no findings")
+		t.Fatal("invalid configuration was accepted")
 	}
 	for _, path := range []string{"entries", "streams.rate", "streams.repeat", "streams.service", "duration", "max_open"} {
 		if !strings.Contains(err.Error(), path) {
@@ -47,11 +47,11 @@
 	}
 	result := runner.Run(context.Background())[0]
 	if result.Sent() == 0 || result.Count(api.OutcomeNotRun) != result.Sent() {
-		t.Fatalf("sent %d, not run %d", result.Sent(), result.Count(api.OutcomeNotRun))
+		t.Fatalf("sent %d requests, counted %d as not run; want the same number, above zero", result.Sent(), result.Count(api.OutcomeNotRun))
 	}
 	for id, n := range seen {
 		if n != 2 {
-			t.Errorf("%s was sent %d times, want 2", id, n)
+			t.Errorf("request %s was sent %d times, want 2", id, n)
 		}
 	}
 }
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -19,38 +19,38 @@
 	histogramDigits = 3
 )
 
-// Sample is one answered or failed request.
+// Sample is the result of one request.
 type Sample struct {
 	ID      string
 	Stream  int
-	Due     time.Duration // from the start of the run
-	Latency time.Duration // from due to the whole answer
-	Outcome api.Outcome   // empty when no answer came
+	Due     time.Duration // scheduled time, since the start of the run
+	Latency time.Duration // from the scheduled time to the complete answer or the failure
+	Outcome api.Outcome   // empty if there was no complete answer
 	Reason  api.Reason
 	Status  int
-	Err     error // why no whole answer came
-	// Answer and Checksum are set with Runner.KeepAnswers.
+	Err     error // reason why there was no complete answer
+	// Answer is the body, set only with Runner.KeepAnswers.
 	Answer   []byte
-	Checksum string // of a stand-in's answer, from its trailer
+	Checksum string // from the trailer of a stand-in's answer
 }
 
-// Result is what a run gathered for one stream. It is safe for concurrent use.
+// Result holds the statistics of one stream. It is safe for concurrent use.
 type Result struct {
-	mu       sync.Mutex
-	sent     int
-	skipped  int
-	outcomes map[api.Outcome]int
-	reasons  map[api.Reason]int
-	ran      *hdrhistogram.Histogram
-	refused  *hdrhistogram.Histogram
+	mu            sync.Mutex
+	sent          int
+	skipped       int
+	outcomeCounts map[api.Outcome]int
+	reasonCounts  map[api.Reason]int
+	ranLatency    *hdrhistogram.Histogram
+	otherLatency  *hdrhistogram.Histogram
 }
 
 func newResult() *Result {
 	return &Result{
-		outcomes: map[api.Outcome]int{},
-		reasons:  map[api.Reason]int{},
-		ran:      hdrhistogram.New(histogramMin, histogramMax, histogramDigits),
-		refused:  hdrhistogram.New(histogramMin, histogramMax, histogramDigits),
+		outcomeCounts: map[api.Outcome]int{},
+		reasonCounts:  map[api.Reason]int{},
+		ranLatency:    hdrhistogram.New(histogramMin, histogramMax, histogramDigits),
+		otherLatency:  hdrhistogram.New(histogramMin, histogramMax, histogramDigits),
 	}
 }
 
@@ -58,75 +58,78 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sent++
-	r.outcomes[s.Outcome]++
+	r.outcomeCounts[s.Outcome]++
 	if s.Reason != "" {
-		r.reasons[s.Reason]++
+		r.reasonCounts[s.Reason]++
 	}
-	h := r.refused
+	h := r.otherLatency
 	if s.Outcome == api.OutcomeRan {
-		h = r.ran
+		h = r.ranLatency
 	}
-	// A latency beyond the range is kept at its end.
+	// Latencies outside the range of the histogram are clamped to it.
 	_ = h.RecordValue(min(max(s.Latency.Microseconds(), histogramMin), histogramMax))
 }
 
-func (r *Result) skip() {
+func (r *Result) countSkipped() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.skipped++
 }
 
-// Sent is the number of requests that were sent.
+// Sent returns the number of requests that were sent.
 func (r *Result) Sent() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.sent
 }
 
-// Skipped is the number of requests that the bound on open requests kept back.
+// Skipped returns the number of requests that were not sent because of the limit
+// on open requests.
 func (r *Result) Skipped() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.skipped
 }
 
-// Count is the number of answers with outcome o; the empty outcome counts
+// Count returns the number of answers with outcome o; the empty outcome counts
 // requests without an answer.
 func (r *Result) Count(o api.Outcome) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.outcomes[o]
+	return r.outcomeCounts[o]
 }
 
-// RanLatency is the latency at quantile q (0 to 100) of the requests that ran.
+// RanLatency returns the latency at quantile q (0 to 100) of the requests that
+// ran.
 func (r *Result) RanLatency(q float64) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Duration(r.ran.ValueAtQuantile(q)) * time.Microsecond
+	return time.Duration(r.ranLatency.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// OtherLatency is the latency at quantile q of all other answers.
+// OtherLatency returns the latency at quantile q (0 to 100) of all other requests,
+// those without an answer included.
 func (r *Result) OtherLatency(q float64) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Duration(r.refused.ValueAtQuantile(q)) * time.Microsecond
+	return time.Duration(r.otherLatency.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Print writes the result as key=value lines.
+// Print writes the result as key=value lines; name identifies the stream.
 func (r *Result) Print(w io.Writer, name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	fmt.Fprintf(w, "stream=%s sent=%d skipped=%d ran=%d not_run=%d unknown=%d no_answer=%d\n", name, r.sent, r.skipped,
-		r.outcomes[api.OutcomeRan], r.outcomes[api.OutcomeNotRun], r.outcomes[api.OutcomeUnknown], r.outcomes[""])
-	printLatency(w, name, "ran", r.ran)
-	printLatency(w, name, "other", r.refused)
-	reasons := make([]string, 0, len(r.reasons))
-	for reason := range r.reasons {
+		r.outcomeCounts[api.OutcomeRan], r.outcomeCounts[api.OutcomeNotRun], r.outcomeCounts[api.OutcomeUnknown], r.outcomeCounts[""])
+	printLatency(w, name, "ran", r.ranLatency)
+	printLatency(w, name, "other", r.otherLatency)
+	reasons := make([]string, 0, len(r.reasonCounts))
+	for reason := range r.reasonCounts {
 		reasons = append(reasons, string(reason))
 	}
 	sort.Strings(reasons)
 	for _, reason := range reasons {
-		fmt.Fprintf(w, "stream=%s reason=%s count=%d\n", name, reason, r.reasons[api.Reason(reason)])
+		fmt.Fprintf(w, "stream=%s reason=%s count=%d\n", name, reason, r.reasonCounts[api.Reason(reason)])
 	}
 }
 
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -17,25 +17,27 @@
 	"github.com/skylarklock/skylarklock/internal/standin/executor"
 )
 
-// answerGrace is how long past its timeout a request is waited for.
-const answerGrace = 2 * time.Second
+// answerGracePeriod is how long the runner waits for an answer beyond the
+// request's timeout.
+const answerGracePeriod = 2 * time.Second
 
 // Runner sends the requests of one run.
 type Runner struct {
-	cfg     Config
-	client  *http.Client
-	open    chan struct{}
-	targets *balancer
-	// OnSample, when set, is called for every sample, from many goroutines.
+	cfg           Config
+	client        *http.Client
+	openRequests  chan struct{}
+	entryBalancer *balancer
+	// OnSample, if set, is called for every sample, from several goroutines at
+	// the same time.
 	OnSample func(Sample)
-	// KeepAnswers keeps the answers' bodies in the samples.
+	// KeepAnswers stores the bodies of the answers in the samples.
 	KeepAnswers bool
-	// PickEntry, when set, chooses the entry VM of each request, as a balancer
-	// does, in place of taking turns.
+	// PickEntry, if set, selects the entry VM of each request instead of the
+	// round-robin order.
 	PickEntry func() string
 }
 
-// NewRunner returns a runner, or every finding in cfg.
+// NewRunner returns a runner, or an error that lists every invalid field of cfg.
 func NewRunner(cfg Config) (*Runner, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -47,28 +49,28 @@
 		DisableCompression:  true,
 	}
 	return &Runner{
-		cfg:     cfg,
-		client:  &http.Client{Transport: transport},
-		targets: newBalancer(cfg.Entries),
-		open:    make(chan struct{}, cfg.MaxOpen),
+		cfg:           cfg,
+		client:        &http.Client{Transport: transport},
+		entryBalancer: newBalancer(cfg.Entries),
+		openRequests:  make(chan struct{}, cfg.MaxOpen),
 	}, nil
 }
 
-// Run sends every stream until the duration is over or ctx ends, waits for
-// the open requests and returns one result per stream.
+// Run sends the requests of all streams until the duration has passed or ctx
+// ends. It then waits for the open requests and returns one result per stream.
 func (r *Runner) Run(ctx context.Context) []*Result {
 	results := make([]*Result, len(r.cfg.Streams))
-	checking, stopChecks := context.WithCancel(ctx)
+	checkCtx, stopChecks := context.WithCancel(ctx)
 	defer stopChecks()
 	if r.cfg.ReadinessInterval > 0 {
-		r.targets.watch(checking, r.cfg.ReadinessInterval)
+		r.entryBalancer.watchReadiness(checkCtx, r.cfg.ReadinessInterval)
 	}
 	start := time.Now()
 	var streams, requests sync.WaitGroup
 	for i := range r.cfg.Streams {
 		results[i] = newResult()
-		rnd := rand.New(rand.NewPCG(r.cfg.Seed, uint64(i)))
-		streams.Go(func() { r.stream(ctx, i, start, rnd, results[i], &requests) })
+		rng := rand.New(rand.NewPCG(r.cfg.Seed, uint64(i)))
+		streams.Go(func() { r.sendStream(ctx, i, start, rng, results[i], &requests) })
 	}
 	streams.Wait()
 	requests.Wait()
@@ -76,37 +78,39 @@
 	return results
 }
 
-// stream sends the requests of stream i when they are due, with exponential
-// gaps between them.
-func (r *Runner) stream(ctx context.Context, i int, start time.Time, rnd *rand.Rand, result *Result, requests *sync.WaitGroup) {
+// sendStream sends the requests of stream i at their scheduled times. The
+// intervals between requests are distributed exponentially.
+func (r *Runner) sendStream(ctx context.Context, i int, start time.Time, rng *rand.Rand, result *Result, requests *sync.WaitGroup) {
 	s := r.cfg.Streams[i]
 	due := time.Duration(0)
 	for n := 0; ; n++ {
-		due += time.Duration(rnd.ExpFloat64() / s.Rate * float64(time.Second))
+		due += time.Duration(rng.ExpFloat64() / s.Rate * float64(time.Second))
 		if due > r.cfg.Duration || !sleepUntil(ctx, start.Add(due)) {
 			return
 		}
 		id := fmt.Sprintf("%s-%d-%d", r.cfg.IDPrefix, i, n)
 		copies := 1
-		if rnd.Float64() < s.RepeatShare {
+		if rng.Float64() < s.RepeatShare {
 			copies = 2
 		}
 		for range copies {
-			r.launch(i, id, start, due, result, requests)
+			r.startRequest(i, id, start, due, result, requests)
 		}
 	}
 }
 
-func (r *Runner) launch(i int, id string, start time.Time, due time.Duration, result *Result, requests *sync.WaitGroup) {
+// startRequest sends a request in the background, or counts it as skipped if the
+// limit on open requests is reached.
+func (r *Runner) startRequest(i int, id string, start time.Time, due time.Duration, result *Result, requests *sync.WaitGroup) {
 	select {
-	case r.open <- struct{}{}:
+	case r.openRequests <- struct{}{}:
 	default:
-		result.skip()
+		result.countSkipped()
 		return
 	}
 	requests.Go(func() {
-		defer func() { <-r.open }()
-		sample := r.request(i, id)
+		defer func() { <-r.openRequests }()
+		sample := r.sendRequest(i, id)
 		sample.Due = due
 		sample.Latency = time.Since(start) - due
 		result.add(sample)
@@ -116,6 +120,7 @@
 	})
 }
 
+// sleepUntil waits until a time and returns false if ctx ended first.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	wait := time.Until(at)
 	if wait <= 0 {
@@ -129,35 +134,35 @@
 	}
 }
 
-// request sends one request. One that certainly reached nobody, since no
-// connection came about, goes to the next entry VM.
-func (r *Runner) request(i int, id string) Sample {
+// sendRequest sends one request. With readiness checks, a request whose connection
+// failed certainly reached no entry VM and is sent to the next one.
+func (r *Runner) sendRequest(i int, id string) Sample {
 	s := r.cfg.Streams[i]
 	sample := Sample{ID: id, Stream: i}
-	ctx, cancel := context.WithTimeout(context.Background(), s.Timeout+answerGrace)
+	ctx, cancel := context.WithTimeout(context.Background(), s.Timeout+answerGracePeriod)
 	defer cancel()
 	for range r.cfg.Entries {
-		req, err := buildRequest(ctx, r.entry(), s, id)
+		req, err := buildRequest(ctx, r.nextEntry(), s, id)
 		if err != nil {
 			sample.Err = err
 			return sample
 		}
 		resp, err := r.client.Do(req)
-		if notConnected(err) && r.cfg.ReadinessInterval > 0 {
+		if isDialError(err) && r.cfg.ReadinessInterval > 0 {
 			continue
 		}
 		if err != nil {
 			sample.Err = err
 			return sample
 		}
-		sample.read(resp, s.Direct, r.KeepAnswers)
+		sample.readResponse(resp, s.Direct, r.KeepAnswers)
 		return sample
 	}
 	return sample
 }
 
-// notConnected reports whether err is that of a dial.
-func notConnected(err error) bool {
+// isDialError reports whether err is the failure to connect.
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
@@ -168,7 +173,7 @@
 	if err != nil {
 		return nil, err
 	}
-	req.GetBody = nil // a repeat must be this runner's own decision
+	req.GetBody = nil // prevents the transport from sending the request again by itself
 	req.Header.Set(api.HeaderRequestID, id)
 	req.Header.Set(api.HeaderCaller, s.Caller)
 	req.Header.Set(api.HeaderClass, s.Class)
@@ -177,8 +182,9 @@
 	return req, nil
 }
 
-// read takes a whole answer; one that breaks off is none.
-func (s *Sample) read(resp *http.Response, direct, keep bool) {
+// readResponse reads an answer into the sample. An answer that breaks off counts
+// as no answer.
+func (s *Sample) readResponse(resp *http.Response, direct, keep bool) {
 	defer resp.Body.Close()
 	body, err := readAnswer(resp.Body, keep)
 	if err != nil {
@@ -195,15 +201,15 @@
 	}
 }
 
-// entry returns the entry VM for the next request.
-func (r *Runner) entry() string {
+// nextEntry returns the address of the entry VM for the next request.
+func (r *Runner) nextEntry() string {
 	if r.PickEntry != nil {
 		return r.PickEntry()
 	}
-	return r.targets.next()
+	return r.entryBalancer.next()
 }
 
-// readAnswer reads a whole body and returns it if it is to be kept.
+// readAnswer reads a body to its end and returns it if keep is set.
 func readAnswer(body io.Reader, keep bool) ([]byte, error) {
 	if keep {
 		return io.ReadAll(body)
