--- a/internal/demo/doc.go
+++ b/internal/demo/doc.go
@@ -1,6 +1,6 @@
-// Package demo runs the main job end to end in one process: stand-ins of the
-// outside, entry nodes in several data centres, both users' services with
-// their real sizes, a service job, batch jobs and a gang job, and one fault
-// of each kind. It prints what ran, what was refused and why, and fails when
-// a promise was broken.
+// Package demo runs a complete cell in one process: stand-ins for the external
+// systems, entry VMs in several data centres, both users' services at their real
+// sizes, a service job, batch jobs and a gang job. It injects one fault of each
+// kind, prints which requests ran and which were refused and why, and fails if a
+// guarantee was violated.
 package demo
--- a/internal/demo/jobs.go
+++ b/internal/demo/jobs.go
@@ -17,11 +17,11 @@
 	"github.com/skylarklock/skylarklock/internal/history"
 )
 
-// withdraw deletes the record of a running job, which cancels it.
-func withdraw(ctx context.Context, c *cluster.Cluster, out io.Writer) {
+// withdrawJob deletes the record of the running job "withdrawn", which cancels it.
+func withdrawJob(ctx context.Context, c *cluster.Cluster, out io.Writer) {
 	var state api.RecordState
 	operators := c.Entries[0].Settings.Listen.Operators
-	if err := get(ctx, "http://"+operators+"/v1/config/batchjob/withdrawn", &state); err != nil {
+	if err := getJSON(ctx, "http://"+operators+"/v1/config/batchjob/withdrawn", &state); err != nil {
 		fmt.Fprintf(out, "withdraw err=%q\n", err)
 		return
 	}
@@ -29,20 +29,20 @@
 		Kind: api.KindBatchJob, Name: "withdrawn", SchemaVersion: 1,
 		BasedOn: state.Revision, Deleted: true,
 	}
-	status, _, err := publishOne(ctx, operators, rec)
+	status, _, err := publishWithRetry(ctx, operators, rec)
 	fmt.Fprintf(out, "withdrawn job=withdrawn status=%d err=%v\n", status, err)
 }
 
-// awaitJobs waits until every job has ended or is known never to run, and
-// records and prints what became of each.
+// awaitJobs waits until every job has ended or is known to fit on no VM. It
+// prints the status of each and adds it to the recorder.
 func awaitJobs(ctx context.Context, c *cluster.Cluster, recorder *history.Recorder, out io.Writer) {
-	ctx, cancel := context.WithTimeout(ctx, settleFor)
+	ctx, cancel := context.WithTimeout(ctx, maxSettleTime)
 	defer cancel()
 	for _, id := range jobNames() {
 		status := awaitJob(ctx, c, id)
 		fmt.Fprintf(out, "job=%s tasks=%v reason=%s detail=%q\n", id, status.Tasks, status.Reason, status.Detail)
 		if status.Reason == api.ReasonNeverFits {
-			continue // waits for a larger VM, as it was told
+			continue // pending until there is a larger VM, as its status reports
 		}
 		recorder.AddJob(history.Job{
 			Spec: status.Spec, Submitted: api.OutcomeRan, Cancelled: id == "withdrawn", Tasks: status.Tasks,
@@ -50,45 +50,47 @@
 	}
 }
 
-// awaitService waits until all tasks of the service run, after the faults.
+// awaitService waits until all tasks of the service job run again after the
+// faults.
 func awaitService(ctx context.Context, c *cluster.Cluster, out io.Writer) error {
-	ctx, cancel := context.WithTimeout(ctx, settleFor)
+	ctx, cancel := context.WithTimeout(ctx, maxSettleTime)
 	defer cancel()
 	for {
 		var status front.JobStatus
-		err := get(ctx, "http://"+home(c, serviceJob)+"/v1/jobs/"+serviceJob, &status)
+		err := getJSON(ctx, "http://"+homeEntryAddress(c, serviceJobName)+"/v1/jobs/"+serviceJobName, &status)
 		if err == nil && status.Tasks[api.TaskRunning.String()] == serviceTasks {
-			fmt.Fprintf(out, "service=%s tasks=%v\n", serviceJob, status.Tasks)
+			fmt.Fprintf(out, "service=%s tasks=%v\n", serviceJobName, status.Tasks)
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Wrapf(ErrGuaranteeViolated, "service %s has tasks %v", serviceJob, status.Tasks)
-		case <-time.After(settlePoll):
+			return errors.Wrapf(ErrGuaranteeViolated, "service %s has tasks %v", serviceJobName, status.Tasks)
+		case <-time.After(settlePollInterval):
 		}
 	}
 }
 
-// awaitJob returns the last that was told of a job before ctx ended.
+// awaitJob polls the status of a job until the job is settled or ctx ends, and
+// returns the last status received.
 func awaitJob(ctx context.Context, c *cluster.Cluster, id api.JobID) front.JobStatus {
 	var last front.JobStatus
 	for {
 		var status front.JobStatus
-		if err := get(ctx, "http://"+home(c, id)+"/v1/jobs/"+string(id), &status); err == nil {
+		if err := getJSON(ctx, "http://"+homeEntryAddress(c, id)+"/v1/jobs/"+string(id), &status); err == nil {
 			last = status
 		}
-		if ended(last) || ctx.Err() != nil {
+		if isSettled(last) || ctx.Err() != nil {
 			return last
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(settlePoll):
+		case <-time.After(settlePollInterval):
 		}
 	}
 }
 
-// ended reports whether nothing more is to come of a job.
-func ended(s front.JobStatus) bool {
+// isSettled reports whether the status of a job is final.
+func isSettled(s front.JobStatus) bool {
 	if len(s.Tasks) == 0 {
 		return false
 	}
@@ -103,9 +105,10 @@
 	return true
 }
 
-// home returns the callers' address of an entry VM in the home of a job: the
-// one that places tasks there, since it knows best why a job waits.
-func home(c *cluster.Cluster, id api.JobID) string {
+// homeEntryAddress returns the address for callers of an entry VM in the home
+// data centre of a job. It prefers the entry VM that places tasks there, whose
+// information on why a job is pending is the most recent.
+func homeEntryAddress(c *cluster.Cluster, id api.JobID) string {
 	dcs := siteConfig(seed).DataCentres
 	home := filter.HomeOf(string(id), dcs)
 	address := ""
@@ -113,14 +116,16 @@
 		if n.Settings.DataCentre != home {
 			continue
 		}
-		if address == "" || places(n.Node.Status()) {
+		if address == "" || holdsCellShard(n.Node.Status()) {
 			address = n.Settings.Listen.Callers
 		}
 	}
 	return address
 }
 
-func places(s api.Status) bool {
+// holdsCellShard reports whether an entry VM holds the cell shard, and so places
+// the tasks of its data centre.
+func holdsCellShard(s api.Status) bool {
 	for _, shard := range s.Shards {
 		if shard.Shard == "cell" {
 			return true
@@ -129,8 +134,8 @@
 	return false
 }
 
-// get reads a JSON answer.
-func get(ctx context.Context, url string, into any) error {
+// getJSON reads the JSON document at url into a value.
+func getJSON(ctx context.Context, url string, into any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
--- a/internal/demo/publish.go
+++ b/internal/demo/publish.go
@@ -15,57 +15,60 @@
 	"github.com/skylarklock/skylarklock/internal/cluster"
 )
 
-// publishTries bounds the tries to publish one record while the log recovers.
-const publishTries = 20
+// maxPublishAttempts limits the attempts to publish one record while the log
+// recovers.
+const maxPublishAttempts = 20
 
-// publishPause is the time between two tries.
-const publishPause = 250 * time.Millisecond
+// publishRetryDelay is the time between two attempts.
+const publishRetryDelay = 250 * time.Millisecond
 
-// records returns what the operators publish at the start.
-func records() []api.Record {
+// initialRecords returns the records that the operators publish at the start.
+func initialRecords() []api.Record {
 	return []api.Record{
-		record(api.KindService, "torquebench", 2, map[string]any{"service": "torquebench"}),
-		record(api.KindService, "auction", 2, map[string]any{"service": "auction"}),
-		record(api.KindService, serviceJob, 2, map[string]any{"service": serviceJob, "job": service(serviceJob, serviceTasks)}),
-		record(api.KindQuota, "sales", 1, map[string]any{
+		newRecord(api.KindService, "torquebench", 2, map[string]any{"service": "torquebench"}),
+		newRecord(api.KindService, "auction", 2, map[string]any{"service": "auction"}),
+		newRecord(api.KindService, serviceJobName, 2, map[string]any{"service": serviceJobName, "job": serviceSpec(serviceJobName, serviceTasks)}),
+		newRecord(api.KindQuota, "sales", 1, map[string]any{
 			"team": "sales", "weight": 2, "max": map[string]any{"milli_cpu": 400_000, "memory_mb": 800_000},
 		}),
-		record(api.KindBatchJob, "appraisal", 1, job("appraisal", 60, 600*time.Millisecond, 2000)),
-		record(api.KindBatchJob, "catalogue", 1, job("catalogue", 20, time.Second, 4000)),
-		record(api.KindGangJob, "rebuild", 1, job("rebuild", 8, time.Second, 8000)),
-		record(api.KindBatchJob, "too-big", 1, job("too-big", 1, time.Second, 64_000)),
-		record(api.KindBatchJob, "withdrawn", 1, job("withdrawn", 10, 10*time.Minute, 1000)),
+		newRecord(api.KindBatchJob, "appraisal", 1, jobSpec("appraisal", 60, 600*time.Millisecond, 2000)),
+		newRecord(api.KindBatchJob, "catalogue", 1, jobSpec("catalogue", 20, time.Second, 4000)),
+		newRecord(api.KindGangJob, "rebuild", 1, jobSpec("rebuild", 8, time.Second, 8000)),
+		newRecord(api.KindBatchJob, "too-big", 1, jobSpec("too-big", 1, time.Second, 64_000)),
+		newRecord(api.KindBatchJob, "withdrawn", 1, jobSpec("withdrawn", 10, 10*time.Minute, 1000)),
 	}
 }
 
-func job(id string, tasks int, runTime time.Duration, milliCPU int) map[string]any {
+// jobSpec returns the spec of a batch or gang job.
+func jobSpec(id string, tasks int, runTime time.Duration, milliCPU int) map[string]any {
 	return map[string]any{
 		"id": id, "team": "sales", "tasks": tasks, "run_time_ns": runTime, "max_attempts": 5,
 		"resources": map[string]any{"milli_cpu": milliCPU, "memory_mb": 1024},
 	}
 }
 
-// The long-running service that the cell itself runs.
+// The service job, whose tasks the cell itself runs.
 const (
-	serviceJob   = "catalogue-web"
-	serviceTasks = 4
+	serviceJobName = "catalogue-web"
+	serviceTasks   = 4
 )
 
-func service(id string, tasks int) map[string]any {
+// serviceSpec returns the spec of a service job.
+func serviceSpec(id string, tasks int) map[string]any {
 	return map[string]any{
 		"id": id, "team": "sales", "class": "service", "tasks": tasks, "max_attempts": 5, "max_per_rack": 2,
 		"resources": map[string]any{"milli_cpu": 2000, "memory_mb": 2048},
 	}
 }
 
-func record(kind api.Kind, name string, schema int, spec map[string]any) api.Record {
-	data, _ := json.Marshal(spec) // of numbers and strings only
+func newRecord(kind api.Kind, name string, schema int, spec map[string]any) api.Record {
+	data, _ := json.Marshal(spec) // can't fail: the spec holds numbers, strings and maps only
 	return api.Record{Kind: kind, Name: name, SchemaVersion: schema, Spec: data}
 }
 
-// publish publishes a record through the operators' listener at address and
-// returns the status and the answer's text.
-func publish(ctx context.Context, address string, rec api.Record) (int, string, error) {
+// publishOnce publishes a record through the operators' listener at address and
+// returns the status and body of the answer.
+func publishOnce(ctx context.Context, address string, rec api.Record) (int, string, error) {
 	data, err := json.Marshal(rec)
 	if err != nil {
 		return 0, "", err
@@ -83,10 +86,11 @@
 	return resp.StatusCode, string(text), err
 }
 
-// publishAll publishes the records, trying again while one is not written.
+// publishAll publishes the initial records and retries those that were not
+// written.
 func publishAll(ctx context.Context, address string, out io.Writer) error {
-	for _, rec := range records() {
-		status, text, err := publishOne(ctx, address, rec)
+	for _, rec := range initialRecords() {
+		status, text, err := publishWithRetry(ctx, address, rec)
 		if err != nil {
 			return err
 		}
@@ -98,33 +102,35 @@
 	return nil
 }
 
-func publishOne(ctx context.Context, address string, rec api.Record) (status int, text string, err error) {
-	for range publishTries {
-		status, text, err = publish(ctx, address, rec)
+// publishWithRetry publishes a record until it is accepted, is rejected for good
+// or has used up its attempts.
+func publishWithRetry(ctx context.Context, address string, rec api.Record) (status int, text string, err error) {
+	for range maxPublishAttempts {
+		status, text, err = publishOnce(ctx, address, rec)
 		if err != nil || status == http.StatusOK || status == http.StatusConflict || status == http.StatusBadRequest {
 			return status, text, err
 		}
 		select {
 		case <-ctx.Done():
 			return 0, "", ctx.Err()
-		case <-time.After(publishPause):
+		case <-time.After(publishRetryDelay):
 		}
 	}
 	return status, text, nil
 }
 
-// raceOperators publishes two unlike records of one new key through two entry
-// VMs at once and prints who won.
+// raceOperators publishes two different records of the same new key through two
+// entry VMs at the same time and prints both answers.
 func raceOperators(ctx context.Context, c *cluster.Cluster, out io.Writer) {
-	verdicts := make(chan string, 2)
+	results := make(chan string, 2)
 	for i := range 2 {
 		go func() {
-			rec := record(api.KindLimits, "workshop", 2, map[string]any{
+			rec := newRecord(api.KindLimits, "workshop", 2, map[string]any{
 				"caller": "workshop", "rate_per_second": 1000 + i, "burst": 1000, "concurrency": 1000,
 			})
-			status, _, err := publish(ctx, c.Entries[i].Settings.Listen.Operators, rec)
-			verdicts <- fmt.Sprintf("operator=%d status=%d err=%v", i, status, err)
+			status, _, err := publishOnce(ctx, c.Entries[i].Settings.Listen.Operators, rec)
+			results <- fmt.Sprintf("operator=%d status=%d err=%v", i, status, err)
 		}()
 	}
-	fmt.Fprintf(out, "race %s; %s\n", <-verdicts, <-verdicts)
+	fmt.Fprintf(out, "race %s; %s\n", <-results, <-results)
 }
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -7,8 +7,8 @@
 	"github.com/skylarklock/skylarklock/internal/cluster"
 )
 
-// report prints each node's counters of refusals, retries and waits.
-func report(c *cluster.Cluster, out io.Writer) {
+// printCounters prints the counters of each entry VM: refusals, retries and waits.
+func printCounters(c *cluster.Cluster, out io.Writer) {
 	for _, e := range c.Entries {
 		fmt.Fprintf(out, "counters node=%s %s\n", e.Settings.NodeID, e.Node.Counters())
 	}
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -15,25 +15,26 @@
 	"github.com/skylarklock/skylarklock/internal/standin/site"
 )
 
-// Times of the demo.
+// Durations and limits of the demo.
 const (
-	trafficFor    = 11 * time.Second
-	balancerCheck = 200 * time.Millisecond // between the balancer's looks at the entry VMs
-	settleFor     = 60 * time.Second       // longest wait for the jobs to end
-	settlePoll    = 200 * time.Millisecond
-	seed          = 20
-	connections   = 60 // of an executor, from all entry VMs together
-	leavingTime   = 3 * time.Second
-	maxAttempts   = 3 // runs that one copy of an idempotent request may cause
+	trafficDuration        = 11 * time.Second
+	readinessCheckInterval = 200 * time.Millisecond // between the balancer's readiness checks of an entry VM
+	maxSettleTime          = 60 * time.Second       // maximum wait for the jobs to end, and for the service job to run again
+	settlePollInterval     = 200 * time.Millisecond
+	seed                   = 20
+	executorConnections    = 60 // maximum connections of an executor, from all entry VMs together
+	leavingGracePeriod     = 3 * time.Second
+	maxAttempts            = 3 // maximum runs that one copy of an idempotent request may cause
 )
 
-// ErrGuaranteeViolated is returned when a promise was broken.
+// ErrGuaranteeViolated is returned if the demo found a violated guarantee.
 var ErrGuaranteeViolated = errors.New("a promise was broken")
 
-// Run runs the demo and prints what happened to out; the nodes log to logs.
-// It fails with ErrBroken, or with what kept it from running.
+// Run runs the demo and prints its events and results to out; the entry VMs log
+// to logs. It returns ErrGuaranteeViolated, or the error that prevented the demo
+// from running.
 func Run(ctx context.Context, out, logs io.Writer) error {
-	c, err := start(logs)
+	c, err := startCluster(logs)
 	if err != nil {
 		return err
 	}
@@ -47,20 +48,20 @@
 		return err
 	}
 	recorder := history.NewRecorder()
-	if err := traffic(ctx, c, recorder, out); err != nil {
+	if err := runTraffic(ctx, c, recorder, out); err != nil {
 		return err
 	}
-	withdraw(ctx, c, out)
+	withdrawJob(ctx, c, out)
 	awaitJobs(ctx, c, recorder, out)
 	if err := awaitService(ctx, c, out); err != nil {
 		return err
 	}
-	report(c, out)
-	return verdict(c, recorder, out)
+	printCounters(c, out)
+	return checkHistory(c, recorder, out)
 }
 
-// start starts the stand-ins and the entry nodes.
-func start(logs io.Writer) (*cluster.Cluster, error) {
+// startCluster starts the stand-ins and the entry VMs.
+func startCluster(logs io.Writer) (*cluster.Cluster, error) {
 	s, err := site.Start(siteConfig(seed))
 	if err != nil {
 		return nil, err
@@ -73,31 +74,33 @@
 	return cluster.Start(s, entries, logs)
 }
 
-// traffic sends the users' requests while the faults happen.
-func traffic(ctx context.Context, c *cluster.Cluster, recorder *history.Recorder, out io.Writer) error {
+// runTraffic sends the users' requests while the faults are injected, and adds
+// the samples to the recorder.
+func runTraffic(ctx context.Context, c *cluster.Cluster, recorder *history.Recorder, out io.Writer) error {
 	cfg := load.Config{
-		Entries: c.Callers(), Streams: streams(), Duration: trafficFor,
-		MaxOpen: 4000, ReadinessInterval: balancerCheck, Seed: seed, IDPrefix: "demo",
+		Entries: c.Callers(), Streams: trafficStreams(), Duration: trafficDuration,
+		MaxOpen: 4000, ReadinessInterval: readinessCheckInterval, Seed: seed, IDPrefix: "demo",
 	}
 	runner, err := load.NewRunner(cfg)
 	if err != nil {
 		return err
 	}
 	runner.KeepAnswers = true
-	runner.OnSample = func(s load.Sample) { recorder.AddRequest(requestOf(s, cfg.Streams[s.Stream])) }
-	faultsEnded := make(chan struct{})
+	runner.OnSample = func(s load.Sample) { recorder.AddRequest(historyRequest(s, cfg.Streams[s.Stream])) }
+	faultsDone := make(chan struct{})
 	go func() {
-		defer close(faultsEnded)
-		runFaults(ctx, c, out)
+		defer close(faultsDone)
+		injectFaults(ctx, c, out)
 	}()
 	for i, result := range runner.Run(ctx) {
 		result.Print(out, cfg.Streams[i].Caller)
 	}
-	<-faultsEnded
+	<-faultsDone
 	return ctx.Err()
 }
 
-func requestOf(s load.Sample, stream load.Stream) history.Request {
+// historyRequest converts a sample of the load to a request of the history.
+func historyRequest(s load.Sample, stream load.Stream) history.Request {
 	return history.Request{
 		ID: s.ID, Idempotent: stream.Idempotent, Body: make([]byte, stream.BodyBytes),
 		Start: s.Due, End: s.Due + s.Latency, Outcome: s.Outcome, Reason: s.Reason,
@@ -105,8 +108,8 @@
 	}
 }
 
-// verdict checks the complete record and prints every violation.
-func verdict(c *cluster.Cluster, recorder *history.Recorder, out io.Writer) error {
+// checkHistory checks the complete history and prints every violation.
+func checkHistory(c *cluster.Cluster, recorder *history.Recorder, out io.Writer) error {
 	h := recorder.History()
 	for _, vm := range c.Site.VMs {
 		for _, ep := range vm.Endpoints {
@@ -115,7 +118,7 @@
 		h.Workers = append(h.Workers, c.Site.Workers.VM(vm.ID).Record())
 	}
 	h.End = time.Now()
-	violations := history.Check(h, history.Limits{MaxConnections: connections, LeavingGracePeriod: leavingTime, MaxAttempts: maxAttempts})
+	violations := history.Check(h, history.Limits{MaxConnections: executorConnections, LeavingGracePeriod: leavingGracePeriod, MaxAttempts: maxAttempts})
 	for _, v := range violations {
 		fmt.Fprintf(out, "broken %s\n", v)
 	}
@@ -126,7 +129,7 @@
 	return nil
 }
 
-// jobNames are the jobs that the operators publish.
+// jobNames returns the IDs of the jobs that the operators publish.
 func jobNames() []api.JobID {
 	return []api.JobID{"appraisal", "catalogue", "rebuild", "too-big", "withdrawn"}
 }
--- a/internal/demo/scenario.go
+++ b/internal/demo/scenario.go
@@ -15,7 +15,7 @@
 	"github.com/skylarklock/skylarklock/internal/standin/worker"
 )
 
-// Sizes of the demo: the users' own of today.
+// Sizes of the demo: those of the users' current cells.
 const (
 	entriesPerDC   = 2
 	vmsPerDC       = 13
@@ -23,7 +23,7 @@
 	vmsPerRack     = 6
 )
 
-// siteConfig returns the two users' services on VMs of 32 cores and 64 GB.
+// siteConfig describes the two users' services on VMs with 32 cores and 64 GB.
 func siteConfig(seed uint64) site.Config {
 	service := func(name string, mean time.Duration) site.Service {
 		return site.Service{
@@ -42,8 +42,8 @@
 	}
 }
 
-// streams returns the traffic of both users.
-func streams() []load.Stream {
+// trafficStreams describes the traffic of both users.
+func trafficStreams() []load.Stream {
 	return []load.Stream{
 		{
 			Caller: "workshop", Class: "interactive", Service: "torquebench", Path: "/sweep",
@@ -60,15 +60,15 @@
 	}
 }
 
-// fault is one thing that goes wrong during the demo.
+// fault is a fault that is injected during the demo.
 type fault struct {
-	at   time.Duration
-	what string
-	do   func(context.Context, *cluster.Cluster)
+	startsAfter time.Duration
+	description string
+	inject      func(context.Context, *cluster.Cluster)
 }
 
-// faults returns one fault of each kind, in order of time.
-func faults(out io.Writer) []fault {
+// faultSchedule returns one fault of each kind, ordered by time.
+func faultSchedule(out io.Writer) []fault {
 	return []fault{
 		{1 * time.Second, "three appends take effect and their answers are lost", func(_ context.Context, c *cluster.Cluster) {
 			c.Site.Log.SetFaults(logserver.Faults{LoseAnswers: 3})
@@ -104,16 +104,16 @@
 	}
 }
 
-// runFaults causes each fault at its time, until ctx ends.
-func runFaults(ctx context.Context, c *cluster.Cluster, out io.Writer) {
+// injectFaults prints and injects each fault at its time, until ctx ends.
+func injectFaults(ctx context.Context, c *cluster.Cluster, out io.Writer) {
 	start := time.Now()
-	for _, f := range faults(out) {
+	for _, f := range faultSchedule(out) {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(time.Until(start.Add(f.at))):
+		case <-time.After(time.Until(start.Add(f.startsAfter))):
 		}
-		fmt.Fprintf(out, "fault at=%s what=%q\n", f.at, f.what)
-		f.do(ctx, c)
+		fmt.Fprintf(out, "fault at=%s what=%q\n", f.startsAfter, f.description)
+		f.inject(ctx, c)
 	}
 }
