--- a/internal/experiment/cell.go
+++ b/internal/experiment/cell.go
@@ -16,12 +16,13 @@
 // cell is a running cell with its stand-ins.
 type cell struct {
 	*cluster.Cluster
-	cfg     Config
-	victims map[api.EndpointID]bool // endpoints that a fault was put on
+	cfg             Config
+	faultyEndpoints map[api.EndpointID]bool // endpoints of the latest fault
 }
 
-// startCell starts stand-ins and entry VMs, waits until every shard is held
-// and publishes the records.
+// startCell starts the stand-ins and entry VMs of a cell with the services of cfg
+// and the given ones. It waits until every shard is held and publishes the
+// records.
 func startCell(ctx context.Context, cfg Config, services ...site.Service) (*cell, error) {
 	siteConfig := cfg.siteConfig()
 	siteConfig.Services = append(siteConfig.Services, services...)
@@ -36,21 +37,21 @@
 		return nil, err
 	}
 	for _, e := range all {
-		cfg.adjust(e)
+		cfg.applyTo(e)
 	}
 	running, err := cluster.Start(s, all, io.Discard)
 	if err != nil {
 		return nil, err
 	}
 	c := &cell{Cluster: running, cfg: cfg}
-	if err := c.ready(ctx, services); err != nil {
+	if err := c.prepare(ctx, services); err != nil {
 		c.Close()
 		return nil, err
 	}
 	return c, nil
 }
 
-// startWarmCell is startCell followed by a load that warms it up.
+// startWarmCell is like startCell, and also runs the warm-up load.
 func startWarmCell(ctx context.Context, cfg Config) (*cell, error) {
 	c, err := startCell(ctx, cfg)
 	if err != nil {
@@ -63,43 +64,44 @@
 	return c, nil
 }
 
-// ready waits until the cell serves and publishes the records.
-func (c *cell) ready(ctx context.Context, services []site.Service) error {
+// prepare waits until every shard is held and publishes the records.
+func (c *cell) prepare(ctx context.Context, services []site.Service) error {
 	if err := c.AwaitServing(ctx); err != nil {
 		return err
 	}
 	return c.publishAll(ctx, services)
 }
 
-// callers returns the callers' addresses of all entry VMs, in turns that give
-// each data centre the same share, or each entry VM.
-func (c *cell) callers() []string {
-	turns := 1
+// callerAddresses returns the addresses for callers of all entry VMs in random
+// order. Addresses are repeated such that each data centre, or with PerEntry each
+// entry VM, gets the same share of a round-robin load.
+func (c *cell) callerAddresses() []string {
+	rounds := 1
 	for _, n := range c.cfg.Cell.Entries {
-		turns *= n
+		rounds *= n
 	}
 	var all []string
 	for _, e := range c.Entries {
-		times := 1
+		copies := 1
 		if !c.cfg.PerEntry {
-			times = turns / c.entriesIn(e.Settings.DataCentre)
+			copies = rounds / c.entryCount(e.Settings.DataCentre)
 		}
-		for range times {
+		for range copies {
 			all = append(all, e.Settings.Listen.Callers)
 		}
 	}
-	mix := rand.New(rand.NewPCG(c.cfg.Seed, 0))
-	mix.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+	rng := rand.New(rand.NewPCG(c.cfg.Seed, 0))
+	rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all
 }
 
-// entriesIn returns the number of entry VMs of a data centre.
-func (c *cell) entriesIn(dc api.DataCentre) int {
+// entryCount returns the number of entry VMs of a data centre.
+func (c *cell) entryCount(dc api.DataCentre) int {
 	return c.cfg.Cell.Entries[slices.Index(c.cfg.Cell.DataCentres, dc)]
 }
 
-// executors returns the addresses of a service's executors.
-func (c *cell) executors(service string) []string {
+// executorAddresses returns the addresses of the executors of a service.
+func (c *cell) executorAddresses(service string) []string {
 	var all []string
 	for _, vm := range c.Site.VMs {
 		for _, ep := range vm.Endpoints {
@@ -111,8 +113,8 @@
 	return all
 }
 
-// count adds up one counter over all entry VMs.
-func (c *cell) count(group string, reason api.Reason) int64 {
+// sumCounter returns the sum of one counter over all entry VMs.
+func (c *cell) sumCounter(group string, reason api.Reason) int64 {
 	total := int64(0)
 	for _, e := range c.Entries {
 		total += e.Node.Counters().Value(group, reason)
@@ -120,8 +122,8 @@
 	return total
 }
 
-// pause waits for d and reports whether ctx still stands.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d and returns false if ctx ended first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/experiment/command.go
+++ b/internal/experiment/command.go
@@ -15,13 +15,13 @@
 	"github.com/skylarklock/skylarklock/internal/router"
 )
 
-// Command returns the subcommand that runs experiments. Environment variables
-// with the prefix stand for flags.
+// Command returns the subcommand that runs experiments. Flags can also be set by
+// environment variables with envPrefix.
 func Command(stdout io.Writer, envPrefix string) *ffcli.Command {
 	fs := flag.NewFlagSet("experiment", flag.ContinueOnError)
-	both := router.PolicyLeastLoaded + "," + router.PolicyBaseline
+	bothPolicies := router.PolicyLeastLoaded + "," + router.PolicyBaseline
 	cell := fs.String("cell", "voltwren", "whose sizes: voltwren or agence")
-	policy := fs.String("policy", both, "routing policies to compare, separated by commas")
+	policy := fs.String("policy", bothPolicies, "routing policies to compare, separated by commas")
 	var cfg Config
 	fs.IntVar(&cfg.PhaseSeconds, "seconds", 10, "length of each measured phase, 1 to 60")
 	fs.DurationVar(&cfg.ServiceTime, "service-time", 400*time.Millisecond, "mean service time of the executors")
--- a/internal/experiment/config.go
+++ b/internal/experiment/config.go
@@ -11,22 +11,22 @@
 	"github.com/skylarklock/skylarklock/internal/standin/site"
 )
 
-// CellSizes are those of one user's cell.
+// CellSizes describes the size of one user's cell.
 type CellSizes struct {
 	Name                   string
 	DataCentres            []api.DataCentre
-	Entries                []int // entry VMs of each data centre
-	ExecutorsPerDataCentre int   // of each data centre
+	Entries                []int // number of entry VMs in each data centre
+	ExecutorsPerDataCentre int
 	VMsPerRack             int
 }
 
-// Slots and connections of an executor.
+// Slots and maximum connections of an executor.
 const (
 	slots       = 8
 	connections = 60
 )
 
-// Cells are the users' cells by name.
+// Cells holds the users' cells by name.
 var Cells = map[string]CellSizes{
 	"voltwren": {
 		Name:                   "voltwren",
@@ -44,33 +44,33 @@
 	},
 }
 
-// Bounds of an experiment.
+// Limits and fixed parameters of an experiment.
 const (
-	maxSeconds     = 60
-	maxServiceTime = 5 * time.Second
-	spread         = 0.5 // of service times, either way
-	balancerCheck  = 500 * time.Millisecond
-	maxOpen        = 6_000 // sockets of all sides are in one process
+	maxSeconds             = 60
+	maxServiceTime         = 5 * time.Second
+	spread                 = 0.5 // maximum deviation of service times in either direction, as a share of the mean
+	readinessCheckInterval = 500 * time.Millisecond
+	maxOpen                = 6_000 // limited because one process holds the sockets of callers, entry VMs and executors
 )
 
 // Config describes one experiment.
 type Config struct {
 	Cell                   CellSizes
-	ExecutorsPerDataCentre int           // of each data centre; zero: the cell's
-	Policies               []string      // compared, in this order
-	PhaseSeconds           int           // of each measured phase
+	ExecutorsPerDataCentre int           // zero: as in Cell
+	Policies               []string      // routing policies to compare, in this order
+	PhaseSeconds           int           // duration of each measured phase
 	ServiceTime            time.Duration // mean
 	Timeout                time.Duration // of callers' requests
-	WaitForSlot            bool          // executors let requests wait beyond their slots
-	PerEntry               bool          // the balancer gives each entry VM the same share, not each data centre
-	LogDelay               time.Duration // of every call of the log
-	BatchDelay             time.Duration // of the journal; zero: the default
-	AppendsPerSecond       float64       // a second, of the whole cell; zero: the default
-	Heartbeat              time.Duration // between entry VMs; zero: the default
+	WaitForSlot            bool          // executors let requests wait for a slot instead of refusing them
+	PerEntry               bool          // each entry VM gets the same share of the load, instead of each data centre
+	LogDelay               time.Duration // delay of every call of the log
+	BatchDelay             time.Duration // of the journals; zero: the default
+	AppendsPerSecond       float64       // journal.appends_per_second of the entry VMs, for the whole cell; zero: the default
+	Heartbeat              time.Duration // interval of the heartbeats between entry VMs; zero: the default
 	Seed                   uint64
 }
 
-// Validate reports every fault of c.
+// Validate returns an error that lists every invalid field of c.
 func (c *Config) Validate() error {
 	var l finding.List
 	l.Check(c.PhaseSeconds >= 1 && c.PhaseSeconds <= maxSeconds, "seconds", c.PhaseSeconds, "1 to 60")
@@ -83,19 +83,20 @@
 	return l.Err()
 }
 
-// capacity is the number of requests a second that all slots can serve.
-func (c *Config) capacity() float64 {
+// requestCapacity returns the number of requests per second that all executors of
+// a service can run.
+func (c *Config) requestCapacity() float64 {
 	executors := c.Cell.ExecutorsPerDataCentre * len(c.Cell.DataCentres)
 	return float64(executors*slots) / c.ServiceTime.Seconds()
 }
 
-// duration is the length of a measured phase.
-func (c *Config) duration() time.Duration {
+// phaseDuration returns the duration of a measured phase.
+func (c *Config) phaseDuration() time.Duration {
 	return time.Duration(c.PhaseSeconds) * time.Second
 }
 
-// adjust sets what c changes in the settings of an entry VM.
-func (c *Config) adjust(s *settings.Settings) {
+// applyTo overrides the settings of an entry VM with those that c sets.
+func (c *Config) applyTo(s *settings.Settings) {
 	if c.BatchDelay > 0 {
 		s.Journal.BatchDelay = settings.Duration(c.BatchDelay)
 	}
@@ -107,11 +108,11 @@
 	}
 }
 
-// serviceOf names the service that is run under a policy. Each has executors
-// of its own.
-func serviceOf(policy string) string { return "torquebench-" + policy }
+// serviceName returns the name of the service that uses a routing policy. Each
+// policy has its own service and executors.
+func serviceName(policy string) string { return "torquebench-" + policy }
 
-// siteConfig describes the stand-ins.
+// siteConfig returns the configuration of the stand-ins.
 func (c *Config) siteConfig() site.Config {
 	cfg := site.Config{
 		DataCentres:      c.Cell.DataCentres,
@@ -123,7 +124,7 @@
 	}
 	for _, p := range c.Policies {
 		cfg.Services = append(cfg.Services, site.Service{
-			Name: serviceOf(p), ExecutorsPerDataCentre: c.Cell.ExecutorsPerDataCentre, Slots: slots, Connections: connections,
+			Name: serviceName(p), ExecutorsPerDataCentre: c.Cell.ExecutorsPerDataCentre, Slots: slots, Connections: connections,
 			ServiceTime: c.ServiceTime, Spread: spread, WaitForSlot: c.WaitForSlot,
 		})
 	}
--- a/internal/experiment/doc.go
+++ b/internal/experiment/doc.go
@@ -1,8 +1,8 @@
-// Package experiment measures the request plane of real entry VMs: in one
-// process it starts stand-ins of the outside and the entry VMs of one user's
-// cell, drives them with an open load and compares the routing policy in
-// force with the baseline policy in the same run.
+// Package experiment measures how real entry VMs handle requests. In one process
+// it starts stand-ins for the external systems and the entry VMs of one user's
+// cell, sends an open-loop load and compares the current routing policy with the
+// baseline policy in the same run.
 //
-// Everything listens on loopback and every phase is bounded in time. The
-// delays between data centres are not imitated.
+// All listeners are on loopback, and every phase has a limited duration. Network
+// delays between data centres are not simulated.
 package experiment
--- a/internal/experiment/flood.go
+++ b/internal/experiment/flood.go
@@ -7,32 +7,33 @@
 )
 
 const (
-	quietShare = 0.2 // of the capacity, of the caller that is measured
-	floodShare = 3   // of the capacity, of the caller that floods
+	quietShare = 0.2 // load of the measured caller, as a share of the request capacity
+	floodShare = 3   // load of the flooding caller, as a multiple of the request capacity
 )
 
-// flood measures one caller alone and beside one that floods.
-func flood(ctx context.Context, cfg Config, r *report) error {
+// measureFlood measures the traffic of one caller alone, and together with that of
+// a caller that floods the cell.
+func measureFlood(ctx context.Context, cfg Config, r *resultTable) error {
 	c, err := startWarmCell(ctx, cfg)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
 	for _, policy := range cfg.Policies {
-		quiet := c.stream(policy, quietShare*cfg.capacity())
+		quiet := c.newStream(policy, quietShare*cfg.requestCapacity())
 		quiet.Caller = "quiet"
-		flooding := c.stream(policy, floodShare*cfg.capacity())
+		flooding := c.newStream(policy, floodShare*cfg.requestCapacity())
 		flooding.Caller = "flooding"
 		for _, p := range []phase{
 			{name: policy + " alone", streams: []load.Stream{quiet}},
 			{name: policy + " beside a flood,", streams: []load.Stream{quiet, flooding}},
 		} {
-			p.from = cfg.duration() / 5
-			o, err := c.run(ctx, p)
+			p.countFrom = cfg.phaseDuration() / 5
+			result, err := c.runPhase(ctx, p)
 			if err != nil {
 				return err
 			}
-			r.add(p.name, o)
+			r.addPhase(p.name, result)
 		}
 	}
 	return nil
--- a/internal/experiment/handover.go
+++ b/internal/experiment/handover.go
@@ -7,28 +7,28 @@
 	"github.com/skylarklock/skylarklock/internal/load"
 )
 
-// handoverLoads are the loads offered, as multiples of the slots' capacity.
-var handoverLoads = []float64{0.5, 0.7, 0.9}
+// handoverLoadFactors are the offered loads, as multiples of the request capacity.
+var handoverLoadFactors = []float64{0.5, 0.7, 0.9}
 
-// handover measures how often a peer with room, by its latest heartbeat,
-// refuses what is handed over to it.
-func handover(ctx context.Context, cfg Config, r *report) error {
+// measureHandover measures how often a peer that has free slots according to its
+// latest heartbeat refuses or loses a request that is handed over to it.
+func measureHandover(ctx context.Context, cfg Config, r *resultTable) error {
 	c, err := startWarmCell(ctx, cfg)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	for _, factor := range handoverLoads {
+	for _, factor := range handoverLoadFactors {
 		name := fmt.Sprintf("%gx", factor)
-		s := c.stream(cfg.Policies[0], factor*cfg.capacity())
-		o, err := c.run(ctx, phase{streams: []load.Stream{s}, from: cfg.duration() / 5})
+		s := c.newStream(cfg.Policies[0], factor*cfg.requestCapacity())
+		result, err := c.runPhase(ctx, phase{streams: []load.Stream{s}, countFrom: cfg.phaseDuration() / 5})
 		if err != nil {
 			return err
 		}
-		r.add(name, o)
-		refused := o.forwarded - o.answered
-		r.note("%s: %d of %d hand-overs refused or lost (%.2f%%)", name, refused, o.forwarded,
-			100*float64(refused)/float64(max(o.forwarded, 1)))
+		r.addPhase(name, result)
+		refused := result.forwarded - result.answeredHandovers
+		r.note("%s: %d of %d hand-overs refused or lost (%.2f%%)", name, refused, result.forwarded,
+			100*float64(refused)/float64(max(result.forwarded, 1)))
 	}
 	return nil
 }
--- a/internal/experiment/inforce.go
+++ b/internal/experiment/inforce.go
@@ -10,15 +10,15 @@
 	"github.com/skylarklock/skylarklock/internal/standin/logserver"
 )
 
-// publications is the number of records published in each phase.
-const publications = 20
+// publicationsPerPhase is the number of records published for each fault.
+const publicationsPerPhase = 20
 
-// revisionPoll is the time between two looks at the revisions in force.
-const revisionPoll = time.Millisecond
+// revisionPollInterval is the time between two checks of the revisions in force.
+const revisionPollInterval = time.Millisecond
 
-// inForce measures the time from the start of a publication to the moment at
-// which every entry VM has the record in force.
-func inForce(ctx context.Context, cfg Config, r *report) error {
+// measureInForce measures the time from the start of a publication until the
+// record is in force on every entry VM.
+func measureInForce(ctx context.Context, cfg Config, r *resultTable) error {
 	c, err := startCell(ctx, cfg)
 	if err != nil {
 		return err
@@ -32,18 +32,18 @@
 		{"answer lost", func() { c.Site.Log.SetFaults(logserver.Faults{Delay: cfg.LogDelay, LoseAnswers: 1}) }},
 		{"answer lost, an entry VM dies", func() {
 			c.Site.Log.SetFaults(logserver.Faults{Delay: cfg.LogDelay, LoseAnswers: 1})
-			c.killLast()
+			c.abortLastEntry()
 		}},
 	} {
-		if err := c.measureInForce(ctx, p.name, p.fault, r); err != nil {
+		if err := c.timePublications(ctx, p.name, p.fault, r); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// killLast ends the last entry VM that runs without a drain.
-func (c *cell) killLast() {
+// abortLastEntry ends the last running entry VM without a drain.
+func (c *cell) abortLastEntry() {
 	if len(c.Entries) < 2 {
 		return
 	}
@@ -53,12 +53,12 @@
 	<-last.Done
 }
 
-// measureInForce publishes records one after the other, each under the fault,
-// and notes the median and the longest time. Only the first is preceded by a
-// death.
-func (c *cell) measureInForce(ctx context.Context, name string, fault func(), r *report) error {
-	var took []time.Duration
-	for i := range publications {
+// timePublications publishes records one after the other and notes the median and
+// the longest time until each was in force. A lost answer precedes every
+// publication, the death of an entry VM only the first.
+func (c *cell) timePublications(ctx context.Context, name string, fault func(), r *resultTable) error {
+	var durations []time.Duration
+	for i := range publicationsPerPhase {
 		if i == 0 || name == "answer lost" {
 			fault()
 		}
@@ -67,22 +67,22 @@
 		if err := c.publish(ctx, api.KindLimits, caller, map[string]any{"rate_per_second": 100}); err != nil {
 			return err
 		}
-		if err := c.inForceAt(ctx, c.Entries[0].Node.Status().Revision); err != nil {
+		if err := c.awaitRevision(ctx, c.Entries[0].Node.Status().Revision); err != nil {
 			return err
 		}
-		took = append(took, time.Since(start))
+		durations = append(durations, time.Since(start))
 	}
-	slices.Sort(took)
-	median, longest := took[len(took)/2], took[len(took)-1]
-	r.note("in force on %d entry VMs, %s: median %v, longest %v of %d", len(c.Entries), name, median, longest, publications)
+	slices.Sort(durations)
+	median, longest := durations[len(durations)/2], durations[len(durations)-1]
+	r.note("in force on %d entry VMs, %s: median %v, longest %v of %d", len(c.Entries), name, median, longest, publicationsPerPhase)
 	return nil
 }
 
-// inForceAt waits until every entry VM has a revision in force.
-func (c *cell) inForceAt(ctx context.Context, revision api.Revision) error {
+// awaitRevision waits until a revision is in force on every entry VM.
+func (c *cell) awaitRevision(ctx context.Context, revision api.Revision) error {
 	for _, e := range c.Entries {
 		for e.Node.Status().Revision < revision {
-			if !pause(ctx, revisionPoll) {
+			if !sleep(ctx, revisionPollInterval) {
 				return ctx.Err()
 			}
 		}
--- a/internal/experiment/latency.go
+++ b/internal/experiment/latency.go
@@ -13,22 +13,23 @@
 )
 
 const (
-	// single is a service with one executor in each data centre, so that all
-	// entry VMs but its holder hand its requests over.
-	single      = "torquebench-single"
-	singleSlots = 64
-	// latencyRate is low, so that nothing waits, requests per second.
+	// singleService is a service with one executor in each data centre. All entry
+	// VMs except the holder of that executor hand its requests over.
+	singleService = "torquebench-single"
+	singleSlots   = 64
+	// latencyRate is in requests per second. It is low so that no request waits for
+	// a slot.
 	latencyRate = 200
-	// quick is the service time, which the added latency is measured beside.
-	quick = 5 * time.Millisecond
+	// shortServiceTime is the service time of experiments that measure added latency.
+	shortServiceTime = 5 * time.Millisecond
 )
 
-// latency compares a direct call to an executor with the ways through the
-// entry VMs.
-func latency(ctx context.Context, cfg Config, r *report) error {
-	cfg.ServiceTime = quick
-	r.note("service_time=%s", quick)
-	one := site.Service{Name: single, ExecutorsPerDataCentre: 1, Slots: singleSlots, Connections: 2 * singleSlots, ServiceTime: quick, Spread: spread}
+// measureLatency compares the latency of direct calls to an executor with that of
+// the paths through the entry VMs.
+func measureLatency(ctx context.Context, cfg Config, r *resultTable) error {
+	cfg.ServiceTime = shortServiceTime
+	r.note("service_time=%s", shortServiceTime)
+	one := site.Service{Name: singleService, ExecutorsPerDataCentre: 1, Slots: singleSlots, Connections: 2 * singleSlots, ServiceTime: shortServiceTime, Spread: spread}
 	c, err := startCell(ctx, cfg, one)
 	if err != nil {
 		return err
@@ -37,52 +38,53 @@
 	if err := c.warmUp(ctx); err != nil {
 		return err
 	}
-	holders, others := c.holdersOf(single)
+	holders, others := c.splitByHolder(singleService)
 	base := load.Stream{
-		Caller: "workshop", Class: string(api.ClassInteractive), Service: single, Path: "/check",
+		Caller: "workshop", Class: string(api.ClassInteractive), Service: singleService, Path: "/check",
 		Rate: latencyRate, Idempotent: true, BodyBytes: 512, Timeout: cfg.Timeout,
 	}
 	direct, marked := base, base
 	direct.Direct = true
 	marked.Idempotent = false
 	phases := []phase{
-		{name: "direct", entries: c.executors(single), streams: []load.Stream{direct}},
+		{name: "direct", entries: c.executorAddresses(singleService), streams: []load.Stream{direct}},
 		{name: "local", entries: holders, streams: []load.Stream{base}},
 		{name: "handed over", entries: others, streams: []load.Stream{base}},
 		{name: "marked", entries: holders, streams: []load.Stream{marked}},
 	}
 	if len(cfg.Policies) > 1 {
-		phases = append(phases, phase{name: "baseline", streams: []load.Stream{c.stream(router.PolicyBaseline, latencyRate)}})
+		phases = append(phases, phase{name: "baseline", streams: []load.Stream{c.newStream(router.PolicyBaseline, latencyRate)}})
 	}
-	return c.compare(ctx, phases, r)
+	return c.runComparison(ctx, phases, r)
 }
 
-// compare runs phases; the first is what the others are measured against.
-func (c *cell) compare(ctx context.Context, phases []phase, r *report) error {
-	var first *tally
+// runComparison runs phases and notes the latency that each adds to that of the
+// first.
+func (c *cell) runComparison(ctx context.Context, phases []phase, r *resultTable) error {
+	var reference *streamStats
 	for _, p := range phases {
-		p.from = c.cfg.duration() / 5
-		o, err := c.run(ctx, p)
+		p.countFrom = c.cfg.phaseDuration() / 5
+		result, err := c.runPhase(ctx, p)
 		if err != nil {
 			return err
 		}
-		r.add(p.name, o)
-		t := o.tallies[0]
-		if first == nil {
-			first = t
+		r.addPhase(p.name, result)
+		stats := result.statsByStream[0]
+		if reference == nil {
+			reference = stats
 			continue
 		}
 		r.note("%s: added p50=%s p99=%s", p.name,
-			quantile(t.ran, 50)-quantile(first.ran, 50), quantile(t.ran, 99)-quantile(first.ran, 99))
+			quantile(stats.ranLatency, 50)-quantile(reference.ranLatency, 50), quantile(stats.ranLatency, 99)-quantile(reference.ranLatency, 99))
 	}
 	return nil
 }
 
-// holdersOf returns the callers' addresses of the entry VMs that hold an
-// endpoint of the service, and of the others.
-func (c *cell) holdersOf(service string) (holders, others []string) {
+// splitByHolder returns the addresses for callers of the entry VMs that hold an
+// endpoint of the service, and those of all others.
+func (c *cell) splitByHolder(service string) (holders, others []string) {
 	for _, e := range c.Entries {
-		if c.holds(e, service) {
+		if c.holdsEndpoint(e, service) {
 			holders = append(holders, e.Settings.Listen.Callers)
 		} else {
 			others = append(others, e.Settings.Listen.Callers)
@@ -91,7 +93,8 @@
 	return holders, others
 }
 
-func (c *cell) holds(e *cluster.Entry, service string) bool {
+// holdsEndpoint reports whether an entry VM holds an endpoint of the service.
+func (c *cell) holdsEndpoint(e *cluster.Entry, service string) bool {
 	held := map[string]bool{}
 	for _, shard := range e.Node.Status().Shards {
 		held[shard.Shard] = true
--- a/internal/experiment/outage.go
+++ b/internal/experiment/outage.go
@@ -7,17 +7,17 @@
 	"github.com/skylarklock/skylarklock/internal/standin/logserver"
 )
 
-// outage takes the log away under load and gives it back.
-func outage(ctx context.Context, cfg Config, r *report) error {
+// measureOutage measures a load before, during and after an outage of the log.
+func measureOutage(ctx context.Context, cfg Config, r *resultTable) error {
 	c, err := startWarmCell(ctx, cfg)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
 	policy := cfg.Policies[0]
-	idempotent := c.stream(policy, steadyShare*cfg.capacity()/2)
+	idempotent := c.newStream(policy, steadyShare*cfg.requestCapacity()/2)
 	idempotent.Caller = "idempotent"
-	marked := c.stream(policy, steadyShare*cfg.capacity()/2)
+	marked := c.newStream(policy, steadyShare*cfg.requestCapacity()/2)
 	marked.Caller, marked.Idempotent = "non-idempotent", false
 	streams := []load.Stream{idempotent, marked}
 	for _, p := range []struct {
@@ -29,11 +29,11 @@
 		{"log up again,", logserver.Faults{Delay: cfg.LogDelay}},
 	} {
 		c.Site.Log.SetFaults(p.faults)
-		o, err := c.run(ctx, phase{streams: streams})
+		result, err := c.runPhase(ctx, phase{streams: streams})
 		if err != nil {
 			return err
 		}
-		r.add(p.name, o)
+		r.addPhase(p.name, result)
 	}
 	return nil
 }
--- a/internal/experiment/overload.go
+++ b/internal/experiment/overload.go
@@ -8,46 +8,48 @@
 	"github.com/skylarklock/skylarklock/internal/load"
 )
 
-// overloads are the loads offered, as multiples of the slots' capacity.
-var overloads = []float64{1, 1.5, 2, 4}
+// overloadFactors are the offered loads, as multiples of the request capacity.
+var overloadFactors = []float64{1, 1.5, 2, 4}
 
-// overload offers more than the slots can serve and looks at what is kept of
-// the goodput, and how soon the rest is refused.
-func overload(ctx context.Context, cfg Config, r *report) error {
+// measureOverload offers more requests than the executors can run. It measures the
+// remaining goodput and how soon the other requests are refused.
+func measureOverload(ctx context.Context, cfg Config, r *resultTable) error {
 	c, err := startWarmCell(ctx, cfg)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
 	for _, policy := range cfg.Policies {
-		for _, factor := range overloads {
-			s := c.stream(policy, factor*cfg.capacity())
-			o, err := c.run(ctx, phase{streams: []load.Stream{s}, from: cfg.duration() / 5})
+		for _, factor := range overloadFactors {
+			s := c.newStream(policy, factor*cfg.requestCapacity())
+			result, err := c.runPhase(ctx, phase{streams: []load.Stream{s}, countFrom: cfg.phaseDuration() / 5})
 			if err != nil {
 				return err
 			}
-			r.add(fmt.Sprintf("%s %gx", policy, factor), o)
+			r.addPhase(fmt.Sprintf("%s %gx", policy, factor), result)
 		}
 	}
 	return nil
 }
 
-// stream is idempotent, interactive traffic to a policy's service.
-func (c *cell) stream(policy string, rate float64) load.Stream {
+// newStream returns a stream of idempotent, interactive requests to the service of
+// a policy, at a rate in requests per second.
+func (c *cell) newStream(policy string, rate float64) load.Stream {
 	return load.Stream{
-		Caller: "workshop", Class: string(api.ClassInteractive), Service: serviceOf(policy), Path: "/sweep",
+		Caller: "workshop", Class: string(api.ClassInteractive), Service: serviceName(policy), Path: "/sweep",
 		Rate: rate, Idempotent: true, BodyBytes: 512, Timeout: c.cfg.Timeout,
 	}
 }
 
-// warmUpRate bounds the load of the warm-up, requests per second.
-const warmUpRate = 500
+// maxWarmUpRate limits the load of the warm-up, in requests per second.
+const maxWarmUpRate = 500
 
-// warmUp opens connections and fills the averages of every service.
+// warmUp runs a low load so that connections are open and the averages of every
+// service have values.
 func (c *cell) warmUp(ctx context.Context) error {
 	for _, policy := range c.cfg.Policies {
-		s := c.stream(policy, min(0.3*c.cfg.capacity(), warmUpRate))
-		if _, err := c.run(ctx, phase{streams: []load.Stream{s}}); err != nil {
+		s := c.newStream(policy, min(0.3*c.cfg.requestCapacity(), maxWarmUpRate))
+		if _, err := c.runPhase(ctx, phase{streams: []load.Stream{s}}); err != nil {
 			return err
 		}
 	}
--- a/internal/experiment/phase.go
+++ b/internal/experiment/phase.go
@@ -14,89 +14,90 @@
 	"github.com/skylarklock/skylarklock/internal/load"
 )
 
-// settleTime is the pause between two phases, in which queues drain.
+// settleTime is the pause after each phase, in which queues drain.
 const settleTime = time.Second
 
-// lateSlack is how long past its timeout an answer still counts as in time;
-// the timeout itself is counted at the entry VM.
-const lateSlack = 20 * time.Millisecond
+// lateTolerance is how long after its timeout an answer still counts as in time.
+// The entry VM measures the timeout from the arrival of the request, which is
+// later than the start of the latency.
+const lateTolerance = 20 * time.Millisecond
 
-// phase is one measured stretch of load.
+// phase describes one measured period of load.
 type phase struct {
-	name    string
-	entries []string // callers' addresses; all when nil
-	streams []load.Stream
-	check   time.Duration         // of the balancer; zero: none
-	during  func(context.Context) // runs beside the load; may be nil
-	from    time.Duration         // earlier samples don't count
+	name              string
+	entries           []string // addresses for callers; nil: all entry VMs
+	streams           []load.Stream
+	readinessInterval time.Duration         // of the balancer's checks; zero: no checks
+	during            func(context.Context) // runs concurrently with the load; may be nil
+	countFrom         time.Duration         // time since the start before which samples are ignored
 }
 
-// tally is what became of the requests of one stream.
-type tally struct {
-	stream   load.Stream
-	seconds  float64
-	sent     int
-	good     int // ran, sound, in time
-	answered int // good, and answered while the phase counts
-	late     int // ran, sound, too late
-	failed   int // ran with an error status
-	notRun   int
-	unknown  int
-	noAnswer int
-	skipped  int
-	reasons  map[api.Reason]int
-	ran      *hdrhistogram.Histogram // microseconds
-	refused  *hdrhistogram.Histogram // microseconds
+// streamStats counts the outcomes of the requests of one stream.
+type streamStats struct {
+	stream          load.Stream
+	seconds         float64 // duration of the counted part of the phase
+	sent            int
+	good            int // ran without an error status, answered in time
+	answeredInPhase int // like good, but counted by the time of the answer
+	late            int // ran without an error status, answered too late
+	failed          int // ran with an error status
+	notRun          int
+	unknown         int
+	noAnswer        int
+	skipped         int
+	reasons         map[api.Reason]int
+	ranLatency      *hdrhistogram.Histogram // microseconds
+	otherLatency    *hdrhistogram.Histogram // microseconds
 }
 
-// goodput is the sound answers in time, each second. It counts by the time of
-// the answer: a queue that grows or shrinks would distort a count by the time
-// of the request.
-func (t *tally) goodput() float64 { return float64(t.answered) / t.seconds }
+// goodput returns the number of good answers per second. Answers are counted by
+// the time of the answer, because a queue that grows or shrinks would distort a
+// count by the time of the request.
+func (t *streamStats) goodput() float64 { return float64(t.answeredInPhase) / t.seconds }
 
-// addAnswer counts a sample that was answered while the phase counts.
-func (t *tally) addAnswer(s load.Sample) {
-	if s.Outcome == api.OutcomeRan && s.Status < http.StatusInternalServerError && s.Latency <= t.stream.Timeout+lateSlack {
-		t.answered++
+// addCompletion counts a sample that was answered in the counted part of the phase.
+func (t *streamStats) addCompletion(s load.Sample) {
+	if s.Outcome == api.OutcomeRan && s.Status < http.StatusInternalServerError && s.Latency <= t.stream.Timeout+lateTolerance {
+		t.answeredInPhase++
 	}
 }
 
-// outcome is what a phase gave.
-type outcome struct {
-	tallies   []*tally
-	forwarded int64 // hand-overs to peers with room
-	answered  int64 // hand-overs of any kind that a peer answered
-	retried   int64
-	truth     truth
-	seen      executorsSeen // of the first stream's service
+// phaseResult holds the results of a phase.
+type phaseResult struct {
+	statsByStream     []*streamStats
+	forwarded         int64 // handovers to peers with free slots
+	answeredHandovers int64 // handovers of any kind that a peer answered
+	retried           int64
+	audit             answerAudit
+	executors         executorStats // of the service of the first stream
 }
 
-// newTally returns an empty tally.
-func newTally(s load.Stream, seconds float64) *tally {
-	const longest = int64(time.Minute / time.Microsecond)
-	return &tally{
+// newStreamStats returns empty statistics.
+func newStreamStats(s load.Stream, seconds float64) *streamStats {
+	const maxLatency = int64(time.Minute / time.Microsecond)
+	return &streamStats{
 		stream: s, seconds: seconds, reasons: map[api.Reason]int{},
-		ran:     hdrhistogram.New(1, longest, 3),
-		refused: hdrhistogram.New(1, longest, 3),
+		ranLatency:   hdrhistogram.New(1, maxLatency, 3),
+		otherLatency: hdrhistogram.New(1, maxLatency, 3),
 	}
 }
 
 // add counts one sample.
-func (t *tally) add(s load.Sample) {
+func (t *streamStats) add(s load.Sample) {
 	t.sent++
 	if s.Reason != "" {
 		t.reasons[s.Reason]++
 	}
 	latency := max(s.Latency.Microseconds(), 1)
 	if s.Outcome == api.OutcomeRan {
-		_ = t.ran.RecordValue(latency)
+		_ = t.ranLatency.RecordValue(latency)
 	} else {
-		_ = t.refused.RecordValue(latency)
+		_ = t.otherLatency.RecordValue(latency)
 	}
 	switch {
 	case s.Outcome == api.OutcomeRan && s.Status >= http.StatusInternalServerError:
 		t.failed++
-	case s.Outcome == api.OutcomeRan && s.Latency > t.stream.Timeout+lateSlack:
+	case s.Outcome == api.OutcomeRan && s.Latency > t.stream.Timeout+lateTolerance:
 		t.late++
 	case s.Outcome == api.OutcomeRan:
 		t.good++
@@ -109,36 +110,37 @@
 	}
 }
 
-// phases numbers the phases of a process, to keep request ids apart.
-var phases struct {
+// phaseCounter numbers the phases of a process, which makes request IDs unique.
+var phaseCounter struct {
 	sync.Mutex
 	n int
 }
 
-func nextPrefix() string {
-	phases.Lock()
-	defer phases.Unlock()
-	phases.n++
-	return fmt.Sprintf("p%d-%d", phases.n, time.Now().UnixNano())
+// nextIDPrefix returns a new prefix for request IDs.
+func nextIDPrefix() string {
+	phaseCounter.Lock()
+	defer phaseCounter.Unlock()
+	phaseCounter.n++
+	return fmt.Sprintf("p%d-%d", phaseCounter.n, time.Now().UnixNano())
 }
 
-// run drives the cell through one phase.
-func (c *cell) run(ctx context.Context, p phase) (*outcome, error) {
+// runPhase runs the load of one phase against the cell and returns the results.
+func (c *cell) runPhase(ctx context.Context, p phase) (*phaseResult, error) {
 	entries := p.entries
 	if entries == nil {
-		entries = c.callers()
+		entries = c.callerAddresses()
 	}
-	duration := c.cfg.duration()
+	duration := c.cfg.phaseDuration()
 	runner, err := load.NewRunner(load.Config{
 		Entries: entries, Streams: p.streams, Duration: duration, MaxOpen: maxOpen,
-		Seed: c.cfg.Seed, IDPrefix: nextPrefix(), ReadinessInterval: p.check,
+		Seed: c.cfg.Seed, IDPrefix: nextIDPrefix(), ReadinessInterval: p.readinessInterval,
 	})
 	if err != nil {
 		return nil, err
 	}
-	out := &outcome{}
+	out := &phaseResult{}
 	for _, s := range p.streams {
-		out.tallies = append(out.tallies, newTally(s, (duration-p.from).Seconds()))
+		out.statsByStream = append(out.statsByStream, newStreamStats(s, (duration-p.countFrom).Seconds()))
 	}
 	var mu sync.Mutex
 	var samples []load.Sample
@@ -146,46 +148,46 @@
 		mu.Lock()
 		defer mu.Unlock()
 		samples = append(samples, s)
-		if s.Due >= p.from {
-			out.tallies[s.Stream].add(s)
+		if s.Due >= p.countFrom {
+			out.statsByStream[s.Stream].add(s)
 		}
-		if end := s.Due + s.Latency; end >= p.from && end < duration {
-			out.tallies[s.Stream].addAnswer(s)
+		if end := s.Due + s.Latency; end >= p.countFrom && end < duration {
+			out.statsByStream[s.Stream].addCompletion(s)
 		}
 	}
-	answered := c.count("handover", "answered")
-	room, retried := c.count(filter.GroupForward, filter.CountFreePeer), c.retries()
-	var beside sync.WaitGroup
+	answeredBefore := c.sumCounter("handover", "answered")
+	forwardedBefore, retriedBefore := c.sumCounter(filter.GroupForward, filter.CountFreePeer), c.sumRetries()
+	var concurrent sync.WaitGroup
 	if p.during != nil {
-		beside.Go(func() { p.during(ctx) })
+		concurrent.Go(func() { p.during(ctx) })
 	}
 	service := p.streams[0].Service
-	refused := c.seen(service, time.Time{}, time.Time{}).refused
+	refusedBefore := c.collectExecutorStats(service, time.Time{}, time.Time{}).refused
 	started := time.Now()
 	results := runner.Run(ctx)
-	beside.Wait()
+	concurrent.Wait()
 	for i, r := range results {
-		out.tallies[i].skipped = r.Skipped()
+		out.statsByStream[i].skipped = r.Skipped()
 	}
-	out.forwarded = c.count(filter.GroupForward, filter.CountFreePeer) - room
-	out.answered = c.count("handover", "answered") - answered
-	out.retried = c.retries() - retried
-	pause(ctx, settleTime)
-	out.seen = c.seen(service, started.Add(p.from), started.Add(duration))
-	out.seen.refused -= refused
-	out.truth = c.check(samples, p.streams)
+	out.forwarded = c.sumCounter(filter.GroupForward, filter.CountFreePeer) - forwardedBefore
+	out.answeredHandovers = c.sumCounter("handover", "answered") - answeredBefore
+	out.retried = c.sumRetries() - retriedBefore
+	sleep(ctx, settleTime)
+	out.executors = c.collectExecutorStats(service, started.Add(p.countFrom), started.Add(duration))
+	out.executors.refused -= refusedBefore
+	out.audit = c.auditAnswers(samples, p.streams)
 	return out, ctx.Err()
 }
 
-// retries counts the retries of all entry VMs.
-func (c *cell) retries() int64 {
+// sumRetries returns the number of retries of all entry VMs.
+func (c *cell) sumRetries() int64 {
 	total := int64(0)
 	for _, reason := range []api.Reason{
 		api.ReasonEndpointRefused, api.ReasonConnectFailed, api.ReasonAnswerBroken, api.ReasonAnswerTimeout,
 		api.ReasonPeerUnreachable, api.ReasonNoSlot, api.ReasonQueueFull, api.ReasonHoldUnconfirmed,
 		api.ReasonNoEndpoint, api.ReasonDeadlineUnmeetable, api.ReasonDraining, api.ReasonNotReady,
 	} {
-		total += c.count(filter.GroupRetried, reason)
+		total += c.sumCounter(filter.GroupRetried, reason)
 	}
 	return total
 }
--- a/internal/experiment/publish.go
+++ b/internal/experiment/publish.go
@@ -16,12 +16,13 @@
 
 const publishTimeout = 10 * time.Second
 
-// publishAll publishes the services' records and limits of callers that bound
-// nothing but a flood, and waits until they are in force everywhere.
+// publishAll publishes the records of the services, and limits of callers so high
+// that only a flood reaches them. It waits until all are in force on every entry
+// VM.
 func (c *cell) publishAll(ctx context.Context, services []site.Service) error {
 	specs := map[string]string{}
 	for _, p := range c.cfg.Policies {
-		specs[serviceOf(p)] = p
+		specs[serviceName(p)] = p
 	}
 	for _, s := range services {
 		specs[s.Name] = schema.RoutingLeastLoaded
@@ -37,11 +38,10 @@
 	if err := c.publish(ctx, api.KindLimits, schema.AnyCaller, limits); err != nil {
 		return err
 	}
-	return c.awaitRevision(ctx)
+	return c.awaitNewestRevision(ctx)
 }
 
-// publish publishes one record of a key that doesn't exist yet, through the
-// first entry VM.
+// publish publishes a record under a new key through the first entry VM.
 func (c *cell) publish(ctx context.Context, kind api.Kind, name string, spec any) error {
 	data, err := json.Marshal(spec)
 	if err != nil {
@@ -73,14 +73,15 @@
 	return nil
 }
 
-// awaitRevision waits until all entry VMs have the newest configuration.
-func (c *cell) awaitRevision(ctx context.Context) error {
+// awaitNewestRevision waits until the newest revision that the first entry VM knows
+// is in force on every entry VM.
+func (c *cell) awaitNewestRevision(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, publishTimeout)
 	defer cancel()
 	newest := c.Entries[0].Node.Status().Revision
 	for _, e := range c.Entries {
 		for e.Node.Status().Revision < newest {
-			if !pause(ctx, 20*time.Millisecond) {
+			if !sleep(ctx, 20*time.Millisecond) {
 				return errors.New("records not in force everywhere in time")
 			}
 		}
--- a/internal/experiment/stop.go
+++ b/internal/experiment/stop.go
@@ -11,18 +11,19 @@
 	"github.com/skylarklock/skylarklock/internal/ownership"
 )
 
-// stop stops one entry VM gracefully under load and kills another, behind a
-// balancer that looks at their readiness.
-func stop(ctx context.Context, cfg Config, r *report) error {
+// measureStop measures the effects of stopping one entry VM gracefully and of
+// killing another, under load and behind a balancer that checks their readiness.
+func measureStop(ctx context.Context, cfg Config, r *resultTable) error {
 	for _, policy := range cfg.Policies {
-		if err := stopUnder(ctx, cfg, policy, r); err != nil {
+		if err := stopEntries(ctx, cfg, policy, r); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func stopUnder(ctx context.Context, cfg Config, policy string, r *report) error {
+// stopEntries runs the phases of measureStop for one routing policy.
+func stopEntries(ctx context.Context, cfg Config, policy string, r *resultTable) error {
 	c, err := startWarmCell(ctx, cfg)
 	if err != nil {
 		return err
@@ -38,43 +39,44 @@
 		{"stopped gracefully", first, func(e *cluster.Entry) { e.Stop() }},
 		{"killed", last, func(e *cluster.Entry) { e.Node.Abort() }},
 	} {
-		if err := c.runStop(ctx, policy, p.name, p.entry, p.stop, r); err != nil {
+		if err := c.runStopPhase(ctx, policy, p.name, p.entry, p.stop, r); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *cell) runStop(ctx context.Context, policy, name string, e *cluster.Entry, stop func(*cluster.Entry), r *report) error {
-	idempotent := c.stream(policy, steadyShare*c.cfg.capacity()/2)
+// runStopPhase runs a load and stops e after a third of it; e may be nil.
+func (c *cell) runStopPhase(ctx context.Context, policy, name string, e *cluster.Entry, stop func(*cluster.Entry), r *resultTable) error {
+	idempotent := c.newStream(policy, steadyShare*c.cfg.requestCapacity()/2)
 	idempotent.Caller = "idempotent"
 	marked := idempotent
 	marked.Caller, marked.Idempotent = "non-idempotent", false
-	p := phase{streams: []load.Stream{idempotent, marked}, check: balancerCheck}
+	p := phase{streams: []load.Stream{idempotent, marked}, readinessInterval: readinessCheckInterval}
 	var held []api.Endpoint
-	var stopped time.Time
+	var stoppedAt time.Time
 	if e != nil {
 		p.during = func(ctx context.Context) {
-			pause(ctx, c.cfg.duration()/3)
-			held = c.heldBy(e, serviceOf(policy))
-			stopped = time.Now()
+			sleep(ctx, c.cfg.phaseDuration()/3)
+			held = c.endpointsHeldBy(e, serviceName(policy))
+			stoppedAt = time.Now()
 			stop(e)
 		}
 	}
-	o, err := c.run(ctx, p)
+	result, err := c.runPhase(ctx, p)
 	if err != nil {
 		return err
 	}
 	name = policy + ", " + name
-	r.add(name+",", o)
+	r.addPhase(name+",", result)
 	if e != nil {
-		c.noteGaps(name, held, stopped, stopped.Add(c.cfg.duration()*2/3), r)
+		c.noteRequestGaps(name, held, stoppedAt, stoppedAt.Add(c.cfg.phaseDuration()*2/3), r)
 	}
 	return nil
 }
 
-// heldBy returns the endpoints of a service that an entry VM holds.
-func (c *cell) heldBy(e *cluster.Entry, service string) []api.Endpoint {
+// endpointsHeldBy returns the endpoints of a service that an entry VM holds.
+func (c *cell) endpointsHeldBy(e *cluster.Entry, service string) []api.Endpoint {
 	shards := map[string]bool{}
 	for _, shard := range e.Node.Status().Shards {
 		shards[shard.Shard] = true
@@ -88,9 +90,9 @@
 	return held
 }
 
-// noteGaps says for how long each endpoint of a stopped entry VM got no new
-// request.
-func (c *cell) noteGaps(name string, held []api.Endpoint, from, to time.Time, r *report) {
+// noteRequestGaps adds a note on how long the endpoints of a stopped entry VM got
+// no new request.
+func (c *cell) noteRequestGaps(name string, held []api.Endpoint, from, to time.Time, r *resultTable) {
 	longest, sum := time.Duration(0), time.Duration(0)
 	for _, ep := range held {
 		gap := c.longestGap(ep.ID, from, to)
@@ -102,8 +104,8 @@
 		name, len(held), mean.Round(time.Millisecond), longest.Round(time.Millisecond))
 }
 
-// longestGap returns the longest time between two instants in which no run
-// began at an endpoint.
+// longestGap returns the longest period between from and to in which no run started
+// at an endpoint.
 func (c *cell) longestGap(id api.EndpointID, from, to time.Time) time.Duration {
 	var starts []time.Time
 	for _, runs := range c.Site.Executors[id].Record().Runs {
@@ -114,10 +116,10 @@
 		}
 	}
 	slices.SortFunc(starts, time.Time.Compare)
-	longest, at := time.Duration(0), from
+	longest, last := time.Duration(0), from
 	for _, s := range append(starts, to) {
-		longest = max(longest, s.Sub(at))
-		at = s
+		longest = max(longest, s.Sub(last))
+		last = s
 	}
 	return longest
 }
--- a/internal/experiment/table.go
+++ b/internal/experiment/table.go
@@ -12,80 +12,85 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// report writes the table of an experiment, one row for each phase and
-// stream.
-type report struct {
+// resultTable writes the results of an experiment as a table with one row for each
+// phase and stream, followed by notes.
+type resultTable struct {
 	w     *tabwriter.Writer
 	notes []string
 }
 
-const columns = "phase\toffered/s\tsent\tgood/s\tgood %\tlate\tfailed\tnot run\tunknown\tno answer\tran p50\tp99\trefused p50\tp99\tforwarded\tretried\tslots busy\tin-band refused\tuntrue\n"
+const tableHeader = "phase\toffered/s\tsent\tgood/s\tgood %\tlate\tfailed\tnot run\tunknown\tno answer\tran p50\tp99\trefused p50\tp99\tforwarded\tretried\tslots busy\tin-band refused\tuntrue\n"
 
-func newReport(w io.Writer) *report {
-	r := &report{w: tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)}
-	fmt.Fprint(r.w, columns)
+func newResultTable(w io.Writer) *resultTable {
+	r := &resultTable{w: tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)}
+	fmt.Fprint(r.w, tableHeader)
 	return r
 }
 
-// add adds the rows of a phase.
-func (r *report) add(name string, o *outcome) {
-	for i, t := range o.tallies {
+// addPhase adds the rows of a phase, one for each stream. Columns that apply to the
+// whole phase are filled in the first row only.
+func (r *resultTable) addPhase(name string, result *phaseResult) {
+	for i, stats := range result.statsByStream {
 		label := name
-		if len(o.tallies) > 1 {
-			label += " " + t.stream.Caller
+		if len(result.statsByStream) > 1 {
+			label += " " + stats.stream.Caller
 		}
-		shared := fmt.Sprintf("%d\t%d\t%.3f\t%d\t%d", o.forwarded, o.retried, o.seen.busy, o.seen.refused, o.truth.untrue())
+		shared := fmt.Sprintf("%d\t%d\t%.3f\t%d\t%d", result.forwarded, result.retried, result.executors.busyShare, result.executors.refused, result.audit.contradictions())
 		if i > 0 {
 			shared = "\t\t\t\t"
 		}
 		fmt.Fprintf(r.w, "%s\t%.0f\t%d\t%.0f\t%.2f\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\n",
-			label, t.stream.Rate, t.sent, t.goodput(), 100*float64(t.good)/float64(max(t.sent, 1)),
-			t.late, t.failed, t.notRun, t.unknown, t.noAnswer,
-			at(t.ran, 50), at(t.ran, 99), at(t.refused, 50), at(t.refused, 99), shared)
-		r.reasons(label, t)
+			label, stats.stream.Rate, stats.sent, stats.goodput(), 100*float64(stats.good)/float64(max(stats.sent, 1)),
+			stats.late, stats.failed, stats.notRun, stats.unknown, stats.noAnswer,
+			formatQuantile(stats.ranLatency, 50), formatQuantile(stats.ranLatency, 99), formatQuantile(stats.otherLatency, 50), formatQuantile(stats.otherLatency, 99), shared)
+		r.noteReasons(label, stats)
 	}
 }
 
-// reasons keeps the reasons of a stream's refusals for the end of the table.
-func (r *report) reasons(label string, t *tally) {
-	if len(t.reasons) == 0 && t.skipped == 0 {
+// noteReasons adds a note with the number of skipped requests and the reasons of
+// a stream's refusals.
+func (r *resultTable) noteReasons(label string, stats *streamStats) {
+	if len(stats.reasons) == 0 && stats.skipped == 0 {
 		return
 	}
 	var parts []string
-	for reason, n := range t.reasons {
+	for reason, n := range stats.reasons {
 		parts = append(parts, fmt.Sprintf("%s=%d", reason, n))
 	}
 	sort.Strings(parts)
-	r.note("%s: skipped=%d %s", label, t.skipped, strings.Join(parts, " "))
+	r.note("%s: skipped=%d %s", label, stats.skipped, strings.Join(parts, " "))
 }
 
 // note adds a line below the table.
-func (r *report) note(format string, args ...any) {
+func (r *resultTable) note(format string, args ...any) {
 	r.notes = append(r.notes, fmt.Sprintf(format, args...))
 }
 
 // flush writes the table and the notes.
-func (r *report) flush(w io.Writer) {
+func (r *resultTable) flush(w io.Writer) {
 	_ = r.w.Flush()
 	for _, n := range r.notes {
 		fmt.Fprintln(w, n)
 	}
 }
 
-// at formats the latency at a quantile (0 to 100).
-func at(h *hdrhistogram.Histogram, q float64) string {
+// formatQuantile formats the latency at a quantile (0 to 100), "-" if there is
+// none.
+func formatQuantile(h *hdrhistogram.Histogram, q float64) string {
 	if h.TotalCount() == 0 {
 		return "-"
 	}
 	return quantile(h, q).Round(10 * time.Microsecond).String()
 }
 
+// quantile returns the latency at a quantile (0 to 100) of a histogram in
+// microseconds.
 func quantile(h *hdrhistogram.Histogram, q float64) time.Duration {
 	return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// loadAverage returns the machine's load averages, empty where they can't be
-// read.
+// loadAverage returns the load averages of the machine, or an empty string if they
+// can't be read.
 func loadAverage() string {
 	data, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
