--- a/internal/capacity/celltime.go
+++ b/internal/capacity/celltime.go
@@ -2,80 +2,82 @@
 
 import "github.com/skylarklock/skylarklock/internal/cell"
 
-// appliedTime is the processor time, in ms, of applying starts and of the
-// reports of each ending.
-func appliedTime(size int, endings ...cell.Ending) (float64, error) {
+// measureApply returns the processor time, in ms, of applying starts and the
+// reports of each of the endings.
+func measureApply(size int, endings ...cell.Ending) (float64, error) {
 	s, err := newCellState(1700)
 	if err != nil {
 		return 0, err
 	}
-	var waiting [][]cell.Start
+	var startsByJob [][]cell.Start
 	for range size / tasksPerJob {
-		starts, err := s.submit(tasksPerJob)
+		starts, err := s.submitJob(tasksPerJob)
 		if err != nil {
 			return 0, err
 		}
-		waiting = append(waiting, starts)
+		startsByJob = append(startsByJob, starts)
 	}
-	seconds, err := processorTime(func() error {
-		for _, starts := range waiting {
-			if err := s.start(starts, endings...); err != nil {
+	seconds, err := measureCPUSeconds(func() error {
+		for _, starts := range startsByJob {
+			if err := s.startTasks(starts, endings...); err != nil {
 				return err
 			}
 		}
 		return nil
 	})
-	return seconds * milliseconds, err
+	return seconds * msPerSecond, err
 }
 
-// image is a snapshot of a cell, with its costs.
-type image struct {
-	bytes         float64
-	taken, loaded float64 // processor time, milliseconds
+// snapshotCost is the size of a cell's snapshot and the cost of taking and restoring
+// it.
+type snapshotCost struct {
+	bytes             float64
+	takeMs, restoreMs float64 // processor time
 }
 
-func snapshotCell(tasks int) (image, error) {
+// measureSnapshot takes and restores a snapshot of a cell that runs tasks.
+func measureSnapshot(tasks int) (snapshotCost, error) {
 	s, err := newCellState(1700)
 	if err != nil {
-		return image{}, err
+		return snapshotCost{}, err
 	}
-	if err := s.fill(tasks, tasksPerJob, cell.ReportRunning); err != nil {
-		return image{}, err
+	if err := s.runTasks(tasks, tasksPerJob, cell.ReportRunning); err != nil {
+		return snapshotCost{}, err
 	}
 	var data []byte
-	taken, err := processorTime(func() error {
+	taken, err := measureCPUSeconds(func() error {
 		data, err = s.machine.Snapshot()
 		return err
 	})
 	if err != nil {
-		return image{}, err
+		return snapshotCost{}, err
 	}
-	loaded, err := processorTime(func() error { return cell.New(firstEpoch{}, nil).Restore(data) })
-	return image{bytes: float64(len(data)), taken: taken * milliseconds, loaded: loaded * milliseconds}, err
+	loaded, err := measureCPUSeconds(func() error { return cell.New(fixedEpoch{}, nil).Restore(data) })
+	return snapshotCost{bytes: float64(len(data)), takeMs: taken * msPerSecond, restoreMs: loaded * msPerSecond}, err
 }
 
-func cellTime() []Measurement {
-	images := newMemo(snapshotCell)
+func cellTimeMeasurements() []Measurement {
+	snapshots := newRunCache(measureSnapshot)
 	starts := []int{10_000, 20_000, 40_000, 80_000}
 	tasks := []int{10_000, 42_000, 100_000, 200_000}
 	return []Measurement{
 		{
 			Name: "cell_start_time", XLabel: "starts applied, 25 to an entry", YLabel: "processor time, ms", Sizes: starts,
-			Run: func(size int) (float64, error) { return appliedTime(size) },
+			Run: func(size int) (float64, error) { return measureApply(size) },
 		}, {
 			Name: "cell_life_time", XLabel: "tasks started, seen running, ended", YLabel: "processor time, ms", Sizes: starts,
 			Run: func(size int) (float64, error) {
-				return appliedTime(size, cell.ReportRunning, cell.ReportSucceeded)
+				return measureApply(size, cell.ReportRunning, cell.ReportSucceeded)
 			},
 		}, {
 			Name: "cell_snapshot_bytes", XLabel: "running tasks", YLabel: "bytes", Sizes: tasks,
-			Run: images.read(func(i image) float64 { return i.bytes }),
+			Run: snapshots.costFunc(func(i snapshotCost) float64 { return i.bytes }),
 		}, {
 			Name: "cell_snapshot_time", XLabel: "running tasks", YLabel: "processor time, ms", Sizes: tasks,
-			Run: images.read(func(i image) float64 { return i.taken }),
+			Run: snapshots.costFunc(func(i snapshotCost) float64 { return i.takeMs }),
 		}, {
 			Name: "cell_restore_time", XLabel: "running tasks", YLabel: "processor time, ms", Sizes: tasks,
-			Run: images.read(func(i image) float64 { return i.loaded }),
+			Run: snapshots.costFunc(func(i snapshotCost) float64 { return i.restoreMs }),
 		},
 	}
 }
--- a/internal/capacity/whole.go
+++ b/internal/capacity/entryload.go
@@ -19,15 +19,15 @@
 	"github.com/skylarklock/skylarklock/internal/standin/site"
 )
 
-// loadFor is how long callers send.
-const loadFor = 1500 * time.Millisecond
+// loadDuration is how long callers send requests at each rate.
+const loadDuration = 1500 * time.Millisecond
 
-// loadRates are in requests a second.
+// loadRates are the offered loads in requests per second.
 var loadRates = []int{100, 200, 400, 800}
 
-// wholeRequests returns, for each of loadRates, the processor time in ms a
-// second of one entry process, its callers and its executors.
-func wholeRequests(int) (map[int]float64, error) {
+// measureEntryLoad returns, for each of loadRates, the processor time of one entry
+// process, its callers and its executors, in ms per second.
+func measureEntryLoad(int) (map[int]float64, error) {
 	s, err := site.Start(site.Config{
 		DataCentres: []api.DataCentre{"dc-a"}, VMsPerDataCentre: 50, VMsPerRack: 6, Capacity: vmSize,
 		Services: []site.Service{{Name: "torquebench", ExecutorsPerDataCentre: 50, Slots: 8, Connections: 60, ServiceTime: time.Millisecond}},
@@ -36,26 +36,27 @@
 		return nil, err
 	}
 	defer s.Close()
-	all, err := s.EntrySettings(1)
+	entrySettings, err := s.EntrySettings(1)
 	if err != nil {
 		return nil, err
 	}
-	node, err := entry.New(all[0], quietLog())
+	node, err := entry.New(entrySettings[0], nopLogger())
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	var ended error
-	running.Go(func() { ended = node.Run(ctx) })
-	time.Sleep(settleAlone)
-	costs, err := loadCosts(all[0].Listen)
+	var runErr error
+	running.Go(func() { runErr = node.Run(ctx) })
+	time.Sleep(singleEntrySettleTime)
+	costs, err := measureLoadRates(entrySettings[0].Listen)
 	cancel()
 	running.Wait()
-	return costs, errors.Join(err, ended)
+	return costs, errors.Join(err, runErr)
 }
 
-func loadCosts(listen settings.Listen) (map[int]float64, error) {
+// measureLoadRates publishes the service and measures the load at each rate.
+func measureLoadRates(listen settings.Listen) (map[int]float64, error) {
 	if err := publishService(listen.Operators); err != nil {
 		return nil, err
 	}
@@ -65,12 +66,13 @@
 		if err != nil {
 			return nil, err
 		}
-		costs[rate] = seconds * milliseconds / loadFor.Seconds()
+		costs[rate] = seconds * msPerSecond / loadDuration.Seconds()
 	}
 	return costs, nil
 }
 
-// publishService publishes the record of the service and lets it come in force.
+// publishService publishes the record of the service and waits long enough for it
+// to be in force.
 func publishService(operators string) error {
 	record, err := json.Marshal(api.Record{
 		Kind: api.KindService, Name: "torquebench", SchemaVersion: schema.LatestVersion(api.KindService), Spec: json.RawMessage(`{}`),
@@ -86,15 +88,15 @@
 	if answer.StatusCode != http.StatusOK {
 		return errors.Newf("publish the service: status %d", answer.StatusCode)
 	}
-	time.Sleep(settleAlone / 4)
+	time.Sleep(singleEntrySettleTime / 4)
 	return nil
 }
 
-// sendLoad sends idempotent requests and returns the processor time used. It
-// fails when some were not answered.
+// sendLoad sends idempotent requests at a rate and returns the processor time used,
+// in seconds. It fails if not all requests ran.
 func sendLoad(address string, rate int) (float64, error) {
 	runner, err := load.NewRunner(load.Config{
-		Entries: []string{address}, Duration: loadFor, MaxOpen: 1000, IDPrefix: fmt.Sprint("capacity-", rate),
+		Entries: []string{address}, Duration: loadDuration, MaxOpen: 1000, IDPrefix: fmt.Sprint("capacity-", rate),
 		Streams: []load.Stream{{
 			Caller: "tablet", Class: "interactive", Service: "torquebench", Path: "/sweep",
 			Rate: float64(rate), Idempotent: true, BodyBytes: 200, Timeout: 5 * time.Second,
@@ -104,7 +106,7 @@
 		return 0, err
 	}
 	var results []*load.Result
-	seconds, _ := processorTime(func() error {
+	seconds, _ := measureCPUSeconds(func() error {
 		results = runner.Run(context.Background())
 		return nil
 	})
@@ -114,13 +116,13 @@
 	return seconds, nil
 }
 
-func entryRequests() []Measurement {
-	all := newMemo(wholeRequests)
+func entryRequestMeasurements() []Measurement {
+	cache := newRunCache(measureEntryLoad)
 	return []Measurement{{
 		Name: "entry_request_time", XLabel: "requests a second", YLabel: "processor ms a second of callers, entry and executors",
 		Sizes: loadRates,
 		Run: func(size int) (float64, error) {
-			costs, err := all.at(0)
+			costs, err := cache.result(0)
 			return costs[size], err
 		},
 	}}
--- a/internal/capacity/exchange.go
+++ b/internal/capacity/exchange.go
@@ -19,13 +19,13 @@
 	standin "github.com/skylarklock/skylarklock/internal/standin/worker"
 )
 
-// exchange is the cost of one exchange with a worker VM.
-type exchange struct {
-	bytes float64 // both ways
-	time  float64 // processor time of both ends, us
+// exchangeCost is the cost of one exchange with a worker VM.
+type exchangeCost struct {
+	bytes     float64 // bytes in both directions
+	cpuMicros float64 // processor time of both ends
 }
 
-// serve serves h on a free port of 127.0.0.1.
+// serve serves h on a free port of 127.0.0.1 and returns the server and its address.
 func serve(h http.Handler) (*http.Server, string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,30 +36,31 @@
 	return server, l.Addr().String(), nil
 }
 
-// exchanges measures the adapter and the loopback connection.
-func exchanges(tasks int) (exchange, error) {
+// measureExchanges returns the average cost of an exchange with a VM that runs
+// tasks: that of the adapter and of the loopback connection.
+func measureExchanges(tasks int) (exchangeCost, error) {
 	const count = 2000
-	server, address, err := serve(standin.NewHost(standin.New("vm-1", taskSize.Mul(1000), time.Now, 0)))
+	server, address, err := serve(standin.NewHost(standin.New("vm-1", taskResources.Mul(1000), time.Now, 0)))
 	if err != nil {
-		return exchange{}, err
+		return exchangeCost{}, err
 	}
 	defer server.Close()
 	vm := api.VM{ID: "vm-1", Address: address + "/w/vm-1"}
 	client := httpworker.New(time.Second)
 	msg := platform.WorkerSync{Epoch: 1, Incarnation: 1, LeaseExpiry: platform.WorkerTime(time.Hour)}
 	for i := range tasks {
-		msg.Starts = append(msg.Starts, platform.TaskStart{Task: api.TaskID{Job: jobSpec(i, 1).ID}, Attempt: 1, Resources: taskSize, Payload: "appraise"})
+		msg.Starts = append(msg.Starts, platform.TaskStart{Task: api.TaskID{Job: jobSpec(i, 1).ID}, Attempt: 1, Resources: taskResources, Payload: "appraise"})
 	}
 	report, err := client.Sync(context.Background(), vm, msg)
 	if err != nil || len(report.Tasks) != tasks {
-		return exchange{}, errors.Newf("%d of %d tasks run: %v", len(report.Tasks), tasks, err)
+		return exchangeCost{}, errors.Newf("%d of %d tasks run: %v", len(report.Tasks), tasks, err)
 	}
 	msg.Starts = nil
 	before, err := writtenBytes()
 	if err != nil {
-		return exchange{}, err
+		return exchangeCost{}, err
 	}
-	seconds, err := processorTime(func() error {
+	seconds, err := measureCPUSeconds(func() error {
 		for range count {
 			if _, err := client.Sync(context.Background(), vm, msg); err != nil {
 				return err
@@ -68,97 +69,97 @@
 		return nil
 	})
 	if err != nil {
-		return exchange{}, err
+		return exchangeCost{}, err
 	}
 	after, err := writtenBytes()
-	return exchange{bytes: (after - before) / count, time: seconds * microseconds / count}, err
+	return exchangeCost{bytes: (after - before) / count, cpuMicros: seconds * microsPerSecond / count}, err
 }
 
-// holderRig surrounds the worker controller with parts that cost next to
-// nothing: VMs that report what they were given at once.
-type holderRig struct {
-	machine *cell.Machine
-	vms     []api.VM
-	reports map[api.VMID]platform.WorkerReport
-	clock   atomic.Int64
-	count   atomic.Int64
+// controllerHarness implements the dependencies of the worker controller at almost
+// no cost: its VMs answer at once with a prepared report.
+type controllerHarness struct {
+	machine       *cell.Machine
+	vms           []api.VM
+	reports       map[api.VMID]platform.WorkerReport
+	clock         atomic.Int64
+	exchangeCount atomic.Int64
 }
 
-func (r *holderRig) Cell(time.Time) (api.Epoch, bool, time.Time) { return 1, true, time.Time{} }
-func (r *holderRig) Inc(string, api.Reason)                      {}
-func (r *holderRig) VMs() []api.VM                               { return r.vms }
-func (r *holderRig) Reported(api.VMID, platform.TaskReport)      {}
-func (r *holderRig) Ended(api.VMID, api.TaskID, cell.Ending)     {}
-func (r *holderRig) Throttles(api.VMID) []platform.TaskStop      { return nil }
+func (h *controllerHarness) Cell(time.Time) (api.Epoch, bool, time.Time) { return 1, true, time.Time{} }
+func (h *controllerHarness) Inc(string, api.Reason)                      {}
+func (h *controllerHarness) VMs() []api.VM                               { return h.vms }
+func (h *controllerHarness) Reported(api.VMID, platform.TaskReport)      {}
+func (h *controllerHarness) Ended(api.VMID, api.TaskID, cell.Ending)     {}
+func (h *controllerHarness) Throttles(api.VMID) []platform.TaskStop      { return nil }
 
 // Sync implements platform.Worker.
-func (r *holderRig) Sync(_ context.Context, vm api.VM, _ platform.WorkerSync) (platform.WorkerReport, error) {
-	r.count.Add(1)
-	report := r.reports[vm.ID]
-	report.Clock = platform.WorkerTime(r.clock.Add(1))
+func (h *controllerHarness) Sync(_ context.Context, vm api.VM, _ platform.WorkerSync) (platform.WorkerReport, error) {
+	h.exchangeCount.Add(1)
+	report := h.reports[vm.ID]
+	report.Clock = platform.WorkerTime(h.clock.Add(1))
 	return report, nil
 }
 
-// newHolderRig returns a rig whose VMs run so many tasks each.
-func newHolderRig(vms, tasks int) (*holderRig, error) {
+// newControllerHarness returns a harness whose VMs each run the given number of tasks.
+func newControllerHarness(vms, tasks int) (*controllerHarness, error) {
 	s, err := newCellState(vms)
 	if err != nil {
 		return nil, err
 	}
-	r := &holderRig{machine: s.machine, reports: make(map[api.VMID]platform.WorkerReport)}
+	h := &controllerHarness{machine: s.machine, reports: make(map[api.VMID]platform.WorkerReport)}
 	for i := range vms {
 		report := platform.WorkerReport{VM: vmName(i), Incarnation: 1}
 		var starts []cell.Start
 		for range tasks {
-			one, err := s.submit(1)
+			jobStarts, err := s.submitJob(1)
 			if err != nil {
 				return nil, err
 			}
-			one[0].VM = vmName(i)
-			starts = append(starts, one...)
-			report.Tasks = append(report.Tasks, platform.TaskReport{Task: one[0].Task, Attempt: 1, State: platform.RunRunning, Usage: taskSize})
+			jobStarts[0].VM = vmName(i)
+			starts = append(starts, jobStarts...)
+			report.Tasks = append(report.Tasks, platform.TaskReport{Task: jobStarts[0].Task, Attempt: 1, State: platform.RunRunning, Usage: taskResources})
 		}
-		if err := s.start(starts, cell.ReportRunning); err != nil {
+		if err := s.startTasks(starts, cell.ReportRunning); err != nil {
 			return nil, err
 		}
-		r.reports[report.VM] = report
-		r.vms = append(r.vms, api.VM{ID: report.VM, Address: "x"})
+		h.reports[report.VM] = report
+		h.vms = append(h.vms, api.VM{ID: report.VM, Address: "x"})
 	}
-	return r, nil
+	return h, nil
 }
 
-// holderTime is the processor time that the worker controller spends on one
-// exchange, without the adapter and the connection.
-func holderTime(tasks int) (float64, error) {
+// measureControllerExchange returns the processor time, in us, that the worker
+// controller spends on one exchange, without the adapter and the connection.
+func measureControllerExchange(tasks int) (float64, error) {
 	const vms = 200
-	r, err := newHolderRig(vms, tasks)
+	h, err := newControllerHarness(vms, tasks)
 	if err != nil {
 		return 0, err
 	}
 	cfg := worker.DefaultConfig(lease.Params{Lease: time.Hour})
 	cfg.Interval = cfg.Tick
-	c := worker.New(cfg, r.machine, direct{machine: r.machine}, r, r, r, r, r, quietLog(), time.Now)
+	c := worker.New(cfg, h.machine, directProposer{machine: h.machine}, h, h, h, h, h, nopLogger(), time.Now)
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer cancel()
 	var running sync.WaitGroup
-	seconds, err := processorTime(func() error {
+	seconds, err := measureCPUSeconds(func() error {
 		running.Go(func() { _ = c.Run(ctx) })
 		running.Wait()
 		return nil
 	})
-	if err != nil || r.count.Load() == 0 {
+	if err != nil || h.exchangeCount.Load() == 0 {
 		return 0, errors.Newf("no exchanges: %v", err)
 	}
-	return seconds * microseconds / float64(r.count.Load()), nil
+	return seconds * microsPerSecond / float64(h.exchangeCount.Load()), nil
 }
 
-func workerExchanges() []Measurement {
-	both := newMemo(exchanges)
+func workerExchangeMeasurements() []Measurement {
+	cache := newRunCache(measureExchanges)
 	sizes := []int{5, 10, 25, 50}
-	x := "tasks on the worker VM"
+	xLabel := "tasks on the worker VM"
 	return []Measurement{
-		{Name: "exchange_time", XLabel: x, YLabel: "processor time of both ends, us", Sizes: sizes, Run: both.read(func(e exchange) float64 { return e.time })},
-		{Name: "exchange_bytes", XLabel: x, YLabel: "bytes both ways", Sizes: sizes, Run: both.read(func(e exchange) float64 { return e.bytes })},
-		{Name: "exchange_holder_time", XLabel: x, YLabel: "processor time of the holder's work, us", Sizes: sizes, Run: holderTime},
+		{Name: "exchange_time", XLabel: xLabel, YLabel: "processor time of both ends, us", Sizes: sizes, Run: cache.costFunc(func(e exchangeCost) float64 { return e.cpuMicros })},
+		{Name: "exchange_bytes", XLabel: xLabel, YLabel: "bytes both ways", Sizes: sizes, Run: cache.costFunc(func(e exchangeCost) float64 { return e.bytes })},
+		{Name: "exchange_holder_time", XLabel: xLabel, YLabel: "processor time of the holder's work, us", Sizes: sizes, Run: measureControllerExchange},
 	}
 }
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -1,6 +1,6 @@
-// Package capacity works out what each role costs at a size that can't be
-// run here, from measurements at sizes that can: it measures a cost at
-// several sizes, fits a straight line and says how far the points lie off it.
+// Package capacity estimates what each role costs at sizes too large to run on one
+// machine. It measures a cost at several smaller sizes, fits a straight line and
+// reports how far the points deviate from it.
 package capacity
 
 import (
@@ -8,7 +8,7 @@
 	"math"
 )
 
-// MinPoints is the fewest sizes that a fit is made from.
+// MinPoints is the minimum number of sizes for a fit.
 const MinPoints = 4
 
 // Point is one measurement.
@@ -21,7 +21,7 @@
 type Series struct {
 	Name   string
 	XLabel string
-	YLabel string // with the unit
+	YLabel string // includes the unit
 	Points []Point
 }
 
@@ -29,13 +29,13 @@
 type Fit struct {
 	Slope     float64
 	Intercept float64
-	// Residual is the largest distance of a point from the line, as a share
-	// of the largest cost measured.
+	// Residual is the maximum vertical distance of a point from the line, as a
+	// share of the largest measured cost.
 	Residual float64
 }
 
-// NewFit returns the least-squares line through s. It fails for fewer than
-// MinPoints sizes or when all sizes are equal.
+// NewFit returns the least-squares line through s. It fails if s has fewer than
+// MinPoints points or all sizes are equal.
 func NewFit(s Series) (Fit, error) {
 	if len(s.Points) < MinPoints {
 		return Fit{}, fmt.Errorf("series %s has %d points, want at least %d", s.Name, len(s.Points), MinPoints)
@@ -59,9 +59,9 @@
 	f := Fit{Slope: sxy / sxx}
 	f.Intercept = meanY - f.Slope*meanX
 	for _, p := range s.Points {
-		off := math.Abs(p.Cost - f.At(p.Size))
+		distance := math.Abs(p.Cost - f.At(p.Size))
 		if largest > 0 {
-			f.Residual = math.Max(f.Residual, off/largest)
+			f.Residual = math.Max(f.Residual, distance/largest)
 		}
 	}
 	return f, nil
--- a/internal/capacity/fit_test.go
+++ b/internal/capacity/fit_test.go
@@ -12,13 +12,13 @@
 		t.Fatal(err)
 	}
 	if math.Abs(f.Slope-2) > 1e-9 || math.Abs(f.Intercept-3) > 1e-9 || f.Residual > 1e-9 {
-		t.Fatalf("got %+v", f)
+		t.Fatalf("got %+v, want slope 2, intercept 3 and residual 0", f)
 	}
 	s.Points[3].Cost = 22
 	if f, _ = NewFit(s); f.Residual < 0.1 {
-		t.Fatalf("a point far off the line gives residual %f", f.Residual)
+		t.Fatalf("residual %f with a point far off the line, want at least 0.1", f.Residual)
 	}
 	if _, err = NewFit(Series{Points: s.Points[:3]}); err == nil {
-		t.Fatal("three points were taken")
+		t.Fatal("fit of three points succeeded")
 	}
 }
--- a/internal/capacity/heartbeat.go
+++ b/internal/capacity/heartbeat.go
@@ -19,26 +19,26 @@
 )
 
 const (
-	heartbeatEvery = 100 * time.Millisecond
-	heartbeatsFor  = time.Second
-	// grantsHold is in proportion to heartbeatEvery as the default settings
-	// have it.
-	grantsHold = 6 * heartbeatEvery
+	heartbeatInterval = 100 * time.Millisecond
+	heartbeatDuration = time.Second
+	// grantHold has the same ratio to the heartbeat interval as in the default
+	// settings.
+	grantHold = 6 * heartbeatInterval
 )
 
-// granter asks for grants while cut is set: the log is out of reach.
+// granter requests grants while logUnreachable is set.
 type granter struct {
-	who ownership.Identity
-	cut *atomic.Bool
+	self           ownership.Identity
+	logUnreachable *atomic.Bool
 }
 
 // GrantRequest implements member.Granter.
 func (g granter) GrantRequest() ownership.GrantRequest {
-	return ownership.GrantRequest{Process: g.who, Version: 1000}
+	return ownership.GrantRequest{Process: g.self, Version: 1000}
 }
 
 // NeedsGrants implements member.Granter.
-func (g granter) NeedsGrants(time.Time) bool { return g.cut.Load() }
+func (g granter) NeedsGrants(time.Time) bool { return g.logUnreachable.Load() }
 
 // HandleGrantRequest implements member.Granter.
 func (granter) HandleGrantRequest(ownership.GrantRequest, time.Time) bool { return true }
@@ -46,126 +46,131 @@
 // RecordGrant implements member.Granter.
 func (granter) RecordGrant(ownership.Identity, time.Time) {}
 
-func quietLog() *logrus.Logger {
+// nopLogger returns a logger that discards everything.
+func nopLogger() *logrus.Logger {
 	return logging.Nop().Logger
 }
 
-// speaker is one entry VM's part of the heartbeats.
-type speaker struct {
+// heartbeatNode is the part of an entry VM that exchanges heartbeats.
+type heartbeatNode struct {
 	service  *member.Service
 	client   *peer.Client
 	server   *peer.Server
 	listener net.Listener
 }
 
-// newSpeakers opens the listeners of a roster and makes the services.
-func newSpeakers(members int, cut *atomic.Bool) ([]*speaker, error) {
+// newHeartbeatNodes opens the listeners of all members of a roster and creates
+// their nodes.
+func newHeartbeatNodes(members int, logUnreachable *atomic.Bool) ([]*heartbeatNode, error) {
 	roster := make([]ownership.Member, members)
-	speakers := make([]*speaker, members)
-	for i := range speakers {
+	nodes := make([]*heartbeatNode, members)
+	for i := range nodes {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			closeSpeakers(speakers[:i])
+			closeHeartbeatNodes(nodes[:i])
 			return nil, errors.Wrap(err, "heartbeats")
 		}
 		roster[i] = ownership.Member{Process: identity(i), Address: l.Addr().String()}
-		speakers[i] = newSpeaker(i, l, cut, func() []ownership.Member { return roster })
+		nodes[i] = newHeartbeatNode(i, l, logUnreachable, func() []ownership.Member { return roster })
 	}
-	return speakers, nil
+	return nodes, nil
 }
 
-func newSpeaker(i int, l net.Listener, cut *atomic.Bool, roster func() []ownership.Member) *speaker {
-	log := logrus.NewEntry(quietLog())
-	s := &speaker{listener: l, client: peer.NewClient(peer.DefaultLimits(), nil), server: peer.NewServer(peer.DefaultLimits(), log)}
-	s.service = member.New(member.Config{
+func newHeartbeatNode(i int, l net.Listener, logUnreachable *atomic.Bool, roster func() []ownership.Member) *heartbeatNode {
+	log := logrus.NewEntry(nopLogger())
+	n := &heartbeatNode{listener: l, client: peer.NewClient(peer.DefaultLimits(), nil), server: peer.NewServer(peer.DefaultLimits(), log)}
+	n.service = member.New(member.Config{
 		Self: identity(i), DataCentre: "dc-a", Address: l.Addr().String(),
-		Timing: member.Timing{Heartbeat: heartbeatEvery}, Hold: grantsHold, Caller: s.client, Roster: roster,
+		Timing: member.Timing{Heartbeat: heartbeatInterval}, Hold: grantHold, Caller: n.client, Roster: roster,
 		Applied:   func() platform.Offset { return 100_000 },
 		FreeSlots: func() []member.ServiceFree { return []member.ServiceFree{{Service: "torquebench", Free: 44}} },
 		Random:    rand.New(rand.NewPCG(1, uint64(i))),
 	})
-	s.service.Bind(granter{identity(i), cut})
-	return s
+	n.service.Bind(granter{identity(i), logUnreachable})
+	return n
 }
 
-func closeSpeakers(speakers []*speaker) {
-	ended, cancel := context.WithCancel(context.Background())
+func closeHeartbeatNodes(nodes []*heartbeatNode) {
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	for _, s := range speakers {
-		s.client.Close()
-		_ = s.server.Shutdown(ended)
-		_ = s.listener.Close()
+	for _, n := range nodes {
+		n.client.Close()
+		_ = n.server.Shutdown(cancelled)
+		_ = n.listener.Close()
 	}
 }
 
-// round is the cost of one heartbeat round at one entry VM, the answers that
-// it gives included.
-type round struct {
-	bytes float64 // sent by it
-	time  float64 // processor time, us
+// roundCost is the cost of one heartbeat round at one entry VM, including its
+// answers to the others.
+type roundCost struct {
+	bytes     float64 // bytes sent by the entry VM
+	cpuMicros float64 // processor time
 }
 
-// rounds are those with the log within and out of reach.
-type rounds struct{ normal, cut round }
+// roundCosts are the costs of a round while the log is reachable and while it is
+// not.
+type roundCosts struct{ normal, logUnreachable roundCost }
 
-func heartbeatRounds(members int) (rounds, error) {
-	var cut atomic.Bool
-	speakers, err := newSpeakers(members, &cut)
+// measureHeartbeats measures the heartbeat rounds of a roster of members.
+func measureHeartbeats(members int) (roundCosts, error) {
+	var logUnreachable atomic.Bool
+	nodes, err := newHeartbeatNodes(members, &logUnreachable)
 	if err != nil {
-		return rounds{}, err
+		return roundCosts{}, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	defer func() {
 		cancel()
 		running.Wait()
-		closeSpeakers(speakers)
+		closeHeartbeatNodes(nodes)
 	}()
-	for _, s := range speakers {
-		if err := s.server.Register(member.ServiceName, s.service.Handler()); err != nil {
-			return rounds{}, err
+	for _, n := range nodes {
+		if err := n.server.Register(member.ServiceName, n.service.Handler()); err != nil {
+			return roundCosts{}, err
 		}
-		go func() { _ = s.server.Serve(s.listener) }() // ends with closeSpeakers
-		running.Go(func() { _ = s.service.Run(ctx) })
+		go func() { _ = n.server.Serve(n.listener) }() // ends with closeHeartbeatNodes
+		running.Go(func() { _ = n.service.Run(ctx) })
 	}
-	time.Sleep(heartbeatsFor / 3) // most connections are made
-	normal, err := roundUsage(members)
+	time.Sleep(heartbeatDuration / 3) // until most connections are open
+	normal, err := measureRound(members)
 	if err != nil {
-		return rounds{}, err
+		return roundCosts{}, err
 	}
-	cut.Store(true)
-	time.Sleep(heartbeatsFor / 3) // the connections that lack are made
-	without, err := roundUsage(members)
-	return rounds{normal: normal, cut: without}, err
+	logUnreachable.Store(true)
+	time.Sleep(heartbeatDuration / 3) // until the missing connections are open
+	unreachable, err := measureRound(members)
+	return roundCosts{normal: normal, logUnreachable: unreachable}, err
 }
 
-// roundUsage returns what the rounds from now on cost.
-func roundUsage(members int) (round, error) {
-	bytes, seconds, err := usage(heartbeatsFor)
-	count := float64(members) * heartbeatsFor.Seconds() / heartbeatEvery.Seconds()
-	return round{bytes: bytes / count, time: seconds * microseconds / count}, err
+// measureRound returns the average cost of a round over heartbeatDuration.
+func measureRound(members int) (roundCost, error) {
+	bytes, seconds, err := measureUsage(heartbeatDuration)
+	count := float64(members) * heartbeatDuration.Seconds() / heartbeatInterval.Seconds()
+	return roundCost{bytes: bytes / count, cpuMicros: seconds * microsPerSecond / count}, err
 }
 
-// usage returns the bytes written and the processor time used in a while.
-func usage(while time.Duration) (bytes, seconds float64, err error) {
-	wroteBefore, err := writtenBytes()
+// measureUsage returns the bytes written and the processor seconds used by this
+// process over a duration.
+func measureUsage(duration time.Duration) (bytes, seconds float64, err error) {
+	bytesBefore, err := writtenBytes()
 	if err != nil {
 		return 0, 0, err
 	}
-	before := processorSeconds()
-	time.Sleep(while)
-	seconds = processorSeconds() - before
-	wrote, err := writtenBytes()
-	return wrote - wroteBefore, seconds, err
+	secondsBefore := cpuSeconds()
+	time.Sleep(duration)
+	seconds = cpuSeconds() - secondsBefore
+	bytesAfter, err := writtenBytes()
+	return bytesAfter - bytesBefore, seconds, err
 }
 
-func heartbeats() []Measurement {
-	both := newMemo(heartbeatRounds)
-	x := "entry VMs in the roster"
+func heartbeatMeasurements() []Measurement {
+	cache := newRunCache(measureHeartbeats)
+	xLabel := "entry VMs in the roster"
 	return []Measurement{
-		{Name: "heartbeat_bytes", XLabel: x, YLabel: "bytes sent in a round by one entry VM", Sizes: rosterSizes, Run: both.read(func(r rounds) float64 { return r.normal.bytes })},
-		{Name: "heartbeat_time", XLabel: x, YLabel: "processor time of a round at one entry VM, us", Sizes: rosterSizes, Run: both.read(func(r rounds) float64 { return r.normal.time })},
-		{Name: "heartbeat_cut_bytes", XLabel: x + ", the log out of reach", YLabel: "bytes sent in a round by one entry VM", Sizes: rosterSizes, Run: both.read(func(r rounds) float64 { return r.cut.bytes })},
-		{Name: "heartbeat_cut_time", XLabel: x + ", the log out of reach", YLabel: "processor time of a round at one entry VM, us", Sizes: rosterSizes, Run: both.read(func(r rounds) float64 { return r.cut.time })},
+		{Name: "heartbeat_bytes", XLabel: xLabel, YLabel: "bytes sent in a round by one entry VM", Sizes: rosterSizes, Run: cache.costFunc(func(r roundCosts) float64 { return r.normal.bytes })},
+		{Name: "heartbeat_time", XLabel: xLabel, YLabel: "processor time of a round at one entry VM, us", Sizes: rosterSizes, Run: cache.costFunc(func(r roundCosts) float64 { return r.normal.cpuMicros })},
+		{Name: "heartbeat_cut_bytes", XLabel: xLabel + ", the log out of reach", YLabel: "bytes sent in a round by one entry VM", Sizes: rosterSizes, Run: cache.costFunc(func(r roundCosts) float64 { return r.logUnreachable.bytes })},
+		{Name: "heartbeat_cut_time", XLabel: xLabel + ", the log out of reach", YLabel: "processor time of a round at one entry VM, us", Sizes: rosterSizes, Run: cache.costFunc(func(r roundCosts) float64 { return r.logUnreachable.cpuMicros })},
 	}
 }
--- a/internal/capacity/idle.go
+++ b/internal/capacity/idle.go
@@ -13,82 +13,83 @@
 )
 
 const (
-	settleAlone    = 2500 * time.Millisecond // until one entry VM holds its shards
-	settleTogether = 6500 * time.Millisecond // until several have shared them out
-	// idleFor is a whole interval of the exchanges with worker VMs, which come
-	// close together.
-	idleFor = 2500 * time.Millisecond
+	singleEntrySettleTime = 2500 * time.Millisecond // until one entry VM holds all shards
+	multiEntrySettleTime  = 6500 * time.Millisecond // until several entry VMs have divided the shards among themselves
+	// idleDuration is one full interval of the exchanges with worker VMs. A part of
+	// it wouldn't be representative, because the exchanges come in a burst.
+	idleDuration = 2500 * time.Millisecond
 )
 
-// idle is what entry processes without any work cost.
-type idle struct {
-	heap  float64 // bytes, with stacks
-	bytes float64 // a second, on all connections
-	time  float64 // processor milliseconds a second, stand-ins included
-	join  float64 // appends until all have joined and the shards are held
-	calls float64 // appends and reads of the log a second
+// idleCost is the cost of entry processes without any work.
+type idleCost struct {
+	heapBytes         float64 // includes stacks
+	bytesPerSecond    float64 // on all connections
+	cpuMsPerSecond    float64 // processor time, stand-ins included
+	joinAppends       float64 // appends until all entry processes have joined and the shards are held
+	logCallsPerSecond float64 // appends to and reads of the log
 }
 
-// idleSite runs entry processes of one data centre without callers.
-func idleSite(entries, vms int) (idle, error) {
-	before := liveBytes()
+// measureIdle returns the cost of entry processes of one data centre without
+// callers.
+func measureIdle(entries, vms int) (idleCost, error) {
+	before := heapAndStackBytes()
 	s, err := site.Start(site.Config{
 		DataCentres: []api.DataCentre{"dc-a"}, VMsPerDataCentre: vms, VMsPerRack: 6, Capacity: vmSize,
 	})
 	if err != nil {
-		return idle{}, err
+		return idleCost{}, err
 	}
 	defer s.Close()
-	all, err := s.EntrySettings(entries)
+	entrySettings, err := s.EntrySettings(entries)
 	if err != nil {
-		return idle{}, err
+		return idleCost{}, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	errs := make([]error, len(all))
-	for i, settings := range all {
-		node, err := entry.New(settings, quietLog())
+	errs := make([]error, len(entrySettings))
+	for i, settings := range entrySettings {
+		node, err := entry.New(settings, nopLogger())
 		if err != nil {
 			cancel()
 			running.Wait()
-			return idle{}, err
+			return idleCost{}, err
 		}
 		running.Go(func() { errs[i] = node.Run(ctx) })
 	}
 	if entries > 1 {
-		time.Sleep(settleTogether)
+		time.Sleep(multiEntrySettleTime)
 	} else {
-		time.Sleep(settleAlone)
+		time.Sleep(singleEntrySettleTime)
 	}
-	settled := s.Log.Stats()
-	bytes, seconds, err := usage(idleFor)
-	last := s.Log.Stats()
-	got := idle{
-		heap:  liveBytes() - before,
-		bytes: bytes / idleFor.Seconds(),
-		time:  seconds * milliseconds / idleFor.Seconds(),
-		join:  float64(settled.Appends),
-		calls: float64(last.AppendCalls+last.Reads-settled.AppendCalls-settled.Reads) / idleFor.Seconds(),
+	statsBefore := s.Log.Stats()
+	bytes, seconds, err := measureUsage(idleDuration)
+	statsAfter := s.Log.Stats()
+	cost := idleCost{
+		heapBytes:         heapAndStackBytes() - before,
+		bytesPerSecond:    bytes / idleDuration.Seconds(),
+		cpuMsPerSecond:    seconds * msPerSecond / idleDuration.Seconds(),
+		joinAppends:       float64(statsBefore.Appends),
+		logCallsPerSecond: float64(statsAfter.AppendCalls+statsAfter.Reads-statsBefore.AppendCalls-statsBefore.Reads) / idleDuration.Seconds(),
 	}
 	cancel()
 	running.Wait()
-	return got, errors.Join(append(errs, err)...)
+	return cost, errors.Join(append(errs, err)...)
 }
 
-func idleEntries() []Measurement {
-	entries := newMemo(func(size int) (idle, error) { return idleSite(size, 0) })
-	vms := newMemo(func(size int) (idle, error) { return idleSite(1, size) })
+func idleMeasurements() []Measurement {
+	entries := newRunCache(func(size int) (idleCost, error) { return measureIdle(size, 0) })
+	vms := newRunCache(func(size int) (idleCost, error) { return measureIdle(1, size) })
 	sizes := []int{1, 2, 4, 8}
 	vmSizes := []int{25, 50, 100, 200}
-	x, holder := "idle entry processes", "idle worker VMs of one holder"
+	xLabel, holder := "idle entry processes", "idle worker VMs of one holder"
 	return []Measurement{
-		{Name: "idle_entry_time", XLabel: x, YLabel: "processor ms a second, with the stand-ins", Sizes: sizes, Run: entries.read(func(i idle) float64 { return i.time })},
-		{Name: "idle_entry_bytes", XLabel: x, YLabel: "bytes a second, both ways", Sizes: sizes, Run: entries.read(func(i idle) float64 { return i.bytes })},
-		{Name: "idle_entry_heap", XLabel: x, YLabel: "bytes", Sizes: sizes, Run: entries.read(func(i idle) float64 { return i.heap })},
-		{Name: "join_appends", XLabel: "entry processes that join", YLabel: "appends", Sizes: sizes, Run: entries.read(func(i idle) float64 { return i.join })},
-		{Name: "idle_log_calls", XLabel: x, YLabel: "calls of the log a second", Sizes: sizes, Run: entries.read(func(i idle) float64 { return i.calls })},
-		{Name: "idle_vm_time", XLabel: holder, YLabel: "processor ms a second, with the stand-ins", Sizes: vmSizes, Run: vms.read(func(i idle) float64 { return i.time })},
-		{Name: "idle_vm_bytes", XLabel: holder, YLabel: "bytes a second, both ways", Sizes: vmSizes, Run: vms.read(func(i idle) float64 { return i.bytes })},
-		{Name: "idle_vm_heap", XLabel: holder, YLabel: "bytes", Sizes: vmSizes, Run: vms.read(func(i idle) float64 { return i.heap })},
+		{Name: "idle_entry_time", XLabel: xLabel, YLabel: "processor ms a second, with the stand-ins", Sizes: sizes, Run: entries.costFunc(func(i idleCost) float64 { return i.cpuMsPerSecond })},
+		{Name: "idle_entry_bytes", XLabel: xLabel, YLabel: "bytes a second, both ways", Sizes: sizes, Run: entries.costFunc(func(i idleCost) float64 { return i.bytesPerSecond })},
+		{Name: "idle_entry_heap", XLabel: xLabel, YLabel: "bytes", Sizes: sizes, Run: entries.costFunc(func(i idleCost) float64 { return i.heapBytes })},
+		{Name: "join_appends", XLabel: "entry processes that join", YLabel: "appends", Sizes: sizes, Run: entries.costFunc(func(i idleCost) float64 { return i.joinAppends })},
+		{Name: "idle_log_calls", XLabel: xLabel, YLabel: "calls of the log a second", Sizes: sizes, Run: entries.costFunc(func(i idleCost) float64 { return i.logCallsPerSecond })},
+		{Name: "idle_vm_time", XLabel: holder, YLabel: "processor ms a second, with the stand-ins", Sizes: vmSizes, Run: vms.costFunc(func(i idleCost) float64 { return i.cpuMsPerSecond })},
+		{Name: "idle_vm_bytes", XLabel: holder, YLabel: "bytes a second, both ways", Sizes: vmSizes, Run: vms.costFunc(func(i idleCost) float64 { return i.bytesPerSecond })},
+		{Name: "idle_vm_heap", XLabel: holder, YLabel: "bytes", Sizes: vmSizes, Run: vms.costFunc(func(i idleCost) float64 { return i.heapBytes })},
 	}
 }
--- a/internal/capacity/journal.go
+++ b/internal/capacity/journal.go
@@ -14,71 +14,73 @@
 	"github.com/skylarklock/skylarklock/internal/reqkey"
 )
 
-func journalStarts() []Measurement {
-	bursts := newMemo(startBurst)
+func journalStartMeasurements() []Measurement {
+	cache := newRunCache(measureBurst)
 	rates := []int{500, 1000, 2500, 5000}
-	x := "starts a second, each seen running and ended"
-	late := "starts in the log, each seen running and ended"
-	inLog := []int{1000, 2000, 5000, 10_000}
-	replayed := func(cost func(burst) float64) func(int) (float64, error) {
-		read := bursts.read(cost)
-		return func(size int) (float64, error) { return read(size / int(burstFor.Seconds())) }
+	xLabel := "starts a second, each seen running and ended"
+	replayLabel := "starts in the log, each seen running and ended"
+	replaySizes := []int{1000, 2000, 5000, 10_000}
+	replayCost := func(cost func(burstCost) float64) func(int) (float64, error) {
+		costOf := cache.costFunc(cost)
+		return func(size int) (float64, error) { return costOf(size / int(burstDuration.Seconds())) }
 	}
 	return []Measurement{
-		{Name: "log_start_appends", XLabel: x, YLabel: "appends a second", Sizes: rates, Run: bursts.read(func(b burst) float64 { return b.appends })},
-		{Name: "log_start_bytes", XLabel: x, YLabel: "bytes of log a second", Sizes: rates, Run: bursts.read(func(b burst) float64 { return b.bytes })},
-		{Name: "log_start_time", XLabel: x, YLabel: "processor seconds a second, holder and log", Sizes: rates, Run: bursts.read(func(b burst) float64 { return b.holder })},
-		{Name: "replay_time", XLabel: late, YLabel: "processor time of reader and log, ms", Sizes: inLog, Run: replayed(func(b burst) float64 { return b.replayTime })},
-		{Name: "replay_bytes", XLabel: late, YLabel: "bytes to and from a reader", Sizes: inLog, Run: replayed(func(b burst) float64 { return b.replayBytes })},
-		{Name: "log_wait", XLabel: "ms between appends that the budget allows", YLabel: "mean wait of an entry until it is read back, ms", Sizes: []int{20, 100, 200, 400}, Run: appendWait},
+		{Name: "log_start_appends", XLabel: xLabel, YLabel: "appends a second", Sizes: rates, Run: cache.costFunc(func(b burstCost) float64 { return b.appendsPerSecond })},
+		{Name: "log_start_bytes", XLabel: xLabel, YLabel: "bytes of log a second", Sizes: rates, Run: cache.costFunc(func(b burstCost) float64 { return b.bytesPerSecond })},
+		{Name: "log_start_time", XLabel: xLabel, YLabel: "processor seconds a second, holder and log", Sizes: rates, Run: cache.costFunc(func(b burstCost) float64 { return b.cpuPerSecond })},
+		{Name: "replay_time", XLabel: replayLabel, YLabel: "processor time of reader and log, ms", Sizes: replaySizes, Run: replayCost(func(b burstCost) float64 { return b.replayMs })},
+		{Name: "replay_bytes", XLabel: replayLabel, YLabel: "bytes to and from a reader", Sizes: replaySizes, Run: replayCost(func(b burstCost) float64 { return b.replayBytes })},
+		{Name: "log_wait", XLabel: "ms between appends that the budget allows", YLabel: "mean wait of an entry until it is read back, ms", Sizes: []int{20, 100, 200, 400}, Run: measureAppendWait},
 	}
 }
 
-// marking is what marked requests cost the log.
-type marking struct {
+// markingCost is the cost of marked requests.
+type markingCost struct {
 	appends float64
-	bytes   float64 // of log
-	time    float64 // processor time of the entry VM and the log, ms
+	bytes   float64 // bytes appended to the log
+	cpuMs   float64 // processor time of the entry VM and the log
 }
 
-// markRequests journals marks and outcomes of requests, many at a time.
-func markRequests(count int) (marking, error) {
-	const atOnce = 64
-	rig, err := newLogRig()
+// measureMarking journals the marks and outcomes of count requests, many of them
+// concurrently.
+func measureMarking(count int) (markingCost, error) {
+	const concurrency = 64
+	harness, err := newLogHarness()
 	if err != nil {
-		return marking{}, err
+		return markingCost{}, err
 	}
-	defer rig.close()
+	defer harness.close()
 	machine := reqkey.NewStateMachine()
-	entry, err := rig.follow("dc-a-entry0", appendBudget, machine)
+	replica, err := harness.startReplica("dc-a-entry0", holderAppendsPerSecond, machine)
 	if err != nil {
-		return marking{}, err
+		return markingCost{}, err
 	}
-	defer entry.close()
-	keys := reqkey.NewKeys(machine, entry, journal.Origin{Node: "dc-a-entry0", Incarnation: 1}, reqkey.DefaultMaxBodyBytes)
-	before := entry.Stats()
+	defer replica.close()
+	keys := reqkey.NewKeys(machine, replica, journal.Origin{Node: "dc-a-entry0", Incarnation: 1}, reqkey.DefaultMaxBodyBytes)
+	before := replica.Stats()
 	var requests sync.WaitGroup
-	errs := make([]error, atOnce)
-	seconds, err := processorTime(func() error {
-		for worker := range atOnce {
+	errs := make([]error, concurrency)
+	seconds, err := measureCPUSeconds(func() error {
+		for worker := range concurrency {
 			requests.Go(func() {
-				for i := worker; i < count && errs[worker] == nil; i += atOnce {
-					errs[worker] = markAndSettle(keys, i)
+				for i := worker; i < count && errs[worker] == nil; i += concurrency {
+					errs[worker] = markAndSettleRequest(keys, i)
 				}
 			})
 		}
 		requests.Wait()
 		return errors.Join(errs...)
 	})
-	after := entry.Stats()
-	return marking{
+	after := replica.Stats()
+	return markingCost{
 		appends: float64(after.Appends - before.Appends),
 		bytes:   float64(after.AppendBytes - before.AppendBytes),
-		time:    seconds * milliseconds,
+		cpuMs:   seconds * msPerSecond,
 	}, err
 }
 
-func markAndSettle(keys *reqkey.Keys, i int) error {
+// markAndSettleRequest journals the mark and the outcome of request number i.
+func markAndSettleRequest(keys *reqkey.Keys, i int) error {
 	ctx := context.Background()
 	mark, err := keys.Mark(ctx, requestID(i), uint64(i))
 	if err != nil {
@@ -88,29 +90,29 @@
 	return keys.RecordOutcome(ctx, mark, answer, nil)
 }
 
-func journalRequests() []Measurement {
-	marked := newMemo(markRequests)
+func journalRequestMeasurements() []Measurement {
+	cache := newRunCache(measureMarking)
 	sizes := []int{1000, 2000, 4000, 8000}
-	x := "marked requests, 64 at a time"
+	xLabel := "marked requests, 64 at a time"
 	return []Measurement{
-		{Name: "log_mark_appends", XLabel: x, YLabel: "appends", Sizes: sizes, Run: marked.read(func(m marking) float64 { return m.appends })},
-		{Name: "log_mark_bytes", XLabel: x, YLabel: "bytes of log", Sizes: sizes, Run: marked.read(func(m marking) float64 { return m.bytes })},
-		{Name: "log_mark_time", XLabel: x, YLabel: "processor time of entry VM and log, ms", Sizes: sizes, Run: marked.read(func(m marking) float64 { return m.time })},
+		{Name: "log_mark_appends", XLabel: xLabel, YLabel: "appends", Sizes: sizes, Run: cache.costFunc(func(m markingCost) float64 { return m.appends })},
+		{Name: "log_mark_bytes", XLabel: xLabel, YLabel: "bytes of log", Sizes: sizes, Run: cache.costFunc(func(m markingCost) float64 { return m.bytes })},
+		{Name: "log_mark_time", XLabel: xLabel, YLabel: "processor time of entry VM and log, ms", Sizes: sizes, Run: cache.costFunc(func(m markingCost) float64 { return m.cpuMs })},
 	}
 }
 
-// appendWait is the mean time from the proposal of an entry to its being read
-// back, when the budget allows an append only every so often. Starts come in
-// at a data centre's share of the peak.
-func appendWait(every int) (float64, error) {
-	const rate, while = 455, 3 * time.Second
-	rig, err := newLogRig()
+// measureAppendWait returns the mean time, in ms, from the proposal of an entry until
+// it is read back, if the append budget allows one append in intervalMs. Tasks are
+// submitted at one data centre's share of the peak rate.
+func measureAppendWait(intervalMs int) (float64, error) {
+	const rate, duration = 455, 3 * time.Second
+	harness, err := newLogHarness()
 	if err != nil {
 		return 0, err
 	}
-	defer rig.close()
-	machine := cell.New(firstEpoch{}, nil)
-	holder, err := rig.follow("holder", milliseconds/float64(every), machine)
+	defer harness.close()
+	machine := cell.New(fixedEpoch{}, nil)
+	holder, err := harness.startReplica("holder", msPerSecond/float64(intervalMs), machine)
 	if err != nil {
 		return 0, err
 	}
@@ -119,22 +121,22 @@
 		return 0, err
 	}
 	var proposals sync.WaitGroup
-	var total atomic.Int64
+	var totalWait atomic.Int64
 	var failed atomic.Pointer[error]
-	count := int(while / cycle)
+	count := int(duration / cycleInterval)
 	for i := range count {
 		proposals.Go(func() {
 			before := time.Now()
 			if err := holder.Propose(context.Background(), cell.SubmitEntry(jobSpec(i, rate/50), 0)); err != nil {
 				failed.Store(&err)
 			}
-			total.Add(int64(time.Since(before)))
+			totalWait.Add(int64(time.Since(before)))
 		})
-		time.Sleep(cycle)
+		time.Sleep(cycleInterval)
 	}
 	proposals.Wait()
 	if err := failed.Load(); err != nil {
 		return 0, *err
 	}
-	return time.Duration(total.Load()).Seconds() * milliseconds / float64(count), nil
+	return time.Duration(totalWait.Load()).Seconds() * msPerSecond / float64(count), nil
 }
--- a/internal/capacity/log.go
+++ b/internal/capacity/log.go
@@ -16,45 +16,46 @@
 )
 
 const (
-	stream       = "dc/dc-a"
-	appendBudget = 240.0 // appends a second of the data centre's holder: all but the config stream's share
-	cycle        = 20 * time.Millisecond
-	burstFor     = 2 * time.Second
-	readyWithin  = 5 * time.Second
+	journalStream          = "dc/dc-a"
+	holderAppendsPerSecond = 240.0 // append budget of the data centre's holder: all except the share of the config stream
+	cycleInterval          = 20 * time.Millisecond
+	burstDuration          = 2 * time.Second
+	readyTimeout           = 5 * time.Second
 )
 
-// logRig is a stand-in log on loopback.
-type logRig struct {
-	store   *logserver.Server
+// logHarness serves a stand-in log on loopback.
+type logHarness struct {
+	log     *logserver.Server
 	server  *http.Server
 	address string
 }
 
-func newLogRig() (*logRig, error) {
-	r := &logRig{store: logserver.New(logserver.Config{})}
+func newLogHarness() (*logHarness, error) {
+	h := &logHarness{log: logserver.New(logserver.Config{})}
 	var err error
-	r.server, r.address, err = serve(r.store.Handler())
-	return r, err
+	h.server, h.address, err = serve(h.log.Handler())
+	return h, err
 }
 
-func (r *logRig) close() { _ = r.server.Close() }
+func (h *logHarness) close() { _ = h.server.Close() }
 
-// follower is a running replica with its machine.
-type follower struct {
+// runningReplica is a replica whose Run is in progress, with its client.
+type runningReplica struct {
 	*journal.Replica
 	client *httplog.Client
 	cancel context.CancelFunc
-	ended  chan struct{}
+	done   chan struct{}
 }
 
-// follow starts a replica that feeds machines and waits until it is ready.
-func (r *logRig) follow(node api.NodeID, budget float64, machines ...journal.StateMachine) (*follower, error) {
-	client, err := httplog.NewClient(httplog.Config{BaseURL: "http://" + r.address})
+// startReplica starts a replica that applies entries to machines, and waits until
+// it is ready. The budget is in appends per second.
+func (h *logHarness) startReplica(node api.NodeID, budget float64, machines ...journal.StateMachine) (*runningReplica, error) {
+	client, err := httplog.NewClient(httplog.Config{BaseURL: "http://" + h.address})
 	if err != nil {
 		return nil, err
 	}
 	replica, err := journal.NewReplica(journal.Config{
-		Stream: stream, Log: client, StateMachines: machines, Logger: quietLog(),
+		Stream: journalStream, Log: client, StateMachines: machines, Logger: nopLogger(),
 		Origin:           journal.Origin{Node: node, Incarnation: 1},
 		AppendsPerSecond: func() float64 { return budget },
 	})
@@ -62,16 +63,17 @@
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &follower{Replica: replica, client: client, cancel: cancel, ended: make(chan struct{})}
+	f := &runningReplica{Replica: replica, client: client, cancel: cancel, done: make(chan struct{})}
 	go func() {
-		defer close(f.ended)
+		defer close(f.done)
 		_ = replica.Run(ctx)
 	}()
-	return f, f.await()
+	return f, f.awaitReady()
 }
 
-func (f *follower) await() error {
-	for deadline := time.Now().Add(readyWithin); !f.Ready(); time.Sleep(time.Millisecond) {
+// awaitReady waits until the replica is ready, and closes it if it isn't in time.
+func (f *runningReplica) awaitReady() error {
+	for deadline := time.Now().Add(readyTimeout); !f.Ready(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			f.close()
 			return errors.New("replica not ready")
@@ -80,109 +82,110 @@
 	return nil
 }
 
-func (f *follower) close() {
+func (f *runningReplica) close() {
 	f.cancel()
-	<-f.ended
+	<-f.done
 	f.client.Close()
 }
 
-// burst is what starts at a steady rate cost the log and its readers.
-type burst struct {
-	appends     float64 // a second
-	bytes       float64 // of log a second
-	holder      float64 // processor seconds a second, of the holder and the log's stand-in
-	replayTime  float64 // processor time of a late reader, ms
-	replayBytes float64 // that a late reader is sent
+// burstCost is the cost of starts at a steady rate, for the log and its readers.
+type burstCost struct {
+	appendsPerSecond float64
+	bytesPerSecond   float64 // bytes appended to the log
+	cpuPerSecond     float64 // processor seconds of the holder and the stand-in log
+	replayMs         float64 // processor time of a late reader and the log
+	replayBytes      float64 // bytes to and from a late reader
 }
 
-// startBurst journals starts at a rate, and that each was seen running and
-// ended, as the controllers do in their cycles.
-func startBurst(rate int) (burst, error) {
-	rig, err := newLogRig()
+// measureBurst journals starts at a rate per second, and reports that each task is
+// running and has ended, as the controllers do in their cycles.
+func measureBurst(rate int) (burstCost, error) {
+	harness, err := newLogHarness()
 	if err != nil {
-		return burst{}, err
+		return burstCost{}, err
 	}
-	defer rig.close()
-	machine := cell.New(firstEpoch{}, nil)
-	holder, err := rig.follow("holder", appendBudget, machine)
+	defer harness.close()
+	machine := cell.New(fixedEpoch{}, nil)
+	holder, err := harness.startReplica("holder", holderAppendsPerSecond, machine)
 	if err != nil {
-		return burst{}, err
+		return burstCost{}, err
 	}
 	defer holder.close()
-	jobs, err := submitBurst(holder, rate)
+	startsByCycle, err := submitBurst(holder, rate)
 	if err != nil {
-		return burst{}, err
+		return burstCost{}, err
 	}
 	before := holder.Stats()
-	seconds, err := processorTime(func() error { return journalBurst(holder, machine, jobs) })
+	seconds, err := measureCPUSeconds(func() error { return journalBurst(holder, machine, startsByCycle) })
 	if err != nil {
-		return burst{}, err
+		return burstCost{}, err
 	}
 	after := holder.Stats()
-	b := burst{
-		appends: float64(after.Appends-before.Appends) / burstFor.Seconds(),
-		bytes:   float64(after.AppendBytes-before.AppendBytes) / burstFor.Seconds(),
-		holder:  seconds / burstFor.Seconds(),
+	cost := burstCost{
+		appendsPerSecond: float64(after.Appends-before.Appends) / burstDuration.Seconds(),
+		bytesPerSecond:   float64(after.AppendBytes-before.AppendBytes) / burstDuration.Seconds(),
+		cpuPerSecond:     seconds / burstDuration.Seconds(),
 	}
-	return b, rig.replay(&b, holder)
+	return cost, harness.measureReplay(&cost, holder)
 }
 
-// submitBurst journals the VMs and the jobs, and returns the starts of each
-// cycle of the burst.
-func submitBurst(holder *follower, rate int) ([][]cell.Start, error) {
+// submitBurst journals the VMs and the jobs of a burst, and returns the starts of
+// each cycle.
+func submitBurst(holder *runningReplica, rate int) ([][]cell.Start, error) {
 	ctx := context.Background()
 	const vms = 1700
 	if err := holder.Propose(ctx, vmsEntry(vms)); err != nil {
 		return nil, err
 	}
-	cycles := int(burstFor / cycle)
-	perCycle := rate * int(cycle) / int(time.Second)
-	waiting := make([][]cell.Start, cycles)
+	cycles := int(burstDuration / cycleInterval)
+	perCycle := rate * int(cycleInterval) / int(time.Second)
+	startsByCycle := make([][]cell.Start, cycles)
 	var proposals sync.WaitGroup
 	errs := make([]error, cycles)
-	for i := range waiting {
+	for i := range startsByCycle {
 		spec := jobSpec(i, uint32(perCycle))
-		waiting[i] = startsOf(spec, i*perCycle, vms)
+		startsByCycle[i] = newStarts(spec, i*perCycle, vms)
 		proposals.Go(func() { errs[i] = holder.Propose(ctx, cell.SubmitEntry(spec, 0)) })
 	}
 	proposals.Wait()
-	return waiting, errors.Join(errs...)
+	return startsByCycle, errors.Join(errs...)
 }
 
-// journalBurst journals the lives of the tasks, one job in each cycle.
-func journalBurst(holder *follower, machine *cell.Machine, waiting [][]cell.Start) error {
+// journalBurst journals the lifecycles of the tasks, one job per cycle.
+func journalBurst(holder *runningReplica, machine *cell.Machine, startsByCycle [][]cell.Start) error {
 	ctx := context.Background()
-	var lives sync.WaitGroup
-	errs := make([]error, len(waiting))
-	ticker := time.NewTicker(cycle)
+	var lifecycles sync.WaitGroup
+	errs := make([]error, len(startsByCycle))
+	ticker := time.NewTicker(cycleInterval)
 	defer ticker.Stop()
-	for i, starts := range waiting {
-		lives.Go(func() { errs[i] = journalLives(ctx, holder, machine, starts) })
+	for i, starts := range startsByCycle {
+		lifecycles.Go(func() { errs[i] = journalTaskLifecycles(ctx, holder, machine, starts) })
 		<-ticker.C
 	}
-	lives.Wait()
+	lifecycles.Wait()
 	return errors.Join(errs...)
 }
 
-func journalLives(ctx context.Context, holder *follower, machine *cell.Machine, starts []cell.Start) error {
+// journalTaskLifecycles journals that tasks are started, running and ended.
+func journalTaskLifecycles(ctx context.Context, holder *runningReplica, machine *cell.Machine, starts []cell.Start) error {
 	entry, _ := machine.StartEntry(1, starts)
 	if err := holder.Propose(ctx, entry); err != nil {
 		return err
 	}
-	if err := holder.Propose(ctx, machine.ReportEntry(1, reportsOf(starts, cell.ReportRunning))); err != nil {
+	if err := holder.Propose(ctx, machine.ReportEntry(1, newReports(starts, cell.ReportRunning))); err != nil {
 		return err
 	}
-	return holder.Propose(ctx, machine.ReportEntry(1, reportsOf(starts, cell.ReportSucceeded)))
+	return holder.Propose(ctx, machine.ReportEntry(1, newReports(starts, cell.ReportSucceeded)))
 }
 
-// replay lets a late reader read the whole stream.
-func (r *logRig) replay(b *burst, holder *follower) error {
+// measureReplay measures a late reader that reads the whole stream.
+func (h *logHarness) measureReplay(cost *burstCost, holder *runningReplica) error {
 	before, err := writtenBytes()
 	if err != nil {
 		return err
 	}
-	seconds, err := processorTime(func() error {
-		reader, err := r.follow("reader", appendBudget, cell.New(firstEpoch{}, nil))
+	seconds, err := measureCPUSeconds(func() error {
+		reader, err := h.startReplica("reader", holderAppendsPerSecond, cell.New(fixedEpoch{}, nil))
 		if err != nil {
 			return err
 		}
@@ -196,7 +199,7 @@
 		return err
 	}
 	after, err := writtenBytes()
-	b.replayTime = seconds * milliseconds
-	b.replayBytes = after - before
+	cost.replayMs = seconds * msPerSecond
+	cost.replayBytes = after - before
 	return err
 }
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -6,24 +6,24 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Measurement measures one cost at several sizes, with the real packages and
-// small stand-ins of the outside, in this process.
+// Measurement measures one cost at several sizes in this process, with the real
+// packages and small stand-ins for the external systems.
 type Measurement struct {
 	Name   string
 	XLabel string
-	YLabel string // with the unit
+	YLabel string // includes the unit
 	Sizes  []int
-	// Run returns the cost at one size. Measurements run one at a time: the
-	// processor time and the memory are those of the whole process.
+	// Run returns the cost at one size. Measurements must run one at a time, because
+	// processor time and memory are measured for the whole process.
 	Run func(size int) (cost float64, err error)
 }
 
-// AllMeasurements returns every measurement, in the order in which they are run.
+// AllMeasurements returns all measurements in the order in which they run.
 func AllMeasurements() []Measurement {
 	var all []Measurement
 	for _, group := range []func() []Measurement{
-		cellMemory, cellTime, requestKeys, configRecords, ownershipPlan, heartbeats,
-		journalStarts, journalRequests, placements, worlds, workerExchanges, vmLists, requests, entryRequests, idleEntries,
+		cellMemoryMeasurements, cellTimeMeasurements, requestKeyMeasurements, configRecordMeasurements, ownershipPlanMeasurements, heartbeatMeasurements,
+		journalStartMeasurements, journalRequestMeasurements, placementMeasurements, schedulerStateMeasurements, workerExchangeMeasurements, vmListMeasurements, requestMeasurements, entryRequestMeasurements, idleMeasurements,
 	} {
 		all = append(all, group()...)
 	}
@@ -46,32 +46,35 @@
 	return s, nil
 }
 
-// memo runs an experiment once for each size, for measurements that read
-// different costs off the same run.
-type memo[T any] struct {
-	run   func(size int) (T, error)
-	known map[int]T
+// runCache runs a function once for each size and caches its results, for
+// measurements that get different costs from the same run.
+type runCache[T any] struct {
+	run     func(size int) (T, error)
+	results map[int]T
 }
 
-func newMemo[T any](run func(size int) (T, error)) *memo[T] {
-	return &memo[T]{run: run, known: make(map[int]T)}
+func newRunCache[T any](run func(size int) (T, error)) *runCache[T] {
+	return &runCache[T]{run: run, results: make(map[int]T)}
 }
 
-func (m *memo[T]) at(size int) (T, error) {
-	if got, ok := m.known[size]; ok {
+// result returns the result at a size, running the function if necessary. Failed
+// runs are not cached.
+func (c *runCache[T]) result(size int) (T, error) {
+	if got, ok := c.results[size]; ok {
 		return got, nil
 	}
-	got, err := m.run(size)
+	got, err := c.run(size)
 	if err == nil {
-		m.known[size] = got
+		c.results[size] = got
 	}
 	return got, err
 }
 
-// read returns a measurement's Run that reads one cost off the run.
-func (m *memo[T]) read(cost func(T) float64) func(int) (float64, error) {
+// costFunc returns a Run function for a measurement that extracts one cost from the
+// result.
+func (c *runCache[T]) costFunc(cost func(T) float64) func(int) (float64, error) {
 	return func(size int) (float64, error) {
-		got, err := m.at(size)
-		return cost(got), err
+		value, err := c.result(size)
+		return cost(value), err
 	}
 }
--- a/internal/capacity/measure_test.go
+++ b/internal/capacity/measure_test.go
@@ -7,34 +7,35 @@
 
 func TestMeasure(t *testing.T) {
 	runs := 0
-	both := newMemo(func(size int) ([2]float64, error) {
+	cache := newRunCache(func(size int) ([2]float64, error) {
 		runs++
 		if size > 4 {
 			return [2]float64{}, errors.New("too large")
 		}
 		return [2]float64{float64(size), float64(10 * size)}, nil
 	})
-	m := Measurement{Name: "m", Sizes: []int{1, 2, 3, 4}, Run: both.read(func(v [2]float64) float64 { return v[1] })}
+	m := Measurement{Name: "m", Sizes: []int{1, 2, 3, 4}, Run: cache.costFunc(func(v [2]float64) float64 { return v[1] })}
 	s, err := m.Measure(t.Context())
 	if err != nil || len(s.Points) != 4 || s.Points[3] != (Point{Size: 4, Cost: 40}) {
 		t.Fatal(s, err)
 	}
 	if _, err = m.Measure(t.Context()); err != nil || runs != 4 {
-		t.Fatalf("%d runs, want each size once: %v", runs, err)
+		t.Fatalf("%d runs, want one for each of the 4 sizes; error: %v", runs, err)
 	}
 	m.Sizes = []int{5}
 	if _, err = m.Measure(t.Context()); err == nil {
-		t.Fatal("the failure of a run is not told")
+		t.Fatal("Measure returned no error for a failed run")
 	}
 }
 
-// Every measurement can be fitted and has a name of its own.
+// Checks that every measurement is complete, has enough sizes for a fit and has a
+// unique name.
 func TestAllMeasurements(t *testing.T) {
-	known := make(map[string]bool)
+	seen := make(map[string]bool)
 	for _, m := range AllMeasurements() {
-		if known[m.Name] || m.Run == nil || m.XLabel == "" || m.YLabel == "" || len(m.Sizes) < MinPoints {
-			t.Errorf("measurement %q is not complete or not the only one of its name", m.Name)
+		if seen[m.Name] || m.Run == nil || m.XLabel == "" || m.YLabel == "" || len(m.Sizes) < MinPoints {
+			t.Errorf("measurement %q is incomplete or its name is not unique", m.Name)
 		}
-		known[m.Name] = true
+		seen[m.Name] = true
 	}
 }
--- a/internal/capacity/members.go
+++ b/internal/capacity/members.go
@@ -8,15 +8,15 @@
 	"github.com/skylarklock/skylarklock/internal/ownership"
 )
 
-// rosterSizes are the entry VMs of one data centre.
+// rosterSizes are the numbers of entry VMs of one data centre.
 var rosterSizes = []int{3, 9, 30, 90}
 
+// identity returns the identity of the i-th entry VM.
 func identity(i int) ownership.Identity {
 	return ownership.Identity{Node: api.NodeID(fmt.Sprintf("dc-a-entry%02d", i)), Incarnation: api.Incarnation(i + 1)}
 }
 
-// settledTable returns a table in which members hold all shards as they
-// want them.
+// settledTable returns a table in which every shard is held by its preferred member.
 func settledTable(members int) (*ownership.Table, error) {
 	t := ownership.NewTable()
 	var nodes []api.NodeID
@@ -26,7 +26,7 @@
 			return nil, err
 		}
 	}
-	for round := range 2 { // the second tells each of the others' acknowledgements
+	for round := range 2 { // in the second round, each member acknowledges the acknowledgements of the others
 		for i := range members {
 			ack := ownership.Acknowledge{Process: identity(i), Version: t.Version, Members: uint32(members)}
 			if err := t.Apply(ack); err != nil && round == 0 {
@@ -43,8 +43,9 @@
 	return t, nil
 }
 
-// quietView is what a member sees in a roster that is well.
-func quietView(t *ownership.Table, members int, now time.Time) ownership.PlanInput {
+// healthyView returns the view of the first member in a roster whose members are
+// all alive.
+func healthyView(t *ownership.Table, members int, now time.Time) ownership.PlanInput {
 	v := ownership.PlanInput{
 		Table: t, Evidence: ownership.NewEvidence(identity(0)), Limits: ownership.DefaultPlanLimits(),
 		Timing: ownership.Timing{HoldDuration: ownership.DefaultHoldDuration, MaxClockDrift: ownership.DefaultMaxClockDrift},
@@ -58,27 +59,28 @@
 	return v
 }
 
-// planTime is the processor time of one plan in a quiet roster.
-func planTime(members int) (float64, error) {
+// measurePlan returns the processor time, in us, of one plan in a roster without
+// changes.
+func measurePlan(members int) (float64, error) {
 	const plans = 3000
 	t, err := settledTable(members)
 	if err != nil {
 		return 0, err
 	}
 	now := time.Now()
-	v := quietView(t, members, now)
-	seconds, err := processorTime(func() error {
+	v := healthyView(t, members, now)
+	seconds, err := measureCPUSeconds(func() error {
 		for range plans {
 			ownership.Plan(now, v)
 		}
 		return nil
 	})
-	return seconds * microseconds / plans, err
+	return seconds * microsPerSecond / plans, err
 }
 
-func ownershipPlan() []Measurement {
+func ownershipPlanMeasurements() []Measurement {
 	return []Measurement{{
 		Name: "ownership_plan_time", XLabel: "entry VMs in the roster, 65 shards", YLabel: "processor time of a plan, us",
-		Sizes: rosterSizes, Run: planTime,
+		Sizes: rosterSizes, Run: measurePlan,
 	}}
 }
--- a/internal/capacity/plot.go
+++ b/internal/capacity/plot.go
@@ -7,13 +7,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of a plot.
+// Dimensions of a plot.
 const (
 	plotWidth  = 14 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
 )
 
-// Plot writes s and its fit to path; the ending of path selects the format.
+// Plot writes a plot of s and its fit to path. The file extension selects the
+// format.
 func Plot(s Series, f Fit, path string) error {
 	p := plot.New()
 	p.Title.Text = s.Name
--- a/internal/capacity/process.go
+++ b/internal/capacity/process.go
@@ -12,13 +12,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Units of costs.
+// Factors that convert seconds to the units of costs.
 const (
-	microseconds = 1e6
-	milliseconds = 1e3
+	microsPerSecond = 1e6
+	msPerSecond     = 1e3
 )
 
-// heapBytes returns the bytes of live objects.
+// heapBytes returns the bytes of live objects on the heap.
 func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -27,40 +27,42 @@
 	return float64(s.HeapAlloc)
 }
 
-// liveBytes returns the bytes of live objects and of goroutines' stacks.
-func liveBytes() float64 {
+// heapAndStackBytes returns the bytes of live objects on the heap and of goroutine
+// stacks.
+func heapAndStackBytes() float64 {
 	heap := heapBytes()
 	var s runtime.MemStats
 	runtime.ReadMemStats(&s)
 	return heap + float64(s.StackInuse)
 }
 
-// processorSeconds returns the processor time that this process has used. It
-// counts only what ran, so that other load on the machine weighs less than
-// on the time that passed.
-func processorSeconds() float64 {
+// cpuSeconds returns the processor time that this process has used. Other load on
+// the machine distorts it less than elapsed time, because it excludes the time in
+// which the process didn't run.
+func cpuSeconds() float64 {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u) // never fails for these arguments
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano()).Seconds()
 }
 
-// processorTime returns the seconds of processor time that f uses, garbage
-// collection included.
-func processorTime(f func() error) (float64, error) {
+// measureCPUSeconds returns the processor seconds that f uses, including those of
+// garbage collection.
+func measureCPUSeconds(f func() error) (float64, error) {
 	runtime.GC()
-	before := processorSeconds()
+	before := cpuSeconds()
 	err := f()
-	return processorSeconds() - before, err
+	return cpuSeconds() - before, err
 }
 
-// ioFile counts what a process reads and writes, sockets included.
-const ioFile = "/proc/self/io"
+// ioStatsPath is the file with the bytes that this process has read and written,
+// sockets included.
+const ioStatsPath = "/proc/self/io"
 
-// writtenBytes returns the bytes that this process has written. With both
-// ends of every connection in it, these are the bytes on all connections,
-// both ways, without the headers of TCP and IP.
+// writtenBytes returns the bytes that this process has written. As it contains both
+// ends of every connection, these are the bytes on all connections in both
+// directions, without TCP and IP headers.
 func writtenBytes() (float64, error) {
-	data, err := os.ReadFile(ioFile)
+	data, err := os.ReadFile(ioStatsPath)
 	if err != nil {
 		return 0, errors.Wrap(err, "bytes written")
 	}
@@ -69,10 +71,11 @@
 			return strconv.ParseFloat(string(value), 64)
 		}
 	}
-	return 0, errors.Newf("no wchar in %s", ioFile)
+	return 0, errors.Newf("no wchar in %s", ioStatsPath)
 }
 
-// LoadAverage returns the machine's load average over one minute, or "?".
+// LoadAverage returns the one-minute load average of the machine, or "?" if it can't
+// be read.
 func LoadAverage() string {
 	data, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -82,7 +85,8 @@
 	return string(first)
 }
 
-// DescribeMachine describes what the figures were taken on.
+// DescribeMachine returns the Go version, number of processors and platform that
+// measurements run on.
 func DescribeMachine() string {
 	return fmt.Sprintf("%s, %d processors, %s/%s", runtime.Version(), runtime.NumCPU(), runtime.GOOS, runtime.GOARCH)
 }
--- a/internal/capacity/records.go
+++ b/internal/capacity/records.go
@@ -11,33 +11,35 @@
 	"github.com/skylarklock/skylarklock/internal/reqkey"
 )
 
-// direct applies what is proposed at once, without a log.
-type direct struct {
+// directProposer applies proposed entries immediately, without a log.
+type directProposer struct {
 	journal.Follower
 	machine journal.StateMachine
 }
 
 // Propose implements journal.Proposer.
-func (d direct) Propose(_ context.Context, e journal.Entry) error {
+func (d directProposer) Propose(_ context.Context, e journal.Entry) error {
 	return d.machine.Apply(journal.Position{}, e)
 }
 
-// requestID returns the id of one request, as long as a UUID.
+// requestID returns the ID of request number i. It has the length of a UUID.
 func requestID(i int) string { return fmt.Sprintf("%036d", i) }
 
-// state is what a machine came to hold and at what cost.
-type state struct {
-	heap     float64 // bytes
-	applied  float64 // processor time, ms
-	snapshot float64 // bytes
-	restored float64 // processor time, ms
+// machineCost is the size of a state machine and the cost of filling and restoring
+// it.
+type machineCost struct {
+	heapBytes     float64
+	applyMs       float64 // processor time
+	snapshotBytes float64
+	restoreMs     float64 // processor time
 }
 
-// growth applies size entries with step and takes and restores a snapshot.
-func growth(m, empty journal.StateMachine, size int, step func(i int) error) (state, error) {
-	var s state
+// measureMachine calls step for size entries, which must apply them to m. It then
+// takes a snapshot of m and restores it in empty.
+func measureMachine(m, empty journal.StateMachine, size int, step func(i int) error) (machineCost, error) {
+	var cost machineCost
 	before := heapBytes()
-	applied, err := processorTime(func() error {
+	applySeconds, err := measureCPUSeconds(func() error {
 		for i := range size {
 			if err := step(i); err != nil {
 				return err
@@ -46,47 +48,48 @@
 		return nil
 	})
 	if err != nil {
-		return s, err
+		return cost, err
 	}
-	s.applied = applied * milliseconds
-	s.heap = heapBytes() - before
+	cost.applyMs = applySeconds * msPerSecond
+	cost.heapBytes = heapBytes() - before
 	data, err := m.Snapshot()
 	if err != nil {
-		return s, err
+		return cost, err
 	}
-	s.snapshot = float64(len(data))
-	restored, err := processorTime(func() error { return empty.Restore(data) })
-	s.restored = restored * milliseconds
+	cost.snapshotBytes = float64(len(data))
+	restoreSeconds, err := measureCPUSeconds(func() error { return empty.Restore(data) })
+	cost.restoreMs = restoreSeconds * msPerSecond
 	runtime.KeepAlive(m)
-	return s, err
+	return cost, err
 }
 
-func markState(ids int) (state, error) {
+// measureMarks marks requests in a state machine without a log.
+func measureMarks(ids int) (machineCost, error) {
 	m := reqkey.NewStateMachine()
-	keys := reqkey.NewKeys(m, direct{machine: m}, journal.Origin{Node: "dc-a-entry0", Incarnation: 1}, reqkey.DefaultMaxBodyBytes)
-	return growth(m, reqkey.NewStateMachine(), ids, func(i int) error {
+	keys := reqkey.NewKeys(m, directProposer{machine: m}, journal.Origin{Node: "dc-a-entry0", Incarnation: 1}, reqkey.DefaultMaxBodyBytes)
+	return measureMachine(m, reqkey.NewStateMachine(), ids, func(i int) error {
 		_, err := keys.Mark(context.Background(), requestID(i), uint64(i))
 		return err
 	})
 }
 
-func requestKeys() []Measurement {
-	marks := newMemo(markState)
+func requestKeyMeasurements() []Measurement {
+	cache := newRunCache(measureMarks)
 	sizes := []int{25_000, 50_000, 100_000, 200_000}
-	x := "remembered ids"
+	xLabel := "remembered ids"
 	return []Measurement{
-		{Name: "reqkey_id_bytes", XLabel: x, YLabel: "bytes", Sizes: sizes, Run: marks.read(func(s state) float64 { return s.heap })},
-		{Name: "reqkey_mark_time", XLabel: x, YLabel: "processor time, ms", Sizes: sizes, Run: marks.read(func(s state) float64 { return s.applied })},
-		{Name: "reqkey_snapshot_bytes", XLabel: x, YLabel: "bytes", Sizes: sizes, Run: marks.read(func(s state) float64 { return s.snapshot })},
-		{Name: "reqkey_restore_time", XLabel: x, YLabel: "processor time, ms", Sizes: sizes, Run: marks.read(func(s state) float64 { return s.restored })},
+		{Name: "reqkey_id_bytes", XLabel: xLabel, YLabel: "bytes", Sizes: sizes, Run: cache.costFunc(func(s machineCost) float64 { return s.heapBytes })},
+		{Name: "reqkey_mark_time", XLabel: xLabel, YLabel: "processor time, ms", Sizes: sizes, Run: cache.costFunc(func(s machineCost) float64 { return s.applyMs })},
+		{Name: "reqkey_snapshot_bytes", XLabel: xLabel, YLabel: "bytes", Sizes: sizes, Run: cache.costFunc(func(s machineCost) float64 { return s.snapshotBytes })},
+		{Name: "reqkey_restore_time", XLabel: xLabel, YLabel: "processor time, ms", Sizes: sizes, Run: cache.costFunc(func(s machineCost) float64 { return s.restoreMs })},
 	}
 }
 
-// recordState publishes records of batch jobs to a machine without a log.
-func recordState(records int) (state, error) {
+// measureRecords publishes records of batch jobs to a state machine without a log.
+func measureRecords(records int) (machineCost, error) {
 	m := config.NewStateMachine()
-	publisher := config.NewPublisher(m, direct{machine: m})
-	return growth(m, config.NewStateMachine(), records, func(i int) error {
+	publisher := config.NewPublisher(m, directProposer{machine: m})
+	return measureMachine(m, config.NewStateMachine(), records, func(i int) error {
 		_, err := publisher.Publish(context.Background(), api.Record{
 			Kind: api.KindBatchJob, Name: fmt.Sprintf("appraisal-%d", i), SchemaVersion: 1,
 			Spec: []byte(`{"team":"lots","tasks":12,"resources":{"milli_cpu":500,"memory_mb":512},"run_time_ns":60000000000}`),
@@ -95,14 +98,14 @@
 	})
 }
 
-func configRecords() []Measurement {
-	records := newMemo(recordState)
+func configRecordMeasurements() []Measurement {
+	cache := newRunCache(measureRecords)
 	sizes := []int{1250, 2500, 5000, 10_000}
-	x := "records in force"
+	xLabel := "records in force"
 	return []Measurement{
-		{Name: "config_record_bytes", XLabel: x, YLabel: "bytes", Sizes: sizes, Run: records.read(func(s state) float64 { return s.heap })},
-		{Name: "config_publish_time", XLabel: x, YLabel: "processor time, ms", Sizes: sizes, Run: records.read(func(s state) float64 { return s.applied })},
-		{Name: "config_snapshot_bytes", XLabel: x, YLabel: "bytes", Sizes: sizes, Run: records.read(func(s state) float64 { return s.snapshot })},
-		{Name: "config_restore_time", XLabel: x, YLabel: "processor time, ms", Sizes: sizes, Run: records.read(func(s state) float64 { return s.restored })},
+		{Name: "config_record_bytes", XLabel: xLabel, YLabel: "bytes", Sizes: sizes, Run: cache.costFunc(func(s machineCost) float64 { return s.heapBytes })},
+		{Name: "config_publish_time", XLabel: xLabel, YLabel: "processor time, ms", Sizes: sizes, Run: cache.costFunc(func(s machineCost) float64 { return s.applyMs })},
+		{Name: "config_snapshot_bytes", XLabel: xLabel, YLabel: "bytes", Sizes: sizes, Run: cache.costFunc(func(s machineCost) float64 { return s.snapshotBytes })},
+		{Name: "config_restore_time", XLabel: xLabel, YLabel: "processor time, ms", Sizes: sizes, Run: cache.costFunc(func(s machineCost) float64 { return s.restoreMs })},
 	}
 }
--- a/internal/capacity/request.go
+++ b/internal/capacity/request.go
@@ -20,103 +20,107 @@
 	"github.com/skylarklock/skylarklock/internal/reqkey"
 )
 
-// requestRig surrounds filter chains with parts that cost next to nothing.
-type requestRig struct {
-	room   int            // slots that the router gives
-	hold   chan struct{}  // when set, the endpoint waits for it
-	client *peer.Client   // when set, the way to the other entry VM
-	other  string         // its address
-	sent   atomic.Int64   // attempts at the endpoint
-	served sync.WaitGroup // requests that open
+// chainHarness implements the dependencies of filter chains at almost no cost.
+type chainHarness struct {
+	freeSlots    int            // free slots that the router reports
+	release      chan struct{}  // if set, the endpoint answers once it is closed
+	client       *peer.Client   // if set, requests can be handed over to the other entry VM
+	peerAddress  string         // address of the other entry VM
+	attempts     atomic.Int64   // number of attempts at the endpoint
+	openRequests sync.WaitGroup // goroutines of measureOpenRequests
 }
 
 // FreeSlots implements filter.Router.
-func (r *requestRig) FreeSlots(string) int { return r.room }
+func (h *chainHarness) FreeSlots(string) int { return h.freeSlots }
 
 // Acquire implements filter.Router.
-func (r *requestRig) Acquire(context.Context, string, api.Class, string, []api.EndpointID) (filter.Ticket, error) {
-	if r.room == 0 {
+func (h *chainHarness) Acquire(context.Context, string, api.Class, string, []api.EndpointID) (filter.Ticket, error) {
+	if h.freeSlots == 0 {
 		return nil, api.NotRun(api.ReasonNoEndpoint, time.Second, "no room")
 	}
-	return freeTicket{}, nil
+	return alwaysValidTicket{}, nil
 }
 
-// freeTicket is a slot at an endpoint that is never short of them.
-type freeTicket struct{}
+// alwaysValidTicket is a ticket for a slot of an endpoint that always has free
+// slots.
+type alwaysValidTicket struct{}
 
 // Endpoint implements filter.Ticket.
-func (freeTicket) Endpoint() api.Endpoint { return api.Endpoint{ID: "e"} }
+func (alwaysValidTicket) Endpoint() api.Endpoint { return api.Endpoint{ID: "e"} }
 
 // Epoch implements filter.Ticket.
-func (freeTicket) Epoch() api.Epoch { return 1 }
+func (alwaysValidTicket) Epoch() api.Epoch { return 1 }
 
 // Valid implements filter.Ticket.
-func (freeTicket) Valid(time.Time) bool { return true }
+func (alwaysValidTicket) Valid(time.Time) bool { return true }
 
 // Done implements filter.Ticket.
-func (freeTicket) Done(filter.Result) {}
+func (alwaysValidTicket) Done(filter.Result) {}
 
 // Check implements filter.Router.
-func (r *requestRig) Check(context.Context, string, api.Class, string) *api.Refusal { return nil }
+func (h *chainHarness) Check(context.Context, string, api.Class, string) *api.Refusal { return nil }
 
 // Attempt implements platform.Endpoint.
-func (r *requestRig) Attempt(context.Context, api.Endpoint, api.Epoch, *api.Request, int64) (*api.Answer, platform.Feedback, error) {
-	r.sent.Add(1)
-	if r.hold != nil {
-		<-r.hold
+func (h *chainHarness) Attempt(context.Context, api.Endpoint, api.Epoch, *api.Request, int64) (*api.Answer, platform.Feedback, error) {
+	h.attempts.Add(1)
+	if h.release != nil {
+		<-h.release
 	}
 	return &api.Answer{Status: http.StatusOK, Body: []byte("swept"), Endpoint: "e"}, platform.Feedback{}, nil
 }
 
 // Candidates implements filter.Peers.
-func (r *requestRig) Candidates(string) []filter.PeerLoad {
-	if r.client == nil {
+func (h *chainHarness) Candidates(string) []filter.PeerLoad {
+	if h.client == nil {
 		return nil
 	}
 	return []filter.PeerLoad{{Node: "dc-a-entry1", FreeSlots: 8}}
 }
 
 // EntryVMs implements filter.Peers.
-func (r *requestRig) EntryVMs(api.DataCentre) []api.NodeID { return nil }
+func (h *chainHarness) EntryVMs(api.DataCentre) []api.NodeID { return nil }
 
 // Forward implements filter.Peers.
-func (r *requestRig) Forward(ctx context.Context, node api.NodeID, req *filter.ForwardRequest) (*filter.ForwardReply, error) {
+func (h *chainHarness) Forward(ctx context.Context, node api.NodeID, req *filter.ForwardRequest) (*filter.ForwardReply, error) {
 	reply := new(filter.ForwardReply)
-	if err := r.client.Call(ctx, r.other, "Requests.Forward", req, reply); err != nil {
+	if err := h.client.Call(ctx, h.peerAddress, "Requests.Forward", req, reply); err != nil {
 		return nil, &filter.PeerError{Node: node, Sent: true, Cause: err}
 	}
 	return reply, nil
 }
 
 // AnswerOf implements filter.Peers.
-func (r *requestRig) AnswerOf(context.Context, api.NodeID, *filter.AnswerQuery) (*filter.AnswerReply, error) {
+func (h *chainHarness) AnswerOf(context.Context, api.NodeID, *filter.AnswerQuery) (*filter.AnswerReply, error) {
 	return &filter.AnswerReply{State: filter.AnswerForgotten}, nil
 }
 
 // Service implements filter.Services.
-func (r *requestRig) Service(name string) (api.ServiceSpec, bool) {
+func (h *chainHarness) Service(name string) (api.ServiceSpec, bool) {
 	return api.ServiceSpec{Service: name, TimeoutMs: 60_000, MaxAttempts: 3, RetryBudget: 1}, true
 }
 
 // CallerLimits implements filter.Limits.
-func (r *requestRig) CallerLimits(string) api.LimitsSpec { return api.LimitsSpec{} }
+func (h *chainHarness) CallerLimits(string) api.LimitsSpec { return api.LimitsSpec{} }
 
 // Inc implements filter.Counters.
-func (r *requestRig) Inc(string, api.Reason) {}
+func (h *chainHarness) Inc(string, api.Reason) {}
 
-func (r *requestRig) chain(node api.NodeID) *filter.Chain {
+// newChain returns the filter chain of an entry VM with the harness as its
+// dependencies.
+func (h *chainHarness) newChain(node api.NodeID) *filter.Chain {
 	marks := reqkey.NewStateMachine()
 	self := journal.Origin{Node: node, Incarnation: 1}
 	settings := filter.Settings{Node: node, DataCentre: "dc-a", DataCentres: []api.DataCentre{"dc-a"}, MaxInFlight: 1 << 20, CallerShare: 1, MaxKeptAnswers: 1024}
 	c := filter.New(settings, filter.Deps{
-		Router: r, Endpoint: r, Peers: r, Services: r, Limits: r, Counters: r, Now: time.Now, Log: quietLog(),
-		Keys: reqkey.NewKeys(marks, direct{machine: marks}, self, reqkey.DefaultMaxBodyBytes),
+		Router: h, Endpoint: h, Peers: h, Services: h, Limits: h, Counters: h, Now: time.Now, Log: nopLogger(),
+		Keys: reqkey.NewKeys(marks, directProposer{machine: marks}, self, reqkey.DefaultMaxBodyBytes),
 	})
 	c.Gate().SetReady(true)
 	return c
 }
 
-func handle(c *filter.Chain, i int, idempotent bool) error {
+// handleRequest runs request number i through a chain.
+func handleRequest(c *filter.Chain, i int, idempotent bool) error {
 	header := http.Header{
 		api.HeaderRequestID:  {requestID(i)},
 		api.HeaderCaller:     {"tablet"},
@@ -128,20 +132,20 @@
 	return err
 }
 
-// chainTime is the processor time of requests at a chain.
-func chainTime(c *filter.Chain, count int, idempotent bool) (float64, error) {
-	seconds, err := processorTime(func() error {
+// measureChain returns the processor time, in ms, of count requests at a chain.
+func measureChain(c *filter.Chain, count int, idempotent bool) (float64, error) {
+	seconds, err := measureCPUSeconds(func() error {
 		for i := range count {
-			if err := handle(c, i, idempotent); err != nil {
+			if err := handleRequest(c, i, idempotent); err != nil {
 				return err
 			}
 		}
 		return c.Close(context.Background())
 	})
-	return seconds * milliseconds, err
+	return seconds * msPerSecond, err
 }
 
-// Receiver serves hand-overs. Its method is called by net/rpc.
+// Receiver serves handovers. net/rpc calls its method.
 type Receiver struct{ chain *filter.Chain }
 
 // Forward runs a request that was handed over.
@@ -150,54 +154,55 @@
 	return nil
 }
 
-// handOverTime is the processor time of requests that one entry VM hands
-// over to another, at both of them.
-func handOverTime(count int) (float64, error) {
+// measureHandover returns the processor time, in ms, of count requests that one
+// entry VM hands over to another, at both of them.
+func measureHandover(count int) (float64, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return 0, err
 	}
-	server := peer.NewServer(peer.DefaultLimits(), logrus.NewEntry(quietLog()))
-	if err := server.Register("Requests", &Receiver{chain: (&requestRig{room: 8}).chain("dc-a-entry1")}); err != nil {
+	server := peer.NewServer(peer.DefaultLimits(), logrus.NewEntry(nopLogger()))
+	if err := server.Register("Requests", &Receiver{chain: (&chainHarness{freeSlots: 8}).newChain("dc-a-entry1")}); err != nil {
 		return 0, err
 	}
 	go func() { _ = server.Serve(l) }() // ends with Shutdown
-	sender := &requestRig{client: peer.NewClient(peer.DefaultLimits(), nil), other: l.Addr().String()}
+	sender := &chainHarness{client: peer.NewClient(peer.DefaultLimits(), nil), peerAddress: l.Addr().String()}
 	defer func() {
 		sender.client.Close()
 		_ = server.Shutdown(context.Background())
 	}()
-	return chainTime(sender.chain("dc-a-entry0"), count, true)
+	return measureChain(sender.newChain("dc-a-entry0"), count, true)
 }
 
-// openBytes is the memory of requests that wait for their endpoint.
-func openBytes(count int) (float64, error) {
-	r := &requestRig{room: 8, hold: make(chan struct{})}
-	c := r.chain("dc-a-entry0")
-	before := liveBytes()
+// measureOpenRequests returns the bytes of memory of count requests that wait for an
+// answer of their endpoint.
+func measureOpenRequests(count int) (float64, error) {
+	h := &chainHarness{freeSlots: 8, release: make(chan struct{})}
+	c := h.newChain("dc-a-entry0")
+	before := heapAndStackBytes()
 	for i := range count {
-		r.served.Go(func() { _ = handle(c, i, true) })
+		h.openRequests.Go(func() { _ = handleRequest(c, i, true) })
 	}
-	for r.sent.Load() < int64(count) {
+	for h.attempts.Load() < int64(count) {
 		runtime.Gosched()
 	}
-	grown := liveBytes() - before
-	close(r.hold)
-	r.served.Wait()
+	grown := heapAndStackBytes() - before
+	close(h.release)
+	h.openRequests.Wait()
 	return grown, c.Close(context.Background())
 }
 
-func requests() []Measurement {
+func requestMeasurements() []Measurement {
 	sizes := []int{2500, 5000, 10_000, 20_000}
 	local := func(idempotent bool) func(int) (float64, error) {
 		return func(size int) (float64, error) {
-			return chainTime((&requestRig{room: 8}).chain("dc-a-entry0"), size, idempotent)
+			return measureChain((&chainHarness{freeSlots: 8}).newChain("dc-a-entry0"), size, idempotent)
 		}
 	}
 	return []Measurement{
 		{Name: "request_time", XLabel: "idempotent requests", YLabel: "processor time of the chain, ms", Sizes: sizes, Run: local(true)},
 		{Name: "request_marked_time", XLabel: "marked requests", YLabel: "processor time of the chain, ms", Sizes: sizes, Run: local(false)},
-		{Name: "request_handed_over_time", XLabel: "idempotent requests handed over", YLabel: "processor time of both entry VMs, ms", Sizes: sizes, Run: handOverTime},
-		{Name: "request_open_bytes", XLabel: "requests open at a time", YLabel: "bytes", Sizes: []int{1000, 2000, 4000, 8000}, Run: openBytes},
+		{Name: "request_handed_over_time", XLabel: "idempotent requests handed over", YLabel: "processor time of both entry VMs, ms", Sizes: sizes, Run: measureHandover},
+		{Name: "request_open_bytes", XLabel: "requests open at a time", YLabel: "bytes", Sizes: []int{1000, 2000, 4000, 8000}, Run: measureOpenRequests},
 	}
 }
--- a/internal/capacity/vmlist.go
+++ b/internal/capacity/vmlist.go
@@ -11,13 +11,14 @@
 	"github.com/skylarklock/skylarklock/internal/standin/vmlist"
 )
 
-// listing is the cost of one read of the platform's VM list.
-type listing struct {
-	bytes float64 // both ways
-	time  float64 // processor time of both ends, ms
+// listCost is the cost of one read of the platform's VM list.
+type listCost struct {
+	bytes float64 // bytes in both directions
+	cpuMs float64 // processor time of both ends
 }
 
-func readList(vms int) (listing, error) {
+// measureListRead returns the average cost of reading a list of VMs.
+func measureListRead(vms int) (listCost, error) {
 	const reads = 20
 	list := vmlist.New(time.Now, 0)
 	for i := range vms {
@@ -29,36 +30,36 @@
 	}
 	server, address, err := serve(list)
 	if err != nil {
-		return listing{}, err
+		return listCost{}, err
 	}
 	defer server.Close()
 	client := httpvmlist.New("http://" + address)
 	before, err := writtenBytes()
 	if err != nil {
-		return listing{}, err
+		return listCost{}, err
 	}
-	seconds, err := processorTime(func() error {
+	seconds, err := measureCPUSeconds(func() error {
 		for range reads {
-			got, err := client.List(context.Background(), "dc-a")
-			if err != nil || len(got) != vms {
-				return errors.Newf("%d of %d VMs: %v", len(got), vms, err)
+			listed, err := client.List(context.Background(), "dc-a")
+			if err != nil || len(listed) != vms {
+				return errors.Newf("%d of %d VMs: %v", len(listed), vms, err)
 			}
 		}
 		return nil
 	})
 	if err != nil {
-		return listing{}, err
+		return listCost{}, err
 	}
 	after, err := writtenBytes()
-	return listing{bytes: (after - before) / reads, time: seconds * milliseconds / reads}, err
+	return listCost{bytes: (after - before) / reads, cpuMs: seconds * msPerSecond / reads}, err
 }
 
-func vmLists() []Measurement {
-	lists := newMemo(readList)
+func vmListMeasurements() []Measurement {
+	cache := newRunCache(measureListRead)
 	sizes := []int{100, 400, 800, 1700}
-	x := "worker VMs in the list, without endpoints"
+	xLabel := "worker VMs in the list, without endpoints"
 	return []Measurement{
-		{Name: "vm_list_bytes", XLabel: x, YLabel: "bytes of a read", Sizes: sizes, Run: lists.read(func(l listing) float64 { return l.bytes })},
-		{Name: "vm_list_time", XLabel: x, YLabel: "processor time of a read at both ends, ms", Sizes: sizes, Run: lists.read(func(l listing) float64 { return l.time })},
+		{Name: "vm_list_bytes", XLabel: xLabel, YLabel: "bytes of a read", Sizes: sizes, Run: cache.costFunc(func(l listCost) float64 { return l.bytes })},
+		{Name: "vm_list_time", XLabel: xLabel, YLabel: "processor time of a read at both ends, ms", Sizes: sizes, Run: cache.costFunc(func(l listCost) float64 { return l.cpuMs })},
 	}
 }
