--- a/internal/capacity/cell.go
+++ b/internal/capacity/cell.go
@@ -26,7 +26,7 @@
 
 // cellState is the state machine of a cell with counts of the VMs and jobs in it.
 type cellState struct {
-	machine   *cell.Machine
+	machine   *cell.StateMachine
 	lastIndex uint32 // index of the last entry
 	vmCount   int
 	jobCount  int
@@ -47,11 +47,11 @@
 
 // vmsEntry returns the entry that adds VMs with capacity for any number of tasks.
 func vmsEntry(vms int) journal.Entry {
-	seen := make([]cell.SeenVM, vms)
+	seen := make([]cell.ObservedVM, vms)
 	for i := range seen {
-		seen[i] = cell.SeenVM{ID: vmName(i), Rack: fmt.Sprint("r", i/8), Capacity: taskResources.Mul(1 << 20)}
+		seen[i] = cell.ObservedVM{ID: vmName(i), Rack: fmt.Sprint("r", i/8), Capacity: taskResources.Mul(1 << 20)}
 	}
-	return cell.VMsEntry(1, seen, nil)
+	return cell.VMUpdateEntry(1, seen, nil)
 }
 
 // jobSpec returns the spec of the job with this number. Jobs are distributed evenly
@@ -83,7 +83,7 @@
 
 // startTasks starts tasks, with up to startsPerEntry starts in an entry, and applies
 // a report of each of the endings for them.
-func (s *cellState) startTasks(starts []cell.Start, endings ...cell.Ending) error {
+func (s *cellState) startTasks(starts []cell.Start, endings ...cell.AttemptStatus) error {
 	for len(starts) > 0 {
 		n := min(startsPerEntry, len(starts))
 		entry, _ := s.machine.StartEntry(1, starts[:n])
@@ -101,17 +101,17 @@
 }
 
 // newReports returns a report with this ending for each start.
-func newReports(starts []cell.Start, ending cell.Ending) []cell.Report {
+func newReports(starts []cell.Start, ending cell.AttemptStatus) []cell.Report {
 	reports := make([]cell.Report, len(starts))
 	for i, s := range starts {
-		reports[i] = cell.Report{Task: s.Task, Attempt: s.Attempt, Ending: ending}
+		reports[i] = cell.Report{Task: s.Task, Attempt: s.Attempt, Status: ending}
 	}
 	return reports
 }
 
 // runTasks submits jobs of perJob tasks, starts all tasks and applies a report of
 // each of the endings for them.
-func (s *cellState) runTasks(tasks int, perJob uint32, endings ...cell.Ending) error {
+func (s *cellState) runTasks(tasks int, perJob uint32, endings ...cell.AttemptStatus) error {
 	for range tasks / int(perJob) {
 		starts, err := s.submitJob(perJob)
 		if err != nil {
@@ -145,12 +145,12 @@
 		{
 			Name: "cell_task_bytes", XLabel: "running tasks, 50 to a job", YLabel: "bytes", Sizes: []int{10_000, 20_000, 40_000, 80_000},
 			Run: func(size int) (float64, error) {
-				return cellHeapBytes(vms, func(s *cellState) error { return s.runTasks(size, tasksPerJob, cell.ReportRunning) })
+				return cellHeapBytes(vms, func(s *cellState) error { return s.runTasks(size, tasksPerJob, cell.AttemptRunning) })
 			},
 		}, {
 			Name: "cell_single_task_bytes", XLabel: "running jobs of one task", YLabel: "bytes", Sizes: []int{10_000, 20_000, 40_000, 80_000},
 			Run: func(size int) (float64, error) {
-				return cellHeapBytes(vms, func(s *cellState) error { return s.runTasks(size, 1, cell.ReportRunning) })
+				return cellHeapBytes(vms, func(s *cellState) error { return s.runTasks(size, 1, cell.AttemptRunning) })
 			},
 		}, {
 			Name: "cell_vm_bytes", XLabel: "worker VMs", YLabel: "bytes", Sizes: []int{1700, 5000, 10_000, 18_000},
@@ -173,7 +173,7 @@
 			Name: "cell_ended_job_bytes", XLabel: "ended jobs of one task", YLabel: "bytes", Sizes: []int{5000, 10_000, 20_000, 40_000},
 			Run: func(size int) (float64, error) {
 				return cellHeapBytes(vms, func(s *cellState) error {
-					return s.runTasks(size, 1, cell.ReportRunning, cell.ReportSucceeded)
+					return s.runTasks(size, 1, cell.AttemptRunning, cell.AttemptSucceeded)
 				})
 			},
 		},
--- a/internal/capacity/celltime.go
+++ b/internal/capacity/celltime.go
@@ -4,7 +4,7 @@
 
 // measureApply returns the processor time, in ms, of applying starts and the
 // reports of each of the endings.
-func measureApply(size int, endings ...cell.Ending) (float64, error) {
+func measureApply(size int, endings ...cell.AttemptStatus) (float64, error) {
 	s, err := newCellState(1700)
 	if err != nil {
 		return 0, err
@@ -41,7 +41,7 @@
 	if err != nil {
 		return snapshotCost{}, err
 	}
-	if err := s.runTasks(tasks, tasksPerJob, cell.ReportRunning); err != nil {
+	if err := s.runTasks(tasks, tasksPerJob, cell.AttemptRunning); err != nil {
 		return snapshotCost{}, err
 	}
 	var data []byte
@@ -67,7 +67,7 @@
 		}, {
 			Name: "cell_life_time", XLabel: "tasks started, seen running, ended", YLabel: "processor time, ms", Sizes: starts,
 			Run: func(size int) (float64, error) {
-				return measureApply(size, cell.ReportRunning, cell.ReportSucceeded)
+				return measureApply(size, cell.AttemptRunning, cell.AttemptSucceeded)
 			},
 		}, {
 			Name: "cell_snapshot_bytes", XLabel: "running tasks", YLabel: "bytes", Sizes: tasks,
--- a/internal/capacity/exchange.go
+++ b/internal/capacity/exchange.go
@@ -78,19 +78,19 @@
 // controllerHarness implements the dependencies of the worker controller at almost
 // no cost: its VMs answer at once with a prepared report.
 type controllerHarness struct {
-	machine       *cell.Machine
+	machine       *cell.StateMachine
 	vms           []api.VM
 	reports       map[api.VMID]platform.WorkerReport
 	clock         atomic.Int64
 	exchangeCount atomic.Int64
 }
 
-func (h *controllerHarness) Cell(time.Time) (api.Epoch, bool, time.Time) { return 1, true, time.Time{} }
-func (h *controllerHarness) Inc(string, api.Reason)                      {}
-func (h *controllerHarness) VMs() []api.VM                               { return h.vms }
-func (h *controllerHarness) Reported(api.VMID, platform.TaskReport)      {}
-func (h *controllerHarness) Ended(api.VMID, api.TaskID, cell.Ending)     {}
-func (h *controllerHarness) Throttles(api.VMID) []platform.TaskStop      { return nil }
+func (h *controllerHarness) Cell(time.Time) (api.Epoch, bool, time.Time)         { return 1, true, time.Time{} }
+func (h *controllerHarness) Inc(string, api.Reason)                              {}
+func (h *controllerHarness) VMs() []api.VM                                       { return h.vms }
+func (h *controllerHarness) ObserveReport(api.VMID, platform.TaskReport)         {}
+func (h *controllerHarness) ObserveEnd(api.VMID, api.TaskID, cell.AttemptStatus) {}
+func (h *controllerHarness) TakeThrottles(api.VMID) []platform.TaskStop          { return nil }
 
 // Sync implements platform.Worker.
 func (h *controllerHarness) Sync(_ context.Context, vm api.VM, _ platform.WorkerSync) (platform.WorkerReport, error) {
@@ -119,7 +119,7 @@
 			starts = append(starts, jobStarts...)
 			report.Tasks = append(report.Tasks, platform.TaskReport{Task: jobStarts[0].Task, Attempt: 1, State: platform.RunRunning, Usage: taskResources})
 		}
-		if err := s.startTasks(starts, cell.ReportRunning); err != nil {
+		if err := s.startTasks(starts, cell.AttemptRunning); err != nil {
 			return nil, err
 		}
 		h.reports[report.VM] = report
@@ -137,7 +137,7 @@
 		return 0, err
 	}
 	cfg := worker.DefaultConfig(lease.Params{Lease: time.Hour})
-	cfg.Interval = cfg.Tick
+	cfg.Interval = cfg.TickInterval
 	c := worker.New(cfg, h.machine, directProposer{machine: h.machine}, h, h, h, h, h, nopLogger(), time.Now)
 	ctx, cancel := context.WithTimeout(context.Background(), 1500*time.Millisecond)
 	defer cancel()
--- a/internal/capacity/log.go
+++ b/internal/capacity/log.go
@@ -152,7 +152,7 @@
 }
 
 // journalBurst journals the lifecycles of the tasks, one job per cycle.
-func journalBurst(holder *runningReplica, machine *cell.Machine, startsByCycle [][]cell.Start) error {
+func journalBurst(holder *runningReplica, machine *cell.StateMachine, startsByCycle [][]cell.Start) error {
 	ctx := context.Background()
 	var lifecycles sync.WaitGroup
 	errs := make([]error, len(startsByCycle))
@@ -167,15 +167,15 @@
 }
 
 // journalTaskLifecycles journals that tasks are started, running and ended.
-func journalTaskLifecycles(ctx context.Context, holder *runningReplica, machine *cell.Machine, starts []cell.Start) error {
+func journalTaskLifecycles(ctx context.Context, holder *runningReplica, machine *cell.StateMachine, starts []cell.Start) error {
 	entry, _ := machine.StartEntry(1, starts)
 	if err := holder.Propose(ctx, entry); err != nil {
 		return err
 	}
-	if err := holder.Propose(ctx, machine.ReportEntry(1, newReports(starts, cell.ReportRunning))); err != nil {
+	if err := holder.Propose(ctx, machine.ReportEntry(1, newReports(starts, cell.AttemptRunning))); err != nil {
 		return err
 	}
-	return holder.Propose(ctx, machine.ReportEntry(1, newReports(starts, cell.ReportSucceeded)))
+	return holder.Propose(ctx, machine.ReportEntry(1, newReports(starts, cell.AttemptSucceeded)))
 }
 
 // measureReplay measures a late reader that reads the whole stream.
--- a/internal/cell/apply.go
+++ b/internal/cell/apply.go
@@ -10,7 +10,7 @@
 // maxTasks bounds the tasks of one job.
 const maxTasks = 1_000_000
 
-func (m *Machine) applySubmit(s *Submit) *Rejection {
+func (m *StateMachine) applySubmit(s *Submit) *Rejection {
 	id := s.Spec.ID
 	if fault := specFault(&s.Spec); fault != "" {
 		return &Rejection{Reason: api.ReasonMalformed, Task: api.TaskID{Job: id}, Detail: fault}
@@ -21,10 +21,10 @@
 	if _, known := m.numberOf(id); known {
 		return m.knownJob(s)
 	}
-	j := newJob(m.nextJob, s.Spec, s.At)
+	j := newJob(m.nextJob, s.Spec, s.ProposedAtMs)
 	m.nextJob++
-	if s.From != nil {
-		j.settleRanges(s.From.Settled)
+	if s.MovedFrom != nil {
+		j.settleRanges(s.MovedFrom.EndedTasks)
 	}
 	m.insert(j)
 	m.emit(Event{Kind: EventJobSubmitted, Task: api.TaskID{Job: id}})
@@ -47,15 +47,15 @@
 
 // knownJob rejects a second job of an ID. One that was moved here counts as
 // arrived all the same, so that the moves after it can be taken.
-func (m *Machine) knownJob(s *Submit) *Rejection {
-	if s.From != nil {
+func (m *StateMachine) knownJob(s *Submit) *Rejection {
+	if s.MovedFrom != nil {
 		m.count(api.ReasonDuplicate)
 		return nil
 	}
 	return &Rejection{Reason: api.ReasonDuplicate, Task: api.TaskID{Job: s.Spec.ID}, Detail: "the job is known"}
 }
 
-func (m *Machine) insert(j *job) {
+func (m *StateMachine) insert(j *job) {
 	s := m.shardOf(j.number)
 	s.mu.Lock()
 	s.jobs[j.number] = j
@@ -66,7 +66,7 @@
 	n.mu.Unlock()
 }
 
-func (m *Machine) applyCancel(c *Cancel) *Rejection {
+func (m *StateMachine) applyCancel(c *Cancel) *Rejection {
 	done := 0
 	for _, id := range c.Jobs {
 		if m.cancelOne(id) {
@@ -82,7 +82,7 @@
 }
 
 // cancelOne cancels a job that has not ended; a second time changes nothing.
-func (m *Machine) cancelOne(id api.JobID) bool {
+func (m *StateMachine) cancelOne(id api.JobID) bool {
 	number, ok := m.numberOf(id)
 	if !ok {
 		return false
@@ -103,7 +103,7 @@
 }
 
 // retireIfDone ends a job of which no task can change any more.
-func (m *Machine) retireIfDone(number uint32) {
+func (m *StateMachine) retireIfDone(number uint32) {
 	var id api.JobID
 	retired := false
 	m.withJob(number, func(j *job) {
@@ -123,7 +123,7 @@
 
 // keepEnded keeps an ended job for explanations and forgets the oldest ones
 // beyond the bounds.
-func (m *Machine) keepEnded(number uint32) {
+func (m *StateMachine) keepEnded(number uint32) {
 	m.ended = append(m.ended, number)
 	m.withJob(number, func(j *job) { m.endedTasks += len(j.tasks) })
 	for len(m.ended) > maxEndedJobs || (m.endedTasks > maxEndedTasks && len(m.ended) > 1) {
@@ -132,7 +132,7 @@
 	}
 }
 
-func (m *Machine) forget(number uint32) {
+func (m *StateMachine) forget(number uint32) {
 	s := m.shardOf(number)
 	s.mu.Lock()
 	j := s.jobs[number]
@@ -145,25 +145,25 @@
 	n.mu.Unlock()
 }
 
-func (m *Machine) applyVMs(b *VMs) *Rejection {
+func (m *StateMachine) applyVMs(b *VMUpdate) *Rejection {
 	if r := m.checkEpoch(b.Epoch); r != nil {
 		return r
 	}
 	m.vms.mu.Lock()
 	defer m.vms.mu.Unlock()
-	for _, seen := range b.Seen {
+	for _, seen := range b.Observed {
 		m.vms.put(seen)
-		m.emit(Event{Kind: EventVMSeen, VM: seen.ID, Resources: seen.Capacity})
+		m.emit(Event{Kind: EventVMObserved, VM: seen.ID, Resources: seen.Capacity})
 	}
-	for _, id := range b.Gone {
+	for _, id := range b.Removed {
 		if m.vms.drop(id) {
-			m.emit(Event{Kind: EventVMGone, VM: id})
+			m.emit(Event{Kind: EventVMRemoved, VM: id})
 		}
 	}
 	return nil
 }
 
-func (t *vmTable) put(seen SeenVM) {
+func (t *vmTable) put(seen ObservedVM) {
 	number, known := t.numbers[seen.ID]
 	if !known {
 		number = uint32(len(t.rows))
--- a/internal/cell/apply_report.go
+++ b/internal/cell/apply_report.go
@@ -5,7 +5,7 @@
 	"github.com/skylarklock/skylarklock/internal/ledger"
 )
 
-func (m *Machine) applyReports(b *ReportBatch) *Rejection {
+func (m *StateMachine) applyReports(b *ReportBatch) *Rejection {
 	if r := m.checkEpoch(b.Epoch); r != nil {
 		return r
 	}
@@ -23,12 +23,12 @@
 	return &Rejection{Reason: api.ReasonWrongState, Detail: "no attempt named is in a state that this changes"}
 }
 
-func (m *Machine) applyReportGroup(g *ReportGroup) int {
+func (m *StateMachine) applyReportGroup(g *ReportGroup) int {
 	m.vms.mu.Lock()
 	defer m.vms.mu.Unlock()
 	applied := 0
 	m.withJob(g.Job, func(j *job) {
-		for _, item := range g.Items {
+		for _, item := range g.Attempts {
 			if m.applyReport(j, g, item) {
 				applied++
 			} else {
@@ -36,7 +36,7 @@
 			}
 		}
 	})
-	if applied > 0 && g.Ending != ReportRunning {
+	if applied > 0 && g.Status != AttemptRunning {
 		m.retireIfDone(g.Job)
 	}
 	return applied
@@ -44,7 +44,7 @@
 
 // current returns the task whose latest attempt is the named one and holds a
 // VM, or nil.
-func (j *job) current(item AttemptItem) *task {
+func (j *job) current(item AttemptRef) *task {
 	if item.Index >= uint32(len(j.tasks)) {
 		return nil
 	}
@@ -55,15 +55,15 @@
 	return t
 }
 
-func (m *Machine) applyReport(j *job, g *ReportGroup, item AttemptItem) bool {
+func (m *StateMachine) applyReport(j *job, g *ReportGroup, item AttemptRef) bool {
 	t := j.current(item)
 	if t == nil {
 		return false
 	}
-	if g.Ending == ReportRunning {
+	if g.Status == AttemptRunning {
 		return m.seenRunning(j, t, item)
 	}
-	if g.Ending < ReportRunning || g.Ending > ReportLost {
+	if g.Status < AttemptRunning || g.Status > AttemptLost {
 		return false
 	}
 	vm := t.vm
@@ -71,7 +71,7 @@
 	held, _ := m.vms.ledger.Release(vm, ledger.Key{Job: j.number, Index: item.Index, Attempt: item.Attempt})
 	id := m.vms.rows[vm].id
 	m.vms.forgetIfEmpty(vm)
-	j.settle(t, g.Ending, g.Reason)
+	j.settle(t, g.Status, g.Reason)
 	effective, _ := j.get(item.Index)
 	m.emit(Event{
 		Kind:      EventTaskFreed,
@@ -85,7 +85,7 @@
 	return true
 }
 
-func (m *Machine) seenRunning(j *job, t *task, item AttemptItem) bool {
+func (m *StateMachine) seenRunning(j *job, t *task, item AttemptRef) bool {
 	if t.state != api.TaskStarting {
 		return false
 	}
@@ -100,7 +100,7 @@
 	return true
 }
 
-func (m *Machine) applyStops(b *StopBatch) *Rejection {
+func (m *StateMachine) applyStops(b *StopBatch) *Rejection {
 	if r := m.checkEpoch(b.Epoch); r != nil {
 		return r
 	}
@@ -110,7 +110,7 @@
 	for i := range b.Groups {
 		g := &b.Groups[i]
 		m.withJob(g.Job, func(j *job) {
-			for _, item := range g.Items {
+			for _, item := range g.Attempts {
 				if m.applyStop(j, g, item) {
 					applied++
 				} else {
@@ -124,7 +124,7 @@
 
 // applyStop marks a task as stopping. A later stop without a checkpoint
 // overrules one that asked for it, never the other way round.
-func (m *Machine) applyStop(j *job, g *StopGroup, item AttemptItem) bool {
+func (m *StateMachine) applyStop(j *job, g *StopGroup, item AttemptRef) bool {
 	t := j.current(item)
 	if t == nil || j.cancelled {
 		return false
@@ -149,13 +149,13 @@
 	return true
 }
 
-func (m *Machine) applyReplace(b *Replace) *Rejection {
+func (m *StateMachine) applyReplace(b *Replace) *Rejection {
 	if r := m.checkEpoch(b.Epoch); r != nil {
 		return r
 	}
 	applied := 0
 	m.withJob(b.Job, func(j *job) {
-		for _, item := range b.Items {
+		for _, item := range b.Attempts {
 			if m.replaceOne(j, item) {
 				applied++
 			}
@@ -164,7 +164,7 @@
 	return orWrongState(applied)
 }
 
-func (m *Machine) replaceOne(j *job, item AttemptItem) bool {
+func (m *StateMachine) replaceOne(j *job, item AttemptRef) bool {
 	t := j.current(item)
 	if t == nil || j.cancelled || t.flags&flagRetiring != 0 || j.size >= maxTasks {
 		return false
--- a/internal/cell/apply_start.go
+++ b/internal/cell/apply_start.go
@@ -5,7 +5,7 @@
 	"github.com/skylarklock/skylarklock/internal/ledger"
 )
 
-func (m *Machine) applyStarts(b *StartBatch) *Rejection {
+func (m *StateMachine) applyStarts(b *StartBatch) *Rejection {
 	if r := m.checkEpoch(b.Epoch); r != nil {
 		return r
 	}
@@ -29,7 +29,7 @@
 
 // applyGroup applies the starts of one job and returns how many it accepted
 // and the first rejection.
-func (m *Machine) applyGroup(epoch api.Epoch, g *StartGroup) (int, *Rejection) {
+func (m *StateMachine) applyGroup(epoch api.Epoch, g *StartGroup) (int, *Rejection) {
 	m.vms.mu.Lock()
 	defer m.vms.mu.Unlock()
 	accepted := 0
@@ -54,7 +54,7 @@
 
 // groupApply applies one group with its job and the VMs locked.
 type groupApply struct {
-	m     *Machine
+	m     *StateMachine
 	epoch api.Epoch
 	j     *job
 	g     *StartGroup
--- a/internal/cell/bench_test.go
+++ b/internal/cell/bench_test.go
@@ -31,8 +31,8 @@
 		}
 		e, _ := m.StartEntry(1, list)
 		apply(e)
-		apply(m.ReportEntry(1, reports(list, cell.ReportRunning)))
-		apply(m.ReportEntry(1, reports(list, cell.ReportSucceeded)))
+		apply(m.ReportEntry(1, reports(list, cell.AttemptRunning)))
+		apply(m.ReportEntry(1, reports(list, cell.AttemptSucceeded)))
 		starts += perEntry
 	}
 	b.ReportMetric(float64(starts)/b.Elapsed().Seconds(), "starts/s")
@@ -64,7 +64,7 @@
 				b.StopTimer()
 				bytes += len(e.Body)
 				starts += perEntry
-				_ = w.apply(m, m.ReportEntry(1, reports(list, cell.ReportSucceeded)))
+				_ = w.apply(m, m.ReportEntry(1, reports(list, cell.AttemptSucceeded)))
 				b.StartTimer()
 			}
 			b.ReportMetric(float64(starts)/b.Elapsed().Seconds(), "starts/s")
@@ -73,17 +73,17 @@
 	}
 }
 
-func reports(starts []cell.Start, ending cell.Ending) []cell.Report {
+func reports(starts []cell.Start, ending cell.AttemptStatus) []cell.Report {
 	list := make([]cell.Report, len(starts))
 	for i, s := range starts {
-		list[i] = cell.Report{Task: s.Task, Attempt: s.Attempt, Ending: ending}
+		list[i] = cell.Report{Task: s.Task, Attempt: s.Attempt, Status: ending}
 	}
 	return list
 }
 
-// BenchmarkCancelWave cancels 100,000 pending jobs of 50 tasks, 1,000 to an
+// BenchmarkCancelPendingJobs cancels 100,000 pending jobs of 50 tasks, 1,000 to an
 // entry; an operation is one job.
-func BenchmarkCancelWave(b *testing.B) {
+func BenchmarkCancelPendingJobs(b *testing.B) {
 	const wave, perEntry = 100_000, 1000
 	perJob := 0.0
 	for b.Loop() {
--- a/internal/cell/entries.go
+++ b/internal/cell/entries.go
@@ -16,24 +16,24 @@
 
 // Types of entries. The values are part of the stored format.
 const (
-	TypeSubmit    = journal.TypeCellFirst + iota // Submit
-	TypeCancel                                   // Cancel
-	TypeVMs                                      // VMs
-	TypeStart                                    // StartBatch
-	TypeReport                                   // ReportBatch
-	TypeStop                                     // StopBatch
-	TypeReplace                                  // Replace
-	TypeMove                                     // Move
-	TypeMoved                                    // Moved
-	TypePublished                                // Published
+	TypeSubmit        = journal.TypeCellFirst + iota // Submit
+	TypeCancel                                       // Cancel
+	TypeVMUpdate                                     // VMs
+	TypeStart                                        // StartBatch
+	TypeReport                                       // ReportBatch
+	TypeStop                                         // StopBatch
+	TypeReplace                                      // Replace
+	TypeMoveJobs                                     // Move
+	TypeConfirmMoves                                 // Moved
+	TypePublishedJobs                                // Published
 )
 
 // Submit adds a job. The first of an ID that the machine knows wins.
 type Submit struct {
-	_    struct{} `cbor:",toarray"`
-	Spec api.JobSpec
-	At   int64 // proposer's wall clock in Unix milliseconds, for display only
-	From *Origin
+	_            struct{} `cbor:",toarray"`
+	Spec         api.JobSpec
+	ProposedAtMs int64 // proposer's wall clock in Unix milliseconds, for display only
+	MovedFrom    *Origin
 }
 
 // Origin tells of a job that comes from the cell of another data centre.
@@ -42,27 +42,27 @@
 type Origin struct {
 	_          struct{} `cbor:",toarray"`
 	DataCentre api.DataCentre
-	Move       uint32
-	Settled    []Range // tasks that ended there
+	MoveNumber uint32
+	EndedTasks []IndexRange // tasks that ended there
 }
 
-// Range is a run of task indexes, First included and End not.
-type Range struct {
+// IndexRange is a run of task indexes, First included and End not.
+type IndexRange struct {
 	_          struct{} `cbor:",toarray"`
 	First, End uint32
 }
 
-// Move gives jobs of which nothing holds a VM to another data centre. They
+// MoveJobs gives jobs of which nothing holds a VM to another data centre. They
 // end here, and are kept until Moved.
-type Move struct {
+type MoveJobs struct {
 	_     struct{} `cbor:",toarray"`
 	Epoch api.Epoch
 	To    api.DataCentre
 	Jobs  []uint32
 }
 
-// Moved confirms that the cell of the other data centre has the jobs.
-type Moved struct {
+// ConfirmMoves confirms that the cell of the other data centre has the jobs.
+type ConfirmMoves struct {
 	_     struct{} `cbor:",toarray"`
 	Epoch api.Epoch
 	Jobs  []uint32
@@ -74,27 +74,27 @@
 // Cancel cancels whole jobs, each at the cost of one lookup: tasks that hold
 // a VM are stopped when their VM is next synced.
 type Cancel struct {
-	_    struct{} `cbor:",toarray"`
-	Jobs []api.JobID
-	At   int64 // as in Submit
+	_            struct{} `cbor:",toarray"`
+	Jobs         []api.JobID
+	ProposedAtMs int64 // as in Submit
 }
 
-// SeenVM is a VM as listed by the platform. Its capacity is what the ledger
+// ObservedVM is a VM as listed by the platform. Its capacity is what the ledger
 // checks starts against.
-type SeenVM struct {
+type ObservedVM struct {
 	_        struct{} `cbor:",toarray"`
 	ID       api.VMID
 	Rack     string
 	Capacity api.Resources
 }
 
-// VMs adds or changes VMs and drops others. A dropped VM takes no starts; it
+// VMUpdate adds or changes VMs and drops others. A dropped VM takes no starts; it
 // is forgotten when nothing holds it any more.
-type VMs struct {
-	_     struct{} `cbor:",toarray"`
-	Epoch api.Epoch
-	Seen  []SeenVM
-	Gone  []api.VMID
+type VMUpdate struct {
+	_        struct{} `cbor:",toarray"`
+	Epoch    api.Epoch
+	Observed []ObservedVM
+	Removed  []api.VMID
 }
 
 // StartBatch starts tasks. Each is accepted or rejected on its own, but for
@@ -123,18 +123,18 @@
 	VM      uint32 // number of the VM
 }
 
-// Ending says what became of an attempt. The values are part of the stored
+// AttemptStatus says what became of an attempt. The values are part of the stored
 // format.
-type Ending uint8
+type AttemptStatus uint8
 
 // Reports on an attempt.
 const (
-	ReportRunning      Ending = iota + 1 // seen running
-	ReportSucceeded                      // ended well
-	ReportErrored                        // ended badly, by itself
-	ReportCheckpointed                   // stopped after a checkpoint
-	ReportKilled                         // stopped without a checkpoint
-	ReportLost                           // certainly not running any more, nothing else is known
+	AttemptRunning      AttemptStatus = iota + 1 // seen running
+	AttemptSucceeded                             // ended well
+	AttemptFailed                                // ended badly, by itself
+	AttemptCheckpointed                          // stopped after a checkpoint
+	AttemptKilled                                // stopped without a checkpoint
+	AttemptLost                                  // certainly not running any more, nothing else is known
 )
 
 // ReportBatch passes on what workers reported, or what is certain without
@@ -147,15 +147,15 @@
 
 // ReportGroup holds reports of one job with the same ending and reason.
 type ReportGroup struct {
-	_      struct{} `cbor:",toarray"`
-	Job    uint32
-	Ending Ending
-	Reason uint8 // code of an api.Reason, zero for none
-	Items  []AttemptItem
+	_        struct{} `cbor:",toarray"`
+	Job      uint32
+	Status   AttemptStatus
+	Reason   uint8 // code of an api.Reason, zero for none
+	Attempts []AttemptRef
 }
 
-// AttemptItem names one attempt of a task.
-type AttemptItem struct {
+// AttemptRef names one attempt of a task.
+type AttemptRef struct {
 	_       struct{} `cbor:",toarray"`
 	Index   uint32
 	Attempt uint32
@@ -175,17 +175,17 @@
 	Job        uint32
 	Checkpoint bool  // save before stopping
 	Reason     uint8 // code of an api.Reason
-	For        api.JobID
-	Items      []AttemptItem
+	Preemptor  api.JobID
+	Attempts   []AttemptRef
 }
 
 // Replace adds to a job one task for each named, to run in its stead. When
 // the named task ends it is not started again.
 type Replace struct {
-	_     struct{} `cbor:",toarray"`
-	Epoch api.Epoch
-	Job   uint32
-	Items []AttemptItem
+	_        struct{} `cbor:",toarray"`
+	Epoch    api.Epoch
+	Job      uint32
+	Attempts []AttemptRef
 }
 
 // entry wraps a body.
--- a/internal/cell/events.go
+++ b/internal/cell/events.go
@@ -21,8 +21,8 @@
 	EventTaskStopping            // ordered to stop; still holds VM
 	EventTaskFreed               // holds VM no longer; State is the new state
 	EventTaskAdded               // a replacement, pending
-	EventVMSeen                  // added or changed
-	EventVMGone                  // takes no more starts
+	EventVMObserved              // added or changed
+	EventVMRemoved               // takes no more starts
 	EventRestored                // the whole state was replaced: read it anew
 )
 
--- a/internal/cell/explain.go
+++ b/internal/cell/explain.go
@@ -7,26 +7,26 @@
 	"github.com/skylarklock/skylarklock/internal/journal"
 )
 
-// WaitNote says why a job waits, from the placement's last cycle.
-type WaitNote struct {
-	Reason api.Reason
-	Detail string
-	Never  bool // no VM of the cell could ever hold a task of it
+// WaitReason says why a job waits, from the placement's last cycle.
+type WaitReason struct {
+	Reason    api.Reason
+	Detail    string
+	NeverFits bool // no VM of the cell could ever hold a task of it
 }
 
 // waitBoard holds the notes of the last cycle. It is no part of the state
 // that the log decides.
 type waitBoard struct {
-	notes atomic.Pointer[map[api.JobID]WaitNote]
+	notes atomic.Pointer[map[api.JobID]WaitReason]
 }
 
-// SetWaits replaces the notes on waiting jobs. The map is not to be changed
+// SetWaitReasons replaces the notes on waiting jobs. The map is not to be changed
 // afterwards.
-func (m *Machine) SetWaits(notes map[api.JobID]WaitNote) {
+func (m *StateMachine) SetWaitReasons(notes map[api.JobID]WaitReason) {
 	m.waits.notes.Store(&notes)
 }
 
-func (m *Machine) wait(job api.JobID) *WaitNote {
+func (m *StateMachine) wait(job api.JobID) *WaitReason {
 	notes := m.waits.notes.Load()
 	if notes == nil {
 		return nil
@@ -39,13 +39,13 @@
 
 // Incident is one noteworthy thing that was done to a job or task.
 type Incident struct {
-	Position journal.Position
-	Task     api.TaskID
-	Attempt  uint32
-	VM       api.VMID
-	What     string
-	State    api.TaskState
-	Reason   api.Reason
+	Position    journal.Position
+	Task        api.TaskID
+	Attempt     uint32
+	VM          api.VMID
+	Description string
+	State       api.TaskState
+	Reason      api.Reason
 }
 
 // maxIncidents bounds the incidents of one explanation; the newest are kept.
@@ -54,13 +54,13 @@
 // Explanation says how a job, or one task of it, stands and why.
 type Explanation struct {
 	Job       JobView
-	Task      *TaskView // nil for a job
-	Wait      *WaitNote // nil when nothing waits, or this VM doesn't place
+	Task      *TaskView   // nil for a job
+	Wait      *WaitReason // nil when nothing waits, or this VM doesn't place
 	Incidents []Incident
 }
 
 // Explain explains a job, if it is known.
-func (m *Machine) Explain(id api.JobID) (Explanation, bool) {
+func (m *StateMachine) Explain(id api.JobID) (Explanation, bool) {
 	job, ok := m.Job(id)
 	if !ok {
 		return Explanation{}, false
@@ -74,7 +74,7 @@
 }
 
 // ExplainTask explains one task, if it is known.
-func (m *Machine) ExplainTask(id api.TaskID) (Explanation, bool) {
+func (m *StateMachine) ExplainTask(id api.TaskID) (Explanation, bool) {
 	job, ok := m.Job(id.Job)
 	if !ok {
 		return Explanation{}, false
@@ -93,7 +93,7 @@
 	return x, true
 }
 
-func (m *Machine) incidents(match func(Event) bool) []Incident {
+func (m *StateMachine) incidents(match func(Event) bool) []Incident {
 	m.historyMu.Lock()
 	defer m.historyMu.Unlock()
 	var list []Incident
@@ -118,12 +118,12 @@
 
 func incidentOf(l logged) Incident {
 	return Incident{
-		Position: l.pos,
-		Task:     l.event.Task,
-		Attempt:  l.event.Attempt,
-		VM:       l.event.VM,
-		What:     incidentNames[l.event.Kind],
-		State:    l.event.State,
-		Reason:   l.event.Reason,
+		Position:    l.pos,
+		Task:        l.event.Task,
+		Attempt:     l.event.Attempt,
+		VM:          l.event.VM,
+		Description: incidentNames[l.event.Kind],
+		State:       l.event.State,
+		Reason:      l.event.Reason,
 	}
 }
--- a/internal/cell/job.go
+++ b/internal/cell/job.go
@@ -147,16 +147,16 @@
 }
 
 // settle moves a task whose attempt ended.
-func (j *job) settle(t *task, ending Ending, reason uint8) {
+func (j *job) settle(t *task, ending AttemptStatus, reason uint8) {
 	t.vm = noVM
 	if reason != 0 || t.state != api.TaskStopping {
 		t.reason = reason
 	}
 	t.flags &^= flagStopSave
-	if ending == ReportCheckpointed {
+	if ending == AttemptCheckpointed {
 		t.flags |= flagCheckpoint
 	}
-	if ending == ReportErrored && t.failures < ^uint16(0) {
+	if ending == AttemptFailed && t.failures < ^uint16(0) {
 		t.failures++
 	}
 	j.shift(t, j.next(t, ending))
@@ -166,14 +166,14 @@
 }
 
 // next decides the state after an attempt ended.
-func (j *job) next(t *task, ending Ending) api.TaskState {
+func (j *job) next(t *task, ending AttemptStatus) api.TaskState {
 	service := j.spec.Class == api.ClassService
 	switch {
-	case ending == ReportSucceeded && !service:
+	case ending == AttemptSucceeded && !service:
 		return api.TaskFinished
 	case j.cancelled || t.flags&flagRetiring != 0:
 		return api.TaskCancelled
-	case ending == ReportErrored && uint32(t.failures) >= j.maxFailures():
+	case ending == AttemptFailed && uint32(t.failures) >= j.maxFailures():
 		return api.TaskFailed
 	}
 	return api.TaskPending
--- a/internal/cell/machine.go
+++ b/internal/cell/machine.go
@@ -52,8 +52,8 @@
 	ledger  ledger.Ledger
 }
 
-// Machine is the journal.StateMachine of jobs and tasks.
-type Machine struct {
+// StateMachine is the journal.StateMachine of jobs and tasks.
+type StateMachine struct {
 	epochs   EpochSource
 	counters Counters
 
@@ -82,13 +82,13 @@
 }
 
 // New returns an empty machine. counters may be nil.
-func New(epochs EpochSource, counters Counters) *Machine {
-	m := &Machine{epochs: epochs, counters: counters, seed: maphash.MakeSeed()}
+func New(epochs EpochSource, counters Counters) *StateMachine {
+	m := &StateMachine{epochs: epochs, counters: counters, seed: maphash.MakeSeed()}
 	m.reset()
 	return m
 }
 
-func (m *Machine) reset() {
+func (m *StateMachine) reset() {
 	for i := range m.shards {
 		m.shards[i].jobs = make(map[uint32]*job)
 		m.names[i].numbers = make(map[api.JobID]uint32)
@@ -108,27 +108,27 @@
 // Subscribe registers f for the events of every entry from now on. It is
 // called in apply order, from the applying goroutine, and must return soon;
 // it may read the machine but not call View.
-func (m *Machine) Subscribe(f func([]Event)) {
+func (m *StateMachine) Subscribe(f func([]Event)) {
 	m.applying.Lock()
 	defer m.applying.Unlock()
 	m.subscribers = append(m.subscribers, f)
 }
 
 // View calls f while no entry is being applied.
-func (m *Machine) View(f func()) {
+func (m *StateMachine) View(f func()) {
 	m.applying.Lock()
 	defer m.applying.Unlock()
 	f()
 }
 
 // Types implements journal.StateMachine.
-func (m *Machine) Types() []journal.EntryType {
-	return []journal.EntryType{TypeSubmit, TypeCancel, TypeVMs, TypeStart, TypeReport, TypeStop, TypeReplace, TypeMove, TypeMoved, TypePublished}
+func (m *StateMachine) Types() []journal.EntryType {
+	return []journal.EntryType{TypeSubmit, TypeCancel, TypeVMUpdate, TypeStart, TypeReport, TypeStop, TypeReplace, TypeMoveJobs, TypeConfirmMoves, TypePublishedJobs}
 }
 
 // Apply implements journal.StateMachine. Its errors are of type *Rejection. A
 // batch of which anything was accepted returns nil; the events tell of each.
-func (m *Machine) Apply(pos journal.Position, e journal.Entry) error {
+func (m *StateMachine) Apply(pos journal.Position, e journal.Entry) error {
 	m.applying.Lock()
 	defer m.applying.Unlock()
 	m.pos = pos
@@ -144,13 +144,13 @@
 	return nil
 }
 
-func (m *Machine) dispatch(e journal.Entry) *Rejection {
+func (m *StateMachine) dispatch(e journal.Entry) *Rejection {
 	switch e.Type {
 	case TypeSubmit:
 		return decoded(e, m.applySubmit)
 	case TypeCancel:
 		return decoded(e, m.applyCancel)
-	case TypeVMs:
+	case TypeVMUpdate:
 		return decoded(e, m.applyVMs)
 	case TypeStart:
 		return decoded(e, m.applyStarts)
@@ -160,11 +160,11 @@
 		return decoded(e, m.applyStops)
 	case TypeReplace:
 		return decoded(e, m.applyReplace)
-	case TypeMove:
+	case TypeMoveJobs:
 		return decoded(e, m.applyMove)
-	case TypeMoved:
+	case TypeConfirmMoves:
 		return decoded(e, m.applyMoved)
-	case TypePublished:
+	case TypePublishedJobs:
 		return decoded(e, m.applyPublished)
 	}
 	return &Rejection{Reason: api.ReasonMalformed, Detail: "unknown entry type"}
@@ -179,7 +179,7 @@
 }
 
 // publish keeps what is noteworthy and calls the subscribers.
-func (m *Machine) publish() {
+func (m *StateMachine) publish() {
 	if len(m.events) == 0 {
 		return
 	}
@@ -195,11 +195,11 @@
 	}
 }
 
-func (m *Machine) emit(e Event) {
+func (m *StateMachine) emit(e Event) {
 	m.events = append(m.events, e)
 }
 
-func (m *Machine) count(reason api.Reason) {
+func (m *StateMachine) count(reason api.Reason) {
 	if m.counters != nil {
 		m.counters.Inc(counterGroup, reason)
 	}
@@ -207,22 +207,22 @@
 
 // checkEpoch rejects entries of a holder that has been superseded, or that
 // the log does not know yet.
-func (m *Machine) checkEpoch(epoch api.Epoch) *Rejection {
+func (m *StateMachine) checkEpoch(epoch api.Epoch) *Rejection {
 	if current := m.epochs.CellEpoch(); epoch == 0 || epoch != current {
 		return &Rejection{Reason: api.ReasonStaleEpoch, Detail: "the cell shard has another epoch"}
 	}
 	return nil
 }
 
-func (m *Machine) shardOf(number uint32) *shard {
+func (m *StateMachine) shardOf(number uint32) *shard {
 	return &m.shards[number%shardCount]
 }
 
-func (m *Machine) nameShardOf(id api.JobID) *nameShard {
+func (m *StateMachine) nameShardOf(id api.JobID) *nameShard {
 	return &m.names[maphash.String(m.seed, string(id))%shardCount]
 }
 
-func (m *Machine) numberOf(id api.JobID) (uint32, bool) {
+func (m *StateMachine) numberOf(id api.JobID) (uint32, bool) {
 	s := m.nameShardOf(id)
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -231,7 +231,7 @@
 }
 
 // withJob calls f with the job locked for writing, if it is known.
-func (m *Machine) withJob(number uint32, f func(*job)) bool {
+func (m *StateMachine) withJob(number uint32, f func(*job)) bool {
 	s := m.shardOf(number)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -244,7 +244,7 @@
 }
 
 // readJob calls f with the job locked for reading, if it is known.
-func (m *Machine) readJob(id api.JobID, f func(*job)) bool {
+func (m *StateMachine) readJob(id api.JobID, f func(*job)) bool {
 	number, ok := m.numberOf(id)
 	if !ok {
 		return false
--- a/internal/cell/machine_test.go
+++ b/internal/cell/machine_test.go
@@ -22,12 +22,12 @@
 func (w *world) CellEpoch() api.Epoch            { return w.epoch }
 func (w *world) Inc(_ string, reason api.Reason) { w.counted[reason]++ }
 
-func newMachine() (*cell.Machine, *world) {
+func newMachine() (*cell.StateMachine, *world) {
 	w := &world{epoch: 1, counted: map[api.Reason]int{}}
 	return cell.New(w, w), w
 }
 
-func (w *world) apply(m *cell.Machine, e journal.Entry) error {
+func (w *world) apply(m *cell.StateMachine, e journal.Entry) error {
 	w.offset++
 	return m.Apply(journal.Position{Index: w.offset}, e)
 }
@@ -48,11 +48,11 @@
 }
 
 // setUp observes two VMs of 4 cores and submits a batch and a gang job.
-func setUp(t testing.TB, m *cell.Machine, w *world) {
+func setUp(t testing.TB, m *cell.StateMachine, w *world) {
 	t.Helper()
-	seen := []cell.SeenVM{{ID: "a", Rack: "r1", Capacity: cores(4)}, {ID: "b", Rack: "r2", Capacity: cores(4)}}
+	seen := []cell.ObservedVM{{ID: "a", Rack: "r1", Capacity: cores(4)}, {ID: "b", Rack: "r2", Capacity: cores(4)}}
 	for _, e := range []journal.Entry{
-		cell.VMsEntry(1, seen, nil),
+		cell.VMUpdateEntry(1, seen, nil),
 		cell.SubmitEntry(api.JobSpec{ID: "batch", Class: api.ClassBatch, Tasks: 6, Resources: cores(1), MaxAttempts: 2}, 0),
 		cell.SubmitEntry(api.JobSpec{ID: "gang", Class: api.ClassGang, Tasks: 3, Resources: cores(2)}, 0),
 	} {
@@ -63,7 +63,7 @@
 }
 
 // Each start is checked where it stands, whatever its proposer knew.
-func TestStartsAreCheckedAtTheirPlaceInTheLog(t *testing.T) {
+func TestStartsAreCheckedWhenApplied(t *testing.T) {
 	start := func(index, attempt uint32, vm api.VMID, n int64) cell.Start {
 		return cell.Start{Task: task("batch", index), Attempt: attempt, VM: vm, Resources: cores(n)}
 	}
@@ -105,7 +105,7 @@
 }
 
 // A gang whose last start doesn't fit leaves no claim behind.
-func TestGangStartsWholeOrNotAtAll(t *testing.T) {
+func TestGangStartsAllOrNothing(t *testing.T) {
 	m, w := newMachine()
 	setUp(t, m, w)
 	var events []cell.Event
@@ -135,12 +135,12 @@
 	if err := w.apply(m, gang("a", "b", "a")); err != nil {
 		t.Fatal(err)
 	}
-	if pending := m.Pending("gang"); len(pending) > 0 || len(m.Holding("gang")) != 3 {
-		t.Error(pending, m.Holding("gang"))
+	if pending := m.Pending("gang"); len(pending) > 0 || len(m.AllocatedTasks("gang")) != 3 {
+		t.Error(pending, m.AllocatedTasks("gang"))
 	}
 }
 
-func TestTaskIsGivenUpAfterItsAttempts(t *testing.T) {
+func TestTaskFailsAfterMaxAttempts(t *testing.T) {
 	m, w := newMachine()
 	setUp(t, m, w)
 	for attempt := uint32(1); attempt <= 2; attempt++ {
@@ -148,7 +148,7 @@
 		if err := w.apply(m, e); err != nil {
 			t.Fatal(err)
 		}
-		failed := cell.Report{Task: task("batch", 0), Attempt: attempt, Ending: cell.ReportErrored, Reason: api.ReasonTaskFailed}
+		failed := cell.Report{Task: task("batch", 0), Attempt: attempt, Status: cell.AttemptFailed, Reason: api.ReasonTaskFailed}
 		if err := w.apply(m, m.ReportEntry(1, []cell.Report{failed})); err != nil {
 			t.Fatal(err)
 		}
@@ -164,7 +164,7 @@
 
 // A replacement runs beside the task it replaces, which then is not started
 // again; the job keeps its size.
-func TestReplacementTakesOver(t *testing.T) {
+func TestReplacedTaskIsNotRestarted(t *testing.T) {
 	m, w := newMachine()
 	setUp(t, m, w)
 	_ = w.apply(m, cell.SubmitEntry(api.JobSpec{ID: "svc", Class: api.ClassService, Tasks: 1, Resources: cores(1)}, 0))
@@ -175,7 +175,7 @@
 		}
 	}
 	start(0, "a")
-	replace, _ := m.ReplaceEntry(1, "svc", m.On("a"))
+	replace, _ := m.ReplaceEntry(1, "svc", m.TasksOnVM("a"))
 	if err := w.apply(m, replace); err != nil {
 		t.Fatal(err)
 	}
@@ -183,7 +183,7 @@
 		t.Fatal("replaced twice")
 	}
 	start(1, "b")
-	lost := cell.Report{Task: task("svc", 0), Attempt: 1, Ending: cell.ReportLost, Reason: api.ReasonWorkerLost}
+	lost := cell.Report{Task: task("svc", 0), Attempt: 1, Status: cell.AttemptLost, Reason: api.ReasonWorkerLost}
 	if err := w.apply(m, m.ReportEntry(1, []cell.Report{lost})); err != nil {
 		t.Fatal(err)
 	}
@@ -195,12 +195,12 @@
 
 // Entries at random, many of them wrong, keep every VM within its capacity;
 // a machine restored from a snapshot at any moment goes on exactly alike.
-func TestReplayFromASnapshotIsExact(t *testing.T) {
+func TestReplayFromSnapshotIsDeterministic(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		a, w := newMachine()
 		setUp(t, a, w)
-		b := (*cell.Machine)(nil)
+		b := (*cell.StateMachine)(nil)
 		for step := range 400 {
 			e := randomEntry(rng, a)
 			errA := w.apply(a, e)
@@ -226,7 +226,7 @@
 	}
 }
 
-func restored(t *testing.T, m *cell.Machine, w *world) *cell.Machine {
+func restored(t *testing.T, m *cell.StateMachine, w *world) *cell.StateMachine {
 	t.Helper()
 	image, err := m.Snapshot()
 	if err != nil {
@@ -240,7 +240,7 @@
 }
 
 // randomEntry draws entries that are valid about half of the time.
-func randomEntry(rng *rand.Rand, m *cell.Machine) journal.Entry {
+func randomEntry(rng *rand.Rand, m *cell.StateMachine) journal.Entry {
 	jobs := []string{"batch", "gang", "x", "y"}
 	id := task(jobs[rng.IntN(len(jobs))], uint32(rng.IntN(7)))
 	vm := api.VMID([]string{"a", "b", "c"}[rng.IntN(3)])
@@ -249,9 +249,9 @@
 	switch rng.IntN(13) {
 	case 12:
 		if rng.IntN(2) == 0 {
-			return m.ConfirmEntry(epoch, []api.JobID{id.Job})
+			return m.ConfirmMovesEntry(epoch, []api.JobID{id.Job})
 		}
-		return m.MoveEntry(epoch, "bne2", []api.JobID{id.Job})
+		return m.MoveJobsEntry(epoch, "bne2", []api.JobID{id.Job})
 	case 0:
 		class := []api.Class{api.ClassBatch, api.ClassService}[rng.IntN(2)]
 		return cell.SubmitEntry(api.JobSpec{ID: id.Job, Class: class, Tasks: 1 + uint32(rng.IntN(6)), Resources: cores(1)}, 0)
@@ -259,17 +259,17 @@
 		return cell.CancelEntry([]api.JobID{id.Job}, 0)
 	case 2:
 		if rng.IntN(3) == 0 {
-			return cell.VMsEntry(epoch, nil, []api.VMID{vm})
+			return cell.VMUpdateEntry(epoch, nil, []api.VMID{vm})
 		}
-		return cell.VMsEntry(epoch, []cell.SeenVM{{ID: vm, Rack: "r", Capacity: cores(4)}}, nil)
+		return cell.VMUpdateEntry(epoch, []cell.ObservedVM{{ID: vm, Rack: "r", Capacity: cores(4)}}, nil)
 	case 3:
 		return m.StopEntry(epoch, []cell.Stop{{Task: id, Attempt: view.Attempt, Checkpoint: rng.IntN(2) == 0, Reason: api.ReasonPreempted}})
 	case 4:
-		e, _ := m.ReplaceEntry(epoch, id.Job, m.On(vm))
+		e, _ := m.ReplaceEntry(epoch, id.Job, m.TasksOnVM(vm))
 		return e
 	case 5, 6, 7:
-		ending := cell.ReportRunning + cell.Ending(rng.IntN(6))
-		return m.ReportEntry(epoch, []cell.Report{{Task: id, Attempt: view.Attempt, Ending: ending, Reason: api.ReasonWorkerLost}})
+		ending := cell.AttemptRunning + cell.AttemptStatus(rng.IntN(6))
+		return m.ReportEntry(epoch, []cell.Report{{Task: id, Attempt: view.Attempt, Status: ending, Reason: api.ReasonWorkerLost}})
 	}
 	var starts []cell.Start
 	for index := range uint32(1 + rng.IntN(4)) {
@@ -281,13 +281,13 @@
 }
 
 // benchState fills a machine with running tasks, 25 to a VM.
-func benchState(b *testing.B, vms, tasks int) (*cell.Machine, *world) {
+func benchState(b *testing.B, vms, tasks int) (*cell.StateMachine, *world) {
 	m, w := newMachine()
-	var seen []cell.SeenVM
+	var seen []cell.ObservedVM
 	for i := range vms {
-		seen = append(seen, cell.SeenVM{ID: vmName(i), Rack: fmt.Sprint("r", i/8), Capacity: api.Resources{MilliCPU: 64_000, MemoryMB: 1 << 18}})
+		seen = append(seen, cell.ObservedVM{ID: vmName(i), Rack: fmt.Sprint("r", i/8), Capacity: api.Resources{MilliCPU: 64_000, MemoryMB: 1 << 18}})
 	}
-	if err := w.apply(m, cell.VMsEntry(1, seen, nil)); err != nil {
+	if err := w.apply(m, cell.VMUpdateEntry(1, seen, nil)); err != nil {
 		b.Fatal(err)
 	}
 	const perJob = 50
--- a/internal/cell/move.go
+++ b/internal/cell/move.go
@@ -6,24 +6,24 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// Moving is a job that has left this cell and may not have arrived in the
+// MovedJob is a job that has left this cell and may not have arrived in the
 // other one yet.
-type Moving struct {
-	Spec    api.JobSpec
-	To      api.DataCentre
-	Move    uint32  // from 1, in the order in which they are to be submitted
-	Settled []Range // tasks that ended here
+type MovedJob struct {
+	Spec       api.JobSpec
+	To         api.DataCentre
+	MoveNumber uint32       // from 1, in the order in which they are to be submitted
+	EndedTasks []IndexRange // tasks that ended here
 }
 
-// Unconfirmed returns the jobs that were moved and whose arrival is not
+// UnconfirmedMoves returns the jobs that were moved and whose arrival is not
 // confirmed, in order of their moves.
-func (m *Machine) Unconfirmed() []Moving {
+func (m *StateMachine) UnconfirmedMoves() []MovedJob {
 	m.applying.Lock()
 	defer m.applying.Unlock()
-	list := make([]Moving, 0, len(m.movedOut))
+	list := make([]MovedJob, 0, len(m.movedOut))
 	for _, number := range m.movedOut {
 		m.rlockJob(number, func(j *job) {
-			list = append(list, Moving{Spec: j.spec, To: j.movedTo, Move: j.move, Settled: j.settledRanges()})
+			list = append(list, MovedJob{Spec: j.spec, To: j.movedTo, MoveNumber: j.move, EndedTasks: j.settledRanges()})
 		})
 	}
 	return list
@@ -31,11 +31,11 @@
 
 // settledRanges lists the tasks that ended. The tasks of a service start
 // anew, all of them.
-func (j *job) settledRanges() []Range {
+func (j *job) settledRanges() []IndexRange {
 	if j.spec.Class == api.ClassService {
 		return nil
 	}
-	var ranges []Range
+	var ranges []IndexRange
 	for i := range j.tasks {
 		if s := j.tasks[i].state; s != api.TaskFinished && s != api.TaskFailed {
 			continue
@@ -45,13 +45,13 @@
 			ranges[last].End++
 			continue
 		}
-		ranges = append(ranges, Range{First: index, End: index + 1})
+		ranges = append(ranges, IndexRange{First: index, End: index + 1})
 	}
 	return ranges
 }
 
 // settleRanges marks tasks as ended elsewhere.
-func (j *job) settleRanges(ranges []Range) {
+func (j *job) settleRanges(ranges []IndexRange) {
 	for _, r := range ranges {
 		j.allocate()
 		for i := r.First; i < min(r.End, j.size); i++ {
@@ -64,22 +64,22 @@
 }
 
 // takeMove takes the moves of a data centre in order and each once.
-func (m *Machine) takeMove(s *Submit) *Rejection {
-	if s.From == nil {
+func (m *StateMachine) takeMove(s *Submit) *Rejection {
+	if s.MovedFrom == nil {
 		return nil
 	}
 	task := api.TaskID{Job: s.Spec.ID}
-	switch latest := m.movedIn[s.From.DataCentre]; {
-	case s.From.Move <= latest:
+	switch latest := m.movedIn[s.MovedFrom.DataCentre]; {
+	case s.MovedFrom.MoveNumber <= latest:
 		return &Rejection{Reason: api.ReasonDuplicate, Task: task, Detail: "the move was taken before"}
-	case s.From.Move > latest+1:
+	case s.MovedFrom.MoveNumber > latest+1:
 		return &Rejection{Reason: api.ReasonConflict, Task: task, Detail: "an earlier move is missing"}
 	}
-	m.movedIn[s.From.DataCentre] = s.From.Move
+	m.movedIn[s.MovedFrom.DataCentre] = s.MovedFrom.MoveNumber
 	return nil
 }
 
-func (m *Machine) applyMove(b *Move) *Rejection {
+func (m *StateMachine) applyMove(b *MoveJobs) *Rejection {
 	if r := m.checkEpoch(b.Epoch); r != nil {
 		return r
 	}
@@ -98,7 +98,7 @@
 }
 
 // moveOut ends a job here, unless some of it still holds a VM.
-func (m *Machine) moveOut(number uint32, to api.DataCentre) bool {
+func (m *StateMachine) moveOut(number uint32, to api.DataCentre) bool {
 	var id api.JobID
 	moved := false
 	m.withJob(number, func(j *job) {
@@ -120,7 +120,7 @@
 	return moved
 }
 
-func (m *Machine) applyMoved(b *Moved) *Rejection {
+func (m *StateMachine) applyMoved(b *ConfirmMoves) *Rejection {
 	if r := m.checkEpoch(b.Epoch); r != nil {
 		return r
 	}
--- a/internal/cell/propose.go
+++ b/internal/cell/propose.go
@@ -18,7 +18,7 @@
 type Report struct {
 	Task    api.TaskID
 	Attempt uint32
-	Ending  Ending
+	Status  AttemptStatus
 	Reason  api.Reason
 }
 
@@ -28,42 +28,42 @@
 	Attempt    uint32
 	Checkpoint bool
 	Reason     api.Reason
-	For        api.JobID // the job that gains from a preemption, if any
+	Preemptor  api.JobID // the job that gains from a preemption, if any
 }
 
 // SubmitEntry builds the entry of a Submit.
 func SubmitEntry(spec api.JobSpec, atMs int64) journal.Entry {
-	return entry(TypeSubmit, &Submit{Spec: spec, At: atMs})
+	return entry(TypeSubmit, &Submit{Spec: spec, ProposedAtMs: atMs})
 }
 
 // CancelEntry builds the entry of a Cancel.
 func CancelEntry(jobs []api.JobID, atMs int64) journal.Entry {
-	return entry(TypeCancel, &Cancel{Jobs: jobs, At: atMs})
+	return entry(TypeCancel, &Cancel{Jobs: jobs, ProposedAtMs: atMs})
 }
 
-// VMsEntry builds the entry of a VMs.
-func VMsEntry(epoch api.Epoch, seen []SeenVM, gone []api.VMID) journal.Entry {
-	return entry(TypeVMs, &VMs{Epoch: epoch, Seen: seen, Gone: gone})
+// VMUpdateEntry builds the entry of a VMs.
+func VMUpdateEntry(epoch api.Epoch, seen []ObservedVM, gone []api.VMID) journal.Entry {
+	return entry(TypeVMUpdate, &VMUpdate{Epoch: epoch, Observed: seen, Removed: gone})
 }
 
-// MovedEntry builds the entry that submits a job which another data centre
+// SubmitMovedEntry builds the entry that submits a job which another data centre
 // has moved here.
-func MovedEntry(moving Moving, from api.DataCentre, atMs int64) journal.Entry {
-	origin := &Origin{DataCentre: from, Move: moving.Move, Settled: moving.Settled}
-	return entry(TypeSubmit, &Submit{Spec: moving.Spec, At: atMs, From: origin})
+func SubmitMovedEntry(moving MovedJob, from api.DataCentre, atMs int64) journal.Entry {
+	origin := &Origin{DataCentre: from, MoveNumber: moving.MoveNumber, EndedTasks: moving.EndedTasks}
+	return entry(TypeSubmit, &Submit{Spec: moving.Spec, ProposedAtMs: atMs, MovedFrom: origin})
 }
 
-// MoveEntry builds the entry of a Move; it leaves out unknown jobs.
-func (m *Machine) MoveEntry(epoch api.Epoch, to api.DataCentre, jobs []api.JobID) journal.Entry {
-	return entry(TypeMove, &Move{Epoch: epoch, To: to, Jobs: m.numbersOf(jobs)})
+// MoveJobsEntry builds the entry of a Move; it leaves out unknown jobs.
+func (m *StateMachine) MoveJobsEntry(epoch api.Epoch, to api.DataCentre, jobs []api.JobID) journal.Entry {
+	return entry(TypeMoveJobs, &MoveJobs{Epoch: epoch, To: to, Jobs: m.numbersOf(jobs)})
 }
 
-// ConfirmEntry builds the entry of a Moved; it leaves out unknown jobs.
-func (m *Machine) ConfirmEntry(epoch api.Epoch, jobs []api.JobID) journal.Entry {
-	return entry(TypeMoved, &Moved{Epoch: epoch, Jobs: m.numbersOf(jobs)})
+// ConfirmMovesEntry builds the entry of a Moved; it leaves out unknown jobs.
+func (m *StateMachine) ConfirmMovesEntry(epoch api.Epoch, jobs []api.JobID) journal.Entry {
+	return entry(TypeConfirmMoves, &ConfirmMoves{Epoch: epoch, Jobs: m.numbersOf(jobs)})
 }
 
-func (m *Machine) numbersOf(jobs []api.JobID) []uint32 {
+func (m *StateMachine) numbersOf(jobs []api.JobID) []uint32 {
 	var numbers []uint32
 	for _, id := range jobs {
 		if n, ok := m.numberOf(id); ok {
@@ -75,7 +75,7 @@
 
 // StartEntry builds one entry of starts. It leaves out those whose job or VM
 // is not known and returns them.
-func (m *Machine) StartEntry(epoch api.Epoch, starts []Start) (journal.Entry, []Start) {
+func (m *StateMachine) StartEntry(epoch api.Epoch, starts []Start) (journal.Entry, []Start) {
 	type groupKey struct {
 		job       uint32
 		resources api.Resources
@@ -103,7 +103,7 @@
 	return entry(TypeStart, &batch), skipped
 }
 
-func (m *Machine) vmNumber(id api.VMID) (uint32, bool) {
+func (m *StateMachine) vmNumber(id api.VMID) (uint32, bool) {
 	m.vms.mu.RLock()
 	defer m.vms.mu.RUnlock()
 	n, ok := m.vms.numbers[id]
@@ -111,10 +111,10 @@
 }
 
 // ReportEntry builds one entry of reports; it leaves out unknown jobs.
-func (m *Machine) ReportEntry(epoch api.Epoch, reports []Report) journal.Entry {
+func (m *StateMachine) ReportEntry(epoch api.Epoch, reports []Report) journal.Entry {
 	type groupKey struct {
 		job    uint32
-		ending Ending
+		ending AttemptStatus
 		reason uint8
 	}
 	batch := ReportBatch{Epoch: epoch}
@@ -124,21 +124,21 @@
 		if !ok {
 			continue
 		}
-		key := groupKey{job: job, ending: r.Ending, reason: reasonCode(r.Reason)}
+		key := groupKey{job: job, ending: r.Status, reason: reasonCode(r.Reason)}
 		i, ok := groups[key]
 		if !ok {
 			i = len(batch.Groups)
 			groups[key] = i
-			batch.Groups = append(batch.Groups, ReportGroup{Job: job, Ending: r.Ending, Reason: key.reason})
+			batch.Groups = append(batch.Groups, ReportGroup{Job: job, Status: r.Status, Reason: key.reason})
 		}
 		g := &batch.Groups[i]
-		g.Items = append(g.Items, AttemptItem{Index: r.Task.Index, Attempt: r.Attempt})
+		g.Attempts = append(g.Attempts, AttemptRef{Index: r.Task.Index, Attempt: r.Attempt})
 	}
 	return entry(TypeReport, &batch)
 }
 
 // StopEntry builds one entry of stops; it leaves out unknown jobs.
-func (m *Machine) StopEntry(epoch api.Epoch, stops []Stop) journal.Entry {
+func (m *StateMachine) StopEntry(epoch api.Epoch, stops []Stop) journal.Entry {
 	type groupKey struct {
 		job        uint32
 		checkpoint bool
@@ -152,29 +152,29 @@
 		if !ok {
 			continue
 		}
-		key := groupKey{job: job, checkpoint: s.Checkpoint, reason: reasonCode(s.Reason), gainer: s.For}
+		key := groupKey{job: job, checkpoint: s.Checkpoint, reason: reasonCode(s.Reason), gainer: s.Preemptor}
 		i, ok := groups[key]
 		if !ok {
 			i = len(batch.Groups)
 			groups[key] = i
-			batch.Groups = append(batch.Groups, StopGroup{Job: job, Checkpoint: s.Checkpoint, Reason: key.reason, For: s.For})
+			batch.Groups = append(batch.Groups, StopGroup{Job: job, Checkpoint: s.Checkpoint, Reason: key.reason, Preemptor: s.Preemptor})
 		}
 		g := &batch.Groups[i]
-		g.Items = append(g.Items, AttemptItem{Index: s.Task.Index, Attempt: s.Attempt})
+		g.Attempts = append(g.Attempts, AttemptRef{Index: s.Task.Index, Attempt: s.Attempt})
 	}
 	return entry(TypeStop, &batch)
 }
 
 // ReplaceEntry builds the entry that adds replacements for tasks of one job.
 // It returns false when the job is not known.
-func (m *Machine) ReplaceEntry(epoch api.Epoch, job api.JobID, tasks []Held) (journal.Entry, bool) {
+func (m *StateMachine) ReplaceEntry(epoch api.Epoch, job api.JobID, tasks []AllocatedTask) (journal.Entry, bool) {
 	number, ok := m.numberOf(job)
 	if !ok {
 		return journal.Entry{}, false
 	}
 	batch := Replace{Epoch: epoch, Job: number}
 	for _, t := range tasks {
-		batch.Items = append(batch.Items, AttemptItem{Index: t.Task.Index, Attempt: t.Attempt})
+		batch.Attempts = append(batch.Attempts, AttemptRef{Index: t.Task.Index, Attempt: t.Attempt})
 	}
 	return entry(TypeReplace, &batch), true
 }
--- a/internal/cell/published.go
+++ b/internal/cell/published.go
@@ -13,28 +13,28 @@
 	Spec     api.JobSpec  // ID only when Deleted
 }
 
-// Published takes published jobs into the cell, in order of revision. Each
+// PublishedJobs takes published jobs into the cell, in order of revision. Each
 // revision is taken once for good: the machine remembers the highest, so that
 // a job that ended long ago and was forgotten is not run again.
-type Published struct {
-	_    struct{} `cbor:",toarray"`
-	At   int64    // as in Submit
-	Jobs []PublishedJob
+type PublishedJobs struct {
+	_            struct{} `cbor:",toarray"`
+	ProposedAtMs int64    // as in Submit
+	Jobs         []PublishedJob
 }
 
-// PublishedEntry builds the entry of a Published. Jobs are in ascending order
+// PublishedJobsEntry builds the entry of a Published. Jobs are in ascending order
 // of revision.
-func PublishedEntry(jobs []PublishedJob, atMs int64) journal.Entry {
-	return entry(TypePublished, &Published{At: atMs, Jobs: jobs})
+func PublishedJobsEntry(jobs []PublishedJob, atMs int64) journal.Entry {
+	return entry(TypePublishedJobs, &PublishedJobs{ProposedAtMs: atMs, Jobs: jobs})
 }
 
 // PublishedRevision returns the highest revision taken so far.
-func (m *Machine) PublishedRevision() api.Revision {
+func (m *StateMachine) PublishedRevision() api.Revision {
 	return api.Revision(m.published.Load())
 }
 
 // applyPublished takes each job whose revision was not taken before.
-func (m *Machine) applyPublished(p *Published) *Rejection {
+func (m *StateMachine) applyPublished(p *PublishedJobs) *Rejection {
 	taken := 0
 	for i := range p.Jobs {
 		job := &p.Jobs[i]
@@ -44,7 +44,7 @@
 		}
 		m.published.Store(uint64(job.Revision))
 		taken++
-		m.takePublished(job, p.At)
+		m.takePublished(job, p.ProposedAtMs)
 	}
 	if taken == 0 {
 		return &Rejection{Reason: api.ReasonDuplicate, Detail: "every revision was taken before"}
@@ -52,14 +52,14 @@
 	return nil
 }
 
-func (m *Machine) takePublished(job *PublishedJob, at int64) {
+func (m *StateMachine) takePublished(job *PublishedJob, at int64) {
 	if job.Deleted {
 		if !m.cancelOne(job.Spec.ID) {
 			m.count(api.ReasonUnknownJob)
 		}
 		return
 	}
-	if r := m.applySubmit(&Submit{Spec: job.Spec, At: at}); r != nil {
+	if r := m.applySubmit(&Submit{Spec: job.Spec, ProposedAtMs: at}); r != nil {
 		m.count(r.Reason)
 	}
 }
--- a/internal/cell/read.go
+++ b/internal/cell/read.go
@@ -9,15 +9,15 @@
 
 // TaskView is a task as it stands.
 type TaskView struct {
-	Task       api.TaskID
-	State      api.TaskState
-	Attempt    uint32   // last one started, zero before the first
-	VM         api.VMID // empty unless State.Holds()
-	Failures   uint16   // attempts that ended badly by themselves
-	Reason     api.Reason
-	Checkpoint bool // the next start restores a checkpoint
-	SaveStop   bool // its stop asks for a checkpoint
-	Retiring   bool // a replacement has been added for it
+	Task             api.TaskID
+	State            api.TaskState
+	Attempt          uint32   // last one started, zero before the first
+	VM               api.VMID // empty unless State.Holds()
+	Failures         uint16   // attempts that ended badly by themselves
+	Reason           api.Reason
+	HasCheckpoint    bool // the next start restores a checkpoint
+	CheckpointOnStop bool // its stop asks for a checkpoint
+	HasReplacement   bool // a replacement has been added for it
 }
 
 // JobView is a job as it stands.
@@ -35,8 +35,8 @@
 // Counts holds numbers of tasks, indexed by api.TaskState.
 type Counts [stateCount]uint32
 
-// Held is an attempt that may occupy a VM.
-type Held struct {
+// AllocatedTask is an attempt that may occupy a VM.
+type AllocatedTask struct {
 	TaskView
 	Resources api.Resources
 }
@@ -47,11 +47,11 @@
 	Rack     string
 	Capacity api.Resources
 	Used     api.Resources
-	Gone     bool
+	Removed  bool
 }
 
 // Task returns a task, if its job is known.
-func (m *Machine) Task(id api.TaskID) (TaskView, bool) {
+func (m *StateMachine) Task(id api.TaskID) (TaskView, bool) {
 	m.vms.mu.RLock()
 	defer m.vms.mu.RUnlock()
 	var view TaskView
@@ -66,16 +66,16 @@
 }
 
 // viewTask needs the VMs and the job locked.
-func (m *Machine) viewTask(j *job, index uint32, t task) TaskView {
+func (m *StateMachine) viewTask(j *job, index uint32, t task) TaskView {
 	v := TaskView{
-		Task:       api.TaskID{Job: j.spec.ID, Index: index},
-		State:      t.state,
-		Attempt:    t.attempt,
-		Failures:   t.failures,
-		Reason:     reasonOf(t.reason),
-		Checkpoint: t.flags&flagCheckpoint != 0,
-		SaveStop:   t.flags&flagStopSave != 0,
-		Retiring:   t.flags&flagRetiring != 0,
+		Task:             api.TaskID{Job: j.spec.ID, Index: index},
+		State:            t.state,
+		Attempt:          t.attempt,
+		Failures:         t.failures,
+		Reason:           reasonOf(t.reason),
+		HasCheckpoint:    t.flags&flagCheckpoint != 0,
+		CheckpointOnStop: t.flags&flagStopSave != 0,
+		HasReplacement:   t.flags&flagRetiring != 0,
 	}
 	if t.state.HoldsResources() {
 		v.VM = m.vms.rows[t.vm].id
@@ -84,7 +84,7 @@
 }
 
 // Job returns a job, if it is known.
-func (m *Machine) Job(id api.JobID) (JobView, bool) {
+func (m *StateMachine) Job(id api.JobID) (JobView, bool) {
 	var view JobView
 	found := m.readJob(id, func(j *job) { view = viewJob(j) })
 	return view, found
@@ -105,7 +105,7 @@
 
 // Pending returns the indexes of a job's tasks to place, in order. Parts of
 // a gang are not to be placed while another part holds a VM: then it is nil.
-func (m *Machine) Pending(id api.JobID) []uint32 {
+func (m *StateMachine) Pending(id api.JobID) []uint32 {
 	var list []uint32
 	m.readJob(id, func(j *job) {
 		if j.spec.Class == api.ClassGang && j.holding() > 0 {
@@ -116,11 +116,11 @@
 	return list
 }
 
-// Holding returns the tasks of a job that may occupy a VM.
-func (m *Machine) Holding(id api.JobID) []Held {
+// AllocatedTasks returns the tasks of a job that may occupy a VM.
+func (m *StateMachine) AllocatedTasks(id api.JobID) []AllocatedTask {
 	m.vms.mu.RLock()
 	defer m.vms.mu.RUnlock()
-	var list []Held
+	var list []AllocatedTask
 	m.readJob(id, func(j *job) {
 		if j.holding() == 0 {
 			return
@@ -135,15 +135,15 @@
 }
 
 // held needs the VMs and the job locked, and a task that holds a VM.
-func (m *Machine) held(j *job, index uint32) Held {
+func (m *StateMachine) held(j *job, index uint32) AllocatedTask {
 	t, _ := j.get(index)
 	key := ledger.Key{Job: j.number, Index: index, Attempt: t.attempt}
 	amount, _ := m.vms.ledger.Allocated(t.vm, key)
-	return Held{TaskView: m.viewTask(j, index, t), Resources: amount}
+	return AllocatedTask{TaskView: m.viewTask(j, index, t), Resources: amount}
 }
 
-// On returns what may occupy a VM, in order of job and index.
-func (m *Machine) On(vm api.VMID) []Held {
+// TasksOnVM returns what may occupy a VM, in order of job and index.
+func (m *StateMachine) TasksOnVM(vm api.VMID) []AllocatedTask {
 	m.vms.mu.RLock()
 	defer m.vms.mu.RUnlock()
 	number, ok := m.vms.numbers[vm]
@@ -152,7 +152,7 @@
 	}
 	claims := m.vms.ledger.Allocations(number)
 	sort.Slice(claims, func(i, j int) bool { return keyLess(claims[i].Key, claims[j].Key) })
-	list := make([]Held, 0, len(claims))
+	list := make([]AllocatedTask, 0, len(claims))
 	for _, c := range claims {
 		m.rlockJob(c.Key.Job, func(j *job) {
 			list = append(list, m.held(j, c.Key.Index))
@@ -168,7 +168,7 @@
 	return a.Index < b.Index
 }
 
-func (m *Machine) rlockJob(number uint32, f func(*job)) {
+func (m *StateMachine) rlockJob(number uint32, f func(*job)) {
 	s := m.shardOf(number)
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -179,7 +179,7 @@
 
 // Jobs returns the IDs of the jobs that have not ended, in order of
 // submission.
-func (m *Machine) Jobs() []api.JobID {
+func (m *StateMachine) Jobs() []api.JobID {
 	type numbered struct {
 		number uint32
 		id     api.JobID
@@ -204,7 +204,7 @@
 }
 
 // VMs returns the VMs that are known, in order of observation.
-func (m *Machine) VMs() []VMView {
+func (m *StateMachine) VMs() []VMView {
 	m.vms.mu.RLock()
 	defer m.vms.mu.RUnlock()
 	var list []VMView
@@ -213,13 +213,13 @@
 			continue
 		}
 		capacity, used, _ := m.vms.ledger.Usage(uint32(number))
-		list = append(list, VMView{ID: row.id, Rack: row.rack, Capacity: capacity, Used: used, Gone: row.gone})
+		list = append(list, VMView{ID: row.id, Rack: row.rack, Capacity: capacity, Used: used, Removed: row.gone})
 	}
 	return list
 }
 
 // Replacement returns the task that was added to run in the stead of id.
-func (m *Machine) Replacement(id api.TaskID) (TaskView, bool) {
+func (m *StateMachine) Replacement(id api.TaskID) (TaskView, bool) {
 	added := api.TaskID{Job: id.Job}
 	found := false
 	m.readJob(id.Job, func(j *job) {
--- a/internal/cell/snapshot.go
+++ b/internal/cell/snapshot.go
@@ -25,15 +25,15 @@
 
 	Published api.Revision
 
-	Moves    uint32
-	MovedOut []uint32
-	MovedIn  []movedImage
+	LastMoveNumber uint32
+	MovedOut       []uint32
+	MovedIn        []movedImage
 }
 
 type movedImage struct {
 	_          struct{} `cbor:",toarray"`
 	DataCentre api.DataCentre
-	Move       uint32
+	MoveNumber uint32
 }
 
 type vmImage struct {
@@ -42,21 +42,21 @@
 	ID       api.VMID
 	Rack     string
 	Capacity api.Resources
-	Gone     bool
+	Removed  bool
 }
 
 type jobImage struct {
-	_         struct{} `cbor:",toarray"`
-	Number    uint32
-	Spec      api.JobSpec
-	Submitted int64
-	Cancelled bool
-	Ended     bool
-	MovedTo   api.DataCentre
-	Move      uint32
-	Size      uint32
-	Replaced  []replacedImage
-	Tasks     []taskImage // only those that were ever started
+	_          struct{} `cbor:",toarray"`
+	Number     uint32
+	Spec       api.JobSpec
+	Submitted  int64
+	Cancelled  bool
+	Ended      bool
+	MovedTo    api.DataCentre
+	MoveNumber uint32
+	Size       uint32
+	Replaced   []replacedImage
+	Tasks      []taskImage // only those that were ever started
 }
 
 type replacedImage struct {
@@ -66,19 +66,19 @@
 
 // taskImage holds the claim of a task with it: nil when it holds no VM.
 type taskImage struct {
-	_        struct{} `cbor:",toarray"`
-	Index    uint32
-	VM       uint32
-	Attempt  uint32
-	Failures uint16
-	State    api.TaskState
-	Reason   uint8
-	Flags    uint8
-	Claim    *api.Resources
+	_          struct{} `cbor:",toarray"`
+	Index      uint32
+	VM         uint32
+	Attempt    uint32
+	Failures   uint16
+	State      api.TaskState
+	Reason     uint8
+	Flags      uint8
+	Allocation *api.Resources
 }
 
 // Snapshot implements journal.StateMachine. Equal states give equal bytes.
-func (m *Machine) Snapshot() ([]byte, error) {
+func (m *StateMachine) Snapshot() ([]byte, error) {
 	m.applying.Lock()
 	defer m.applying.Unlock()
 	m.vms.mu.RLock()
@@ -89,17 +89,17 @@
 		NextVM:  uint32(len(m.vms.rows)),
 		Ended:   m.ended,
 
-		Published: m.PublishedRevision(),
-		Moves:     m.moves,
-		MovedOut:  m.movedOut,
+		Published:      m.PublishedRevision(),
+		LastMoveNumber: m.moves,
+		MovedOut:       m.movedOut,
 	}
 	for dc, move := range m.movedIn {
-		s.MovedIn = append(s.MovedIn, movedImage{DataCentre: dc, Move: move})
+		s.MovedIn = append(s.MovedIn, movedImage{DataCentre: dc, MoveNumber: move})
 	}
 	sort.Slice(s.MovedIn, func(i, j int) bool { return s.MovedIn[i].DataCentre < s.MovedIn[j].DataCentre })
 	for number, row := range m.vms.rows {
 		if row != nil {
-			s.VMs = append(s.VMs, vmImage{Number: uint32(number), ID: row.id, Rack: row.rack, Capacity: row.capacity, Gone: row.gone})
+			s.VMs = append(s.VMs, vmImage{Number: uint32(number), ID: row.id, Rack: row.rack, Capacity: row.capacity, Removed: row.gone})
 		}
 	}
 	for i := range m.shards {
@@ -112,16 +112,16 @@
 	return journal.Encode(&s), nil
 }
 
-func (m *Machine) imageOf(j *job) jobImage {
+func (m *StateMachine) imageOf(j *job) jobImage {
 	image := jobImage{
-		Number:    j.number,
-		Spec:      j.spec,
-		Submitted: j.submitted,
-		Cancelled: j.cancelled,
-		Ended:     j.ended,
-		MovedTo:   j.movedTo,
-		Move:      j.move,
-		Size:      j.size,
+		Number:     j.number,
+		Spec:       j.spec,
+		Submitted:  j.submitted,
+		Cancelled:  j.cancelled,
+		Ended:      j.ended,
+		MovedTo:    j.movedTo,
+		MoveNumber: j.move,
+		Size:       j.size,
 	}
 	for added, old := range j.replaced {
 		image.Replaced = append(image.Replaced, replacedImage{New: added, Old: old})
@@ -137,7 +137,7 @@
 	return image
 }
 
-func (m *Machine) taskImage(j *job, index uint32, t task) taskImage {
+func (m *StateMachine) taskImage(j *job, index uint32, t task) taskImage {
 	image := taskImage{
 		Index:    index,
 		VM:       t.vm,
@@ -152,13 +152,13 @@
 		return image
 	}
 	held, _ := m.vms.ledger.Allocated(t.vm, ledger.Key{Job: j.number, Index: index, Attempt: t.attempt})
-	image.Claim = &held
+	image.Allocation = &held
 	return image
 }
 
 // Restore implements journal.StateMachine. A snapshot that contradicts itself is
 // an error; the state is then not to be used.
-func (m *Machine) Restore(data []byte) error {
+func (m *StateMachine) Restore(data []byte) error {
 	var s snapshot
 	if err := journal.Decode(data, &s); err != nil {
 		return fmt.Errorf("cell: snapshot: %w", err)
@@ -176,7 +176,7 @@
 	return nil
 }
 
-func (m *Machine) load(s *snapshot) error {
+func (m *StateMachine) load(s *snapshot) error {
 	m.vms.mu.Lock()
 	defer m.vms.mu.Unlock()
 	for i := range m.shards {
@@ -189,17 +189,17 @@
 	m.nextJob = s.NextJob
 	m.ended = s.Ended
 	m.published.Store(uint64(s.Published))
-	m.moves = s.Moves
+	m.moves = s.LastMoveNumber
 	m.movedOut = s.MovedOut
 	for _, in := range s.MovedIn {
-		m.movedIn[in.DataCentre] = in.Move
+		m.movedIn[in.DataCentre] = in.MoveNumber
 	}
 	m.vms.rows = make([]*vmRow, s.NextVM)
 	for _, v := range s.VMs {
 		if v.Number >= s.NextVM {
 			return fmt.Errorf("cell: snapshot: VM number %d of %d", v.Number, s.NextVM)
 		}
-		m.vms.rows[v.Number] = &vmRow{id: v.ID, rack: v.Rack, capacity: v.Capacity, gone: v.Gone}
+		m.vms.rows[v.Number] = &vmRow{id: v.ID, rack: v.Rack, capacity: v.Capacity, gone: v.Removed}
 		m.vms.numbers[v.ID] = v.Number
 		m.vms.ledger.SetCapacity(v.Number, v.Capacity)
 	}
@@ -218,7 +218,7 @@
 	return nil
 }
 
-func (m *Machine) loadJob(image *jobImage) error {
+func (m *StateMachine) loadJob(image *jobImage) error {
 	j := newJob(image.Number, image.Spec, image.Submitted)
 	j.size = image.Size
 	j.counts[api.TaskPending] = image.Size
@@ -237,7 +237,7 @@
 		j.cancel()
 	}
 	j.movedTo = image.MovedTo
-	j.move = image.Move
+	j.move = image.MoveNumber
 	if j.movedTo != "" && !image.Cancelled {
 		j.dropPending()
 	}
@@ -247,7 +247,7 @@
 	return nil
 }
 
-func (m *Machine) loadTask(j *job, image taskImage) error {
+func (m *StateMachine) loadTask(j *job, image taskImage) error {
 	if image.Index >= j.size || int(image.State) >= stateCount {
 		return fmt.Errorf("cell: snapshot: task %s/%d out of range", j.spec.ID, image.Index)
 	}
@@ -264,7 +264,7 @@
 	}
 	t.vm = image.VM
 	key := ledger.Key{Job: j.number, Index: image.Index, Attempt: image.Attempt}
-	if image.Claim == nil || !m.vms.ledger.Restore(image.VM, key, *image.Claim) {
+	if image.Allocation == nil || !m.vms.ledger.Restore(image.VM, key, *image.Allocation) {
 		return fmt.Errorf("cell: snapshot: task %s/%d has no claim", j.spec.ID, image.Index)
 	}
 	return nil
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -15,10 +15,10 @@
 	Cell(now time.Time) (epoch api.Epoch, ok bool, takeoverAt time.Time)
 }
 
-// Every does a round at once, then one each interval and one whenever wake
+// RunPeriodically does a round at once, then one each interval and one whenever wake
 // receives, until ctx ends. It returns the context's error. A nil wake never
 // receives.
-func Every(ctx context.Context, interval time.Duration, wake <-chan struct{}, round func(context.Context)) error {
+func RunPeriodically(ctx context.Context, interval time.Duration, wake <-chan struct{}, round func(context.Context)) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-func TestEveryRoundIsDoneOnTimeAndWhenWoken(t *testing.T) {
+func TestRunPeriodicallyRunsOnTicksAndWakeups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 2500*time.Millisecond)
 		defer cancel()
 		wake := make(chan struct{}, 1)
 		start := time.Now()
 		var at []time.Duration
-		err := Every(ctx, time.Second, wake, func(context.Context) {
+		err := RunPeriodically(ctx, time.Second, wake, func(context.Context) {
 			at = append(at, time.Since(start))
 			if len(at) == 2 {
 				wake <- struct{}{}
--- a/internal/controller/endpoints/endpoints.go
+++ b/internal/controller/endpoints/endpoints.go
@@ -39,8 +39,8 @@
 // Refresh is the time between two rounds. Validity is how long the limits of
 // one round hold; it covers a few rounds that come late.
 const (
-	Refresh  = 50 * time.Millisecond
-	Validity = 4 * Refresh
+	RefreshInterval = 50 * time.Millisecond
+	LimitValidity   = 4 * RefreshInterval
 )
 
 // Controller refreshes the router's endpoints.
@@ -64,7 +64,7 @@
 
 // Run refreshes until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
-	return controller.Every(ctx, Refresh, nil, func(context.Context) { c.Step() })
+	return controller.RunPeriodically(ctx, RefreshInterval, nil, func(context.Context) { c.Step() })
 }
 
 // Step refreshes once. What ownership stopped before the call gets nothing new
@@ -96,9 +96,9 @@
 	c.conns.Retain(ids)
 }
 
-// Of returns the endpoints of a shard, as listed in the last round. The result
+// ShardEndpoints returns the endpoints of a shard, as listed in the last round. The result
 // is not to be changed.
-func (c *Controller) Of(shard ownership.Shard) []api.EndpointID {
+func (c *Controller) ShardEndpoints(shard ownership.Shard) []api.EndpointID {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.byShard[shard]
@@ -109,7 +109,7 @@
 // that time, since a hold may run out or a takeover wait end in between.
 func (c *Controller) hold(ep api.Endpoint, now time.Time) (router.HeldEndpoint, bool) {
 	limit, epoch := c.owner.SlotLimit(ep, now)
-	later, laterEpoch := c.owner.SlotLimit(ep, now.Add(Validity))
+	later, laterEpoch := c.owner.SlotLimit(ep, now.Add(LimitValidity))
 	if epoch != laterEpoch {
 		return router.HeldEndpoint{}, false
 	}
@@ -117,5 +117,5 @@
 	if epoch == 0 || limit <= 0 {
 		return router.HeldEndpoint{}, false
 	}
-	return router.HeldEndpoint{Endpoint: ep, SlotLimit: limit, Epoch: epoch, SlotLimitExpiry: now.Add(Validity)}, true
+	return router.HeldEndpoint{Endpoint: ep, SlotLimit: limit, Epoch: epoch, SlotLimitExpiry: now.Add(LimitValidity)}, true
 }
--- a/internal/controller/endpoints/endpoints_test.go
+++ b/internal/controller/endpoints/endpoints_test.go
@@ -29,7 +29,7 @@
 
 // After a round nothing starts beyond what ownership allows, now and until the
 // round's limits run out.
-func TestRoundTakesTheLowerLimit(t *testing.T) {
+func TestStepUsesLowerLimit(t *testing.T) {
 	s := &site{}
 	now := func() time.Time { return start }
 	r := router.New(router.Config{Now: now, Rand: rand.NewPCG(1, 1)})
--- a/internal/controller/fleet/fleet.go
+++ b/internal/controller/fleet/fleet.go
@@ -14,8 +14,8 @@
 	Leaving(id api.VMID) bool
 }
 
-// Syncs tells how a VM stands with the exchanges.
-type Syncs interface {
+// SyncStatus tells how a VM stands with the exchanges.
+type SyncStatus interface {
 	Status(id api.VMID) (worker.Status, bool)
 }
 
@@ -27,14 +27,14 @@
 // View gives the VMs of one data centre. It is safe for concurrent use.
 type View struct {
 	dc         api.DataCentre
-	machine    *cell.Machine
+	machine    *cell.StateMachine
 	dir        Directory
-	syncs      Syncs
+	syncs      SyncStatus
 	quarantine Quarantine
 }
 
 // New returns a view.
-func New(dc api.DataCentre, machine *cell.Machine, dir Directory, syncs Syncs, quarantine Quarantine) *View {
+func New(dc api.DataCentre, machine *cell.StateMachine, dir Directory, syncs SyncStatus, quarantine Quarantine) *View {
 	return &View{dc: dc, machine: machine, dir: dir, syncs: syncs, quarantine: quarantine}
 }
 
@@ -44,9 +44,9 @@
 	return status.Leaving || v.dir.Leaving(id)
 }
 
-// Fleet returns every VM that the log holds. A VM takes starts once it has
+// VMs returns every VM that the log holds. A VM takes starts once it has
 // answered in this tenure: then its lease can be renewed.
-func (v *View) Fleet() []scheduler.VM {
+func (v *View) VMs() []scheduler.VM {
 	rows := v.machine.VMs()
 	vms := make([]scheduler.VM, 0, len(rows))
 	for _, row := range rows {
@@ -56,7 +56,7 @@
 			DataCentre:  v.dc,
 			Rack:        row.Rack,
 			Capacity:    row.Capacity,
-			Schedulable: status.Answers && !row.Gone && !v.Leaving(row.ID),
+			Schedulable: status.IsResponsive && !row.Removed && !v.Leaving(row.ID),
 			Quarantined: v.quarantine.Quarantined(row.ID),
 		})
 	}
--- a/internal/controller/jobs/jobs.go
+++ b/internal/controller/jobs/jobs.go
@@ -29,7 +29,7 @@
 }
 
 // Cell tells which revisions were taken and which jobs have ended;
-// *cell.Machine implements it.
+// *cell.StateMachine implements it.
 type Cell interface {
 	PublishedRevision() api.Revision
 	Job(id api.JobID) (cell.JobView, bool)
@@ -40,24 +40,24 @@
 	Publish(ctx context.Context, rec api.Record) (api.Revision, error)
 }
 
-// Home returns the home of an ID among data centres.
-type Home func(id string, dcs []api.DataCentre) api.DataCentre
+// HomeSelector returns the home of an ID among data centres.
+type HomeSelector func(id string, dcs []api.DataCentre) api.DataCentre
 
 // Config holds the controller's settings.
 type Config struct {
 	DataCentre  api.DataCentre
 	DataCentres []api.DataCentre // of the whole cell
-	Home        Home
-	Tick        time.Duration // longest time between two looks
+	SelectHome  HomeSelector
+	MaxInterval time.Duration // longest time between two looks
 	MaxBatch    int           // jobs in one entry
-	MaxRetired  int           // records removed in one look
+	MaxRemovals int           // records removed in one look
 }
 
 // Defaults of Config.
 const (
-	DefaultTick       = time.Second
-	DefaultMaxBatch   = 200
-	DefaultMaxRetired = 20
+	DefaultMaxInterval = time.Second
+	DefaultMaxBatch    = 200
+	DefaultMaxRemovals = 20
 )
 
 // Controller takes published jobs into the cell.
@@ -77,9 +77,9 @@
 
 // New returns a controller. Zero fields of cfg take the defaults.
 func New(cfg Config, records Records, c Cell, proposer journal.Proposer, publisher Publisher, auth controller.Authority, counters cell.Counters, now func() time.Time) *Controller {
-	defaults.Set(&cfg.Tick, DefaultTick)
+	defaults.Set(&cfg.MaxInterval, DefaultMaxInterval)
 	defaults.Set(&cfg.MaxBatch, DefaultMaxBatch)
-	defaults.Set(&cfg.MaxRetired, DefaultMaxRetired)
+	defaults.Set(&cfg.MaxRemovals, DefaultMaxRemovals)
 	return &Controller{cfg: cfg, records: records, cell: c, proposer: proposer, publisher: publisher, auth: auth, counters: counters, now: now}
 }
 
@@ -87,7 +87,7 @@
 func (c *Controller) Run(ctx context.Context) error {
 	changed, cancel := c.records.Notify()
 	defer cancel()
-	return controller.Every(ctx, c.cfg.Tick, changed, c.Step)
+	return controller.RunPeriodically(ctx, c.cfg.MaxInterval, changed, c.Step)
 }
 
 // Step takes what is due, while this entry VM holds the placement shard.
@@ -96,9 +96,9 @@
 	if _, ok, _ := c.auth.Cell(now); !ok {
 		return
 	}
-	due := c.Due(c.cell.PublishedRevision())
+	due := c.DueJobs(c.cell.PublishedRevision())
 	for batch := range slices.Chunk(due, c.cfg.MaxBatch) {
-		entry := cell.PublishedEntry(batch, now.UnixMilli())
+		entry := cell.PublishedJobsEntry(batch, now.UnixMilli())
 		if err := c.proposer.Propose(ctx, entry); err != nil {
 			c.counters.Inc(counterGroup, "not_taken") // the next look tries again
 			return
@@ -113,7 +113,7 @@
 	taken := c.cell.PublishedRevision()
 	retired := 0
 	for _, job := range c.records.Jobs() {
-		if retired == c.cfg.MaxRetired {
+		if retired == c.cfg.MaxRemovals {
 			return
 		}
 		if job.Key.Kind == api.KindService || job.Revision > taken || !c.isHome(job.Spec) || !c.ended(job.Spec.ID) {
@@ -138,9 +138,9 @@
 	return !known || view.Ended
 }
 
-// Due returns the jobs of this data centre published after a revision, in
+// DueJobs returns the jobs of this data centre published after a revision, in
 // ascending order of revision.
-func (c *Controller) Due(after api.Revision) []cell.PublishedJob {
+func (c *Controller) DueJobs(after api.Revision) []cell.PublishedJob {
 	var due []cell.PublishedJob
 	for _, job := range c.records.Jobs() {
 		if job.Revision > after && c.isHome(job.Spec) {
@@ -164,5 +164,5 @@
 	if len(spec.DataCentres) > 0 {
 		dcs = spec.DataCentres
 	}
-	return c.cfg.Home(string(spec.ID), dcs) == c.cfg.DataCentre
+	return c.cfg.SelectHome(string(spec.ID), dcs) == c.cfg.DataCentre
 }
--- a/internal/controller/jobs/jobs_test.go
+++ b/internal/controller/jobs/jobs_test.go
@@ -32,11 +32,11 @@
 func (holder) Cell(time.Time) (api.Epoch, bool, time.Time) { return 1, true, time.Time{} }
 func (holder) CellEpoch() api.Epoch                        { return 1 }
 
-func TestPublishedJobIsTakenOnceAtItsHome(t *testing.T) {
+func TestPublishedJobIsAddedOnceInItsHome(t *testing.T) {
 	records, tasks, counters := config.NewStateMachine(), cell.New(holder{}, counter.NewSet()), counter.NewSet()
 	publisher := config.NewPublisher(records, direct{[]journal.StateMachine{records}})
 	home := func(id string, _ []api.DataCentre) api.DataCentre { return api.DataCentre(id[:1]) }
-	c := New(Config{DataCentre: "a", Home: home}, records, tasks, direct{[]journal.StateMachine{tasks}}, publisher, holder{}, counters, time.Now)
+	c := New(Config{DataCentre: "a", SelectHome: home}, records, tasks, direct{[]journal.StateMachine{tasks}}, publisher, holder{}, counters, time.Now)
 
 	publish := func(rec api.Record) api.Revision {
 		t.Helper()
@@ -59,7 +59,7 @@
 	if _, ok := tasks.Job("b1"); ok {
 		t.Fatal("the job of another data centre was taken")
 	}
-	if due := c.Due(tasks.PublishedRevision()); len(due) != 0 {
+	if due := c.DueJobs(tasks.PublishedRevision()); len(due) != 0 {
 		t.Fatalf("still due: %v", due)
 	}
 
--- a/internal/controller/learning/learning.go
+++ b/internal/controller/learning/learning.go
@@ -30,7 +30,7 @@
 // and the Quarantine of the fleet's view.
 type Controller struct {
 	policy   func() api.PolicySpec // in force
-	machine  *cell.Machine
+	machine  *cell.StateMachine
 	proposer journal.Proposer
 	auth     controller.Authority
 	counters cell.Counters
@@ -50,7 +50,7 @@
 
 // New returns a controller that has learned nothing yet. It subscribes to
 // machine.
-func New(policy func() api.PolicySpec, machine *cell.Machine, proposer journal.Proposer, auth controller.Authority, counters cell.Counters, now func() time.Time) *Controller {
+func New(policy func() api.PolicySpec, machine *cell.StateMachine, proposer journal.Proposer, auth controller.Authority, counters cell.Counters, now func() time.Time) *Controller {
 	c := &Controller{
 		policy:    policy,
 		machine:   machine,
@@ -81,7 +81,7 @@
 
 // Run proposes stops and decides on quarantine until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
-	return controller.Every(ctx, decideEvery, nil, c.Step)
+	return controller.RunPeriodically(ctx, decideEvery, nil, c.Step)
 }
 
 // Step decides once.
@@ -109,8 +109,8 @@
 	}
 }
 
-// Reported tells of one attempt in a worker's report.
-func (c *Controller) Reported(vm api.VMID, r platform.TaskReport) {
+// ObserveReport tells of one attempt in a worker's report.
+func (c *Controller) ObserveReport(vm api.VMID, r platform.TaskReport) {
 	if r.State != platform.RunRunning {
 		return
 	}
@@ -146,8 +146,8 @@
 	}
 }
 
-// Ended tells once of each attempt whose end was journaled.
-func (c *Controller) Ended(vm api.VMID, task api.TaskID, ending cell.Ending) {
+// ObserveEnd tells once of each attempt whose end was journaled.
+func (c *Controller) ObserveEnd(vm api.VMID, task api.TaskID, ending cell.AttemptStatus) {
 	job, ok := c.machine.Job(task.Job)
 	now := c.now()
 	c.mu.Lock()
@@ -155,13 +155,13 @@
 	started, known := c.started[task]
 	delete(c.started, task)
 	switch ending {
-	case cell.ReportSucceeded:
+	case cell.AttemptSucceeded:
 		c.failures.RecordSuccess(vm, task, now)
 		c.failures.ForgetTask(task)
 		if ok && known {
 			c.estimates.RecordRun(job.Spec, task, now.Sub(started))
 		}
-	case cell.ReportErrored:
+	case cell.AttemptFailed:
 		c.failed(vm, task, now)
 		if ok && !job.Ended {
 			c.avoidVM(vm, task.Job)
@@ -189,9 +189,9 @@
 	}
 }
 
-// Throttles returns the attempts on vm to be held to their declared use, and
+// TakeThrottles returns the attempts on vm to be held to their declared use, and
 // forgets them: a task that goes on overusing is reported again.
-func (c *Controller) Throttles(vm api.VMID) []platform.TaskStop {
+func (c *Controller) TakeThrottles(vm api.VMID) []platform.TaskStop {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	stops := c.throttles[vm]
@@ -208,8 +208,8 @@
 	return e.Resources, e.RunTime
 }
 
-// Avoid returns the VMs on which tasks of a job failed.
-func (c *Controller) Avoid(job api.JobID) map[api.VMID]bool {
+// VMsToAvoid returns the VMs on which tasks of a job failed.
+func (c *Controller) VMsToAvoid(job api.JobID) map[api.VMID]bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.avoid[job])
--- a/internal/controller/learning/learning_test.go
+++ b/internal/controller/learning/learning_test.go
@@ -16,7 +16,7 @@
 
 // What is held against VMs for a job is forgotten with the job; a late word on
 // one of its attempts brings nothing back.
-func TestEndedJobLeavesNothingBehind(t *testing.T) {
+func TestAvoidedVMsAreDroppedWithJob(t *testing.T) {
 	m := cell.New(epoch{}, counter.NewSet())
 	policy := func() api.PolicySpec { return api.PolicySpec{} }
 	c := New(policy, m, nil, nil, counter.NewSet(), time.Now)
@@ -28,12 +28,12 @@
 		}
 	}
 	apply(cell.SubmitEntry(api.JobSpec{ID: "j", Tasks: 1, Resources: api.Resources{MilliCPU: 1}}, 0))
-	c.Ended("v", task, cell.ReportErrored)
-	if !c.Avoid("j")["v"] {
+	c.ObserveEnd("v", task, cell.AttemptFailed)
+	if !c.VMsToAvoid("j")["v"] {
 		t.Fatal("a VM on which a task of the job failed is not avoided")
 	}
 	apply(cell.CancelEntry([]api.JobID{"j"}, 0))
-	c.Ended("v", task, cell.ReportErrored)
+	c.ObserveEnd("v", task, cell.AttemptFailed)
 	if len(c.avoid) != 0 {
 		t.Fatalf("kept after the job ended: %v", c.avoid)
 	}
--- a/internal/controller/placement/bench_test.go
+++ b/internal/controller/placement/bench_test.go
@@ -19,7 +19,7 @@
 // rig surrounds a controller with parts that cost next to nothing.
 type rig struct {
 	mu      sync.Mutex
-	machine *cell.Machine
+	machine *cell.StateMachine
 	vms     []scheduler.VM
 	next    int
 	pending []scheduler.Job
@@ -31,15 +31,15 @@
 func (r *rig) Estimate(spec api.JobSpec) (api.Resources, time.Duration) {
 	return spec.Resources, spec.RunTime
 }
-func (r *rig) Avoid(api.JobID) map[api.VMID]bool { return nil }
-func (r *rig) Fleet() []scheduler.VM             { return r.vms }
-func (r *rig) PutVM(scheduler.VM)                {}
-func (r *rig) RemoveVM(api.VMID)                 {}
-func (r *rig) RemoveJob(api.JobID)               {}
-func (r *rig) Occupy(scheduler.RunningTask)      {}
-func (r *rig) Vacate(api.TaskID)                 {}
-func (r *rig) Release(api.TaskID)                {}
-func (r *rig) PutJob(j scheduler.Job)            { r.pending = append(r.pending, j) }
+func (r *rig) VMsToAvoid(api.JobID) map[api.VMID]bool { return nil }
+func (r *rig) VMs() []scheduler.VM                    { return r.vms }
+func (r *rig) PutVM(scheduler.VM)                     {}
+func (r *rig) RemoveVM(api.VMID)                      {}
+func (r *rig) RemoveJob(api.JobID)                    {}
+func (r *rig) Occupy(scheduler.RunningTask)           {}
+func (r *rig) Vacate(api.TaskID)                      {}
+func (r *rig) Release(api.TaskID)                     {}
+func (r *rig) PutJob(j scheduler.Job)                 { r.pending = append(r.pending, j) }
 
 func (r *rig) Propose(_ context.Context, e journal.Entry) error {
 	r.mu.Lock()
@@ -67,21 +67,21 @@
 	r.machine = cell.New(r, nil)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	c := New(DefaultConfig(""), func() World { return r }, r.machine, r, r, r, r, r, log, time.Now)
-	var seen []cell.SeenVM
+	c := New(DefaultConfig(""), func() SchedulerState { return r }, r.machine, r, r, r, r, r, log, time.Now)
+	var seen []cell.ObservedVM
 	for i := range 1700 {
 		vm := scheduler.VM{ID: api.VMID(fmt.Sprintf("worker-%05d", i)), Capacity: api.Resources{MilliCPU: 1 << 31}, Schedulable: true}
 		r.vms = append(r.vms, vm)
-		seen = append(seen, cell.SeenVM{ID: vm.ID, Capacity: vm.Capacity})
+		seen = append(seen, cell.ObservedVM{ID: vm.ID, Capacity: vm.Capacity})
 	}
-	_ = r.Propose(b.Context(), cell.VMsEntry(1, seen, nil))
+	_ = r.Propose(b.Context(), cell.VMUpdateEntry(1, seen, nil))
 	const jobs = 100
 	for i := 0; b.Loop(); i++ {
 		var reports []cell.Report
 		for k := range jobs {
 			id := api.JobID(fmt.Sprintf("job-%d-%d", i, k))
 			_ = r.Propose(b.Context(), cell.SubmitEntry(api.JobSpec{ID: id, Class: api.ClassBatch, Tasks: 1, Resources: api.Resources{MilliCPU: 1}}, 0))
-			reports = append(reports, cell.Report{Task: api.TaskID{Job: id}, Attempt: 1, Ending: cell.ReportSucceeded})
+			reports = append(reports, cell.Report{Task: api.TaskID{Job: id}, Attempt: 1, Status: cell.AttemptSucceeded})
 		}
 		var running sync.WaitGroup
 		c.step(b.Context(), &running)
--- a/internal/controller/placement/ends_test.go
+++ b/internal/controller/placement/ends_test.go
@@ -35,7 +35,7 @@
 
 // A short task's room is free soon after it ends, not only when the lease is
 // renewed next.
-func TestEndOfAShortTaskIsSeenSoon(t *testing.T) {
+func TestEndOfShortTaskIsDetectedQuickly(t *testing.T) {
 	run(t, 4, func(b *bench) {
 		const tasks, most = 100, 100 * time.Millisecond
 		f := &freed{at: make(map[api.TaskID]time.Time)}
--- a/internal/controller/placement/feed.go
+++ b/internal/controller/placement/feed.go
@@ -17,7 +17,7 @@
 	c        *Controller
 	epoch    api.Epoch
 	takeover time.Time
-	world    World
+	world    SchedulerState
 
 	jobs     map[api.JobID]time.Time // known to the world, with the time of learning
 	dirty    map[api.JobID]bool      // to be put again
@@ -26,8 +26,8 @@
 	vms      map[api.VMID]scheduler.VM
 	vmsAt    time.Time
 	cycledAt time.Time
-	waits    map[api.JobID]cell.WaitNote // of jobs known to the world
-	dropped  bool                        // a note was dropped since the last cycle
+	waits    map[api.JobID]cell.WaitReason // of jobs known to the world
+	dropped  bool                          // a note was dropped since the last cycle
 }
 
 // newFeed builds a world from the whole state. It needs the machine's View.
@@ -42,13 +42,13 @@
 		inFlight: make(map[api.TaskID]bool),
 		moving:   make(map[api.TaskID]bool),
 		vms:      make(map[api.VMID]scheduler.VM),
-		waits:    make(map[api.JobID]cell.WaitNote),
+		waits:    make(map[api.JobID]cell.WaitReason),
 		dropped:  true, // what an earlier tenure noted
 	}
 	f.refreshVMs(now)
 	for _, id := range c.machine.Jobs() {
 		f.addJob(id, now)
-		for _, h := range c.machine.Holding(id) {
+		for _, h := range c.machine.AllocatedTasks(id) {
 			f.occupy(h.Task, h.VM, h.Resources, now)
 		}
 	}
@@ -92,7 +92,7 @@
 		f.touch(e.Task.Job)
 	case cell.EventTaskAdded:
 		f.touch(e.Task.Job)
-	case cell.EventVMSeen, cell.EventVMGone:
+	case cell.EventVMObserved, cell.EventVMRemoved:
 		f.vmsAt = time.Time{}
 	}
 }
@@ -136,12 +136,12 @@
 
 // refreshVMs puts the VMs that changed and reports whether any did.
 func (f *feed) refreshVMs(now time.Time) bool {
-	if !f.vmsAt.IsZero() && now.Sub(f.vmsAt) < f.c.cfg.FleetEvery {
+	if !f.vmsAt.IsZero() && now.Sub(f.vmsAt) < f.c.cfg.VMRefreshInterval {
 		return false
 	}
 	changed := false
 	f.vmsAt = now
-	fleet := f.c.fleet.Fleet()
+	fleet := f.c.fleet.VMs()
 	present := make(map[api.VMID]bool, len(fleet))
 	for _, vm := range fleet {
 		present[vm.ID] = true
@@ -193,7 +193,7 @@
 		Pending:   f.toPlace(id),
 		Estimate:  estimate,
 		RunTime:   runTime,
-		Avoid:     f.c.advisor.Avoid(id),
+		Avoid:     f.c.advisor.VMsToAvoid(id),
 	})
 }
 
@@ -269,7 +269,7 @@
 			Attempt:    view.Attempt,
 			Checkpoint: true,
 			Reason:     api.ReasonPreempted,
-			For:        p.Preemptor,
+			Preemptor:  p.Preemptor,
 		})
 	}
 	return stops
--- a/internal/controller/placement/placement.go
+++ b/internal/controller/placement/placement.go
@@ -20,8 +20,8 @@
 	"github.com/skylarklock/skylarklock/internal/scheduler"
 )
 
-// World is the scheduler's state as this controller feeds it.
-type World interface {
+// SchedulerState is the scheduler's state as this controller feeds it.
+type SchedulerState interface {
 	PutVM(scheduler.VM)
 	RemoveVM(api.VMID)
 	PutJob(scheduler.Job)
@@ -36,9 +36,9 @@
 	Cycle(now time.Time, maxStarts int) scheduler.Plan
 }
 
-// Fleet gives the VMs as the scheduler should see them.
-type Fleet interface {
-	Fleet() []scheduler.VM
+// VMSource gives the VMs as the scheduler should see them.
+type VMSource interface {
+	VMs() []scheduler.VM
 }
 
 // Advisor gives what was learned about jobs.
@@ -46,31 +46,31 @@
 	// Estimate returns the resources and the run time to plan each task of a
 	// job with; a run time of zero is not known.
 	Estimate(spec api.JobSpec) (api.Resources, time.Duration)
-	// Avoid returns the VMs on which tasks of a job failed.
-	Avoid(job api.JobID) map[api.VMID]bool
+	// VMsToAvoid returns the VMs on which tasks of a job failed.
+	VMsToAvoid(job api.JobID) map[api.VMID]bool
 }
 
 // Config holds the controller's settings.
 type Config struct {
-	DataCentre api.DataCentre
-	MaxStarts  int           // in one cycle
-	MaxBatch   int           // starts in one entry
-	InFlight   int           // entries of starts under way at once
-	Tick       time.Duration // between two cycles while anything changes
-	IdleTick   time.Duration // between two cycles while nothing does
-	FleetEvery time.Duration // between two looks at the VMs
+	DataCentre        api.DataCentre
+	MaxStarts         int           // in one cycle
+	MaxBatch          int           // starts in one entry
+	MaxInFlight       int           // entries of starts under way at once
+	CycleInterval     time.Duration // between two cycles while anything changes
+	IdleCycleInterval time.Duration // between two cycles while nothing does
+	VMRefreshInterval time.Duration // between two looks at the VMs
 }
 
 // DefaultConfig returns the settings used in production.
 func DefaultConfig(dc api.DataCentre) Config {
 	return Config{
-		DataCentre: dc,
-		MaxStarts:  2000,
-		MaxBatch:   500,
-		InFlight:   4,
-		Tick:       20 * time.Millisecond,
-		IdleTick:   200 * time.Millisecond,
-		FleetEvery: 250 * time.Millisecond,
+		DataCentre:        dc,
+		MaxStarts:         2000,
+		MaxBatch:          500,
+		MaxInFlight:       4,
+		CycleInterval:     20 * time.Millisecond,
+		IdleCycleInterval: 200 * time.Millisecond,
+		VMRefreshInterval: 250 * time.Millisecond,
 	}
 }
 
@@ -80,11 +80,11 @@
 // Controller places tasks while this entry VM holds the cell shard.
 type Controller struct {
 	cfg      Config
-	newWorld func() World
-	machine  *cell.Machine
+	newWorld func() SchedulerState
+	machine  *cell.StateMachine
 	proposer journal.Proposer
 	auth     controller.Authority
-	fleet    Fleet
+	fleet    VMSource
 	advisor  Advisor
 	counters cell.Counters
 	log      logrus.FieldLogger
@@ -105,11 +105,11 @@
 
 // New returns a controller. newWorld returns an empty world for each tenure.
 // New subscribes to machine.
-func New(cfg Config, newWorld func() World, machine *cell.Machine, proposer journal.Proposer, auth controller.Authority, fleet Fleet, advisor Advisor, counters cell.Counters, log logrus.FieldLogger, clock func() time.Time) *Controller {
+func New(cfg Config, newWorld func() SchedulerState, machine *cell.StateMachine, proposer journal.Proposer, auth controller.Authority, fleet VMSource, advisor Advisor, counters cell.Counters, log logrus.FieldLogger, clock func() time.Time) *Controller {
 	c := &Controller{
 		cfg: cfg, newWorld: newWorld, machine: machine, proposer: proposer, auth: auth, fleet: fleet,
 		advisor: advisor, counters: counters, log: log, clock: clock,
-		slots: make(chan struct{}, cfg.InFlight),
+		slots: make(chan struct{}, cfg.MaxInFlight),
 	}
 	machine.Subscribe(c.applied)
 	return c
@@ -134,7 +134,7 @@
 func (c *Controller) Run(ctx context.Context) error {
 	var running sync.WaitGroup
 	defer running.Wait()
-	return controller.Every(ctx, c.cfg.Tick, nil, func(ctx context.Context) { c.step(ctx, &running) })
+	return controller.RunPeriodically(ctx, c.cfg.CycleInterval, nil, func(ctx context.Context) { c.step(ctx, &running) })
 }
 
 // step does one round: authority, events, VMs, a cycle, proposals.
@@ -159,7 +159,7 @@
 	}
 	changed := c.feed.refreshVMs(now)
 	changed = c.feed.putDirtyJobs() || changed || len(events)+len(refused) > 0
-	if !changed && now.Sub(c.feed.cycledAt) < c.cfg.IdleTick {
+	if !changed && now.Sub(c.feed.cycledAt) < c.cfg.IdleCycleInterval {
 		return
 	}
 	if len(c.slots) == cap(c.slots) {
--- a/internal/controller/placement/placement_test.go
+++ b/internal/controller/placement/placement_test.go
@@ -12,7 +12,7 @@
 	standin "github.com/skylarklock/skylarklock/internal/standin/worker"
 )
 
-func TestJobRunsToItsEnd(t *testing.T) {
+func TestJobRunsToCompletion(t *testing.T) {
 	run(t, 3, func(b *bench) {
 		b.submit(batch("sweep", 20, 10*time.Second))
 		b.await("sweep", api.TaskRunning, 12, 5*time.Second)
@@ -32,17 +32,17 @@
 
 // A VM that stops answering loses its work only when its lease has lapsed;
 // then it runs elsewhere, never at both places. checkTruth judges.
-func TestFrozenVMIsReplacedAfterItsLease(t *testing.T) {
+func TestFrozenVMLosesItsTasksAfterLeaseExpiry(t *testing.T) {
 	run(t, 3, func(b *bench) {
 		b.submit(batch("sweep", 8, time.Minute))
 		b.await("sweep", api.TaskRunning, 8, 5*time.Second)
 		b.workers["vm-0"].SetFaults(standin.Faults{Frozen: true})
 		time.Sleep(4 * time.Second)
-		if n := len(b.machine.On("vm-0")); n != 4 {
+		if n := len(b.machine.TasksOnVM("vm-0")); n != 4 {
 			t.Errorf("%d attempts left before the lease can have lapsed", n)
 		}
 		time.Sleep(6 * time.Second)
-		if n := len(b.machine.On("vm-0")); n != 0 {
+		if n := len(b.machine.TasksOnVM("vm-0")); n != 0 {
 			t.Errorf("%d attempts left after the lease has certainly lapsed", n)
 		}
 		b.await("sweep", api.TaskRunning, 8, 5*time.Second)
@@ -55,7 +55,7 @@
 	})
 }
 
-func TestRestartedVMLosesItsWorkAtOnce(t *testing.T) {
+func TestRestartedVMLosesItsTasksImmediately(t *testing.T) {
 	run(t, 2, func(b *bench) {
 		b.submit(batch("sweep", 4, time.Minute))
 		b.await("sweep", api.TaskRunning, 4, 5*time.Second)
@@ -85,7 +85,7 @@
 				b.t.Fatalf("stopped before the replacement ran: %v", job.Counts)
 			}
 		}
-		if n := len(b.machine.On("vm-0")); n != 0 {
+		if n := len(b.machine.TasksOnVM("vm-0")); n != 0 {
 			t.Errorf("%d attempts left on the leaving VM", n)
 		}
 		b.await("sweep", api.TaskFinished, 1, 2*time.Minute)
@@ -96,7 +96,7 @@
 }
 
 // When a part of a gang falls out, the rest stops and all start again.
-func TestGangStartsAgainWhole(t *testing.T) {
+func TestBrokenGangRestartsAsAWhole(t *testing.T) {
 	run(t, 4, func(b *bench) {
 		gang := batch("gang", 6, time.Minute)
 		gang.Class = api.ClassGang
@@ -142,7 +142,7 @@
 
 // Whatever fails, every task ends and none runs at two places. While the VMs
 // themselves don't fail, none runs to its end twice.
-func TestNothingTwiceWhileEverythingFails(t *testing.T) {
+func TestNoTaskRunsTwiceUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(6) {
 		run(t, 4, func(b *bench) {
 			b.vmFaults = seed%2 == 0
@@ -179,7 +179,7 @@
 
 // A switch that swallows the messages to most VMs, noticed before and after
 // a takeover, must not cost the others their leases.
-func TestSilentVMsDoNotStarveTheOthers(t *testing.T) {
+func TestUnresponsiveVMsDoNotStarveOthers(t *testing.T) {
 	const vms, healthy = 300, 50
 	run(t, vms, func(b *bench) {
 		b.submit(batch("sweep", 4*healthy, time.Hour))
@@ -187,7 +187,7 @@
 		b.mu.Lock()
 		b.hanging = map[api.VMID]bool{}
 		for id := range b.workers {
-			b.hanging[id] = len(b.machine.On(id)) == 0
+			b.hanging[id] = len(b.machine.TasksOnVM(id)) == 0
 		}
 		b.mu.Unlock()
 		time.Sleep(20 * time.Second)
@@ -204,7 +204,7 @@
 }
 
 // With the log down what runs goes on; its end is journaled afterwards.
-func TestWorkGoesOnWhileTheLogIsDown(t *testing.T) {
+func TestTasksKeepRunningWhileLogIsDown(t *testing.T) {
 	run(t, 2, func(b *bench) {
 		b.submit(batch("long", 2, time.Minute))
 		b.submit(batch("short", 2, 10*time.Second))
@@ -224,7 +224,7 @@
 }
 
 // A list that suddenly shrinks, or can't be read, drops nothing.
-func TestListInDoubtDropsNothing(t *testing.T) {
+func TestUntrustedListRemovesNoVM(t *testing.T) {
 	run(t, 10, func(b *bench) {
 		all := b.list.replace(nil)
 		time.Sleep(2 * time.Minute)
--- a/internal/controller/placement/site_test.go
+++ b/internal/controller/placement/site_test.go
@@ -32,7 +32,7 @@
 // bench is one data centre with everything but sockets and the real log.
 type bench struct {
 	t       *testing.T
-	machine *cell.Machine
+	machine *cell.StateMachine
 	list    *list
 	workers map[api.VMID]*standin.VM
 
@@ -137,15 +137,15 @@
 	return report, err
 }
 
-func (b *bench) Inc(string, api.Reason)                  {}
-func (b *bench) Reported(api.VMID, platform.TaskReport)  {}
-func (b *bench) Ended(api.VMID, api.TaskID, cell.Ending) {}
-func (b *bench) Throttles(api.VMID) []platform.TaskStop  { return nil }
-func (b *bench) Quarantined(api.VMID) bool               { return false }
+func (b *bench) Inc(string, api.Reason)                              {}
+func (b *bench) ObserveReport(api.VMID, platform.TaskReport)         {}
+func (b *bench) ObserveEnd(api.VMID, api.TaskID, cell.AttemptStatus) {}
+func (b *bench) TakeThrottles(api.VMID) []platform.TaskStop          { return nil }
+func (b *bench) Quarantined(api.VMID) bool                           { return false }
 func (b *bench) Estimate(spec api.JobSpec) (api.Resources, time.Duration) {
 	return spec.Resources, spec.RunTime
 }
-func (b *bench) Avoid(api.JobID) map[api.VMID]bool { return nil }
+func (b *bench) VMsToAvoid(api.JobID) map[api.VMID]bool { return nil }
 
 type list struct {
 	mu  sync.Mutex
@@ -180,7 +180,7 @@
 	held  map[api.TaskID]scheduler.RunningTask
 }
 
-func newFirstFit() placement.World {
+func newFirstFit() placement.SchedulerState {
 	return &firstFit{vms: map[api.VMID]scheduler.VM{}, jobs: map[api.JobID]scheduler.Job{}, held: map[api.TaskID]scheduler.RunningTask{}}
 }
 
@@ -235,7 +235,7 @@
 func run(t *testing.T, n int, f func(b *bench)) { runWith(t, n, newFirstFit, f) }
 
 // runWith is run with the world of the caller's choice.
-func runWith(t *testing.T, n int, newWorld func() placement.World, f func(b *bench)) {
+func runWith(t *testing.T, n int, newWorld func() placement.SchedulerState, f func(b *bench)) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &bench{t: t, epoch: 1, takeover: time.Now(), list: &list{}, workers: map[api.VMID]*standin.VM{}}
 		b.machine = cell.New(b, b)
--- a/internal/controller/placement/urgent_test.go
+++ b/internal/controller/placement/urgent_test.go
@@ -23,14 +23,14 @@
 	return s.Scheduler.Cycle(s.State, now, maxStarts)
 }
 
-func newScheduled() placement.World {
+func newScheduled() placement.SchedulerState {
 	return scheduled{scheduler.NewState(), scheduler.New(scheduler.Config{}, rand.New(rand.NewPCG(1, 1)))}
 }
 
 // In a cell that is full of checkpointable batch work, urgent work is running
 // within its bound: plan, stop, checkpoint, report and start included. The
 // work that gave way runs to its end later.
-func TestUrgentWorkStartsInAFullCell(t *testing.T) {
+func TestUrgentTasksStartInFullCell(t *testing.T) {
 	runWith(t, 4, newScheduled, func(b *bench) {
 		wave := batch("wave", 16, time.Minute) // fills the four VMs
 		wave.Checkpointable = true
--- a/internal/controller/placement/waits.go
+++ b/internal/controller/placement/waits.go
@@ -21,13 +21,13 @@
 		changed = f.noteWait(w, true) || changed
 	}
 	if changed {
-		f.c.machine.SetWaits(maps.Clone(f.waits))
+		f.c.machine.SetWaitReasons(maps.Clone(f.waits))
 	}
 }
 
 // noteWait notes why a job waits and reports whether that is news.
 func (f *feed) noteWait(w scheduler.WaitingJob, never bool) bool {
-	note := cell.WaitNote{Reason: w.Reason, Detail: w.Detail, Never: never}
+	note := cell.WaitReason{Reason: w.Reason, Detail: w.Detail, NeverFits: never}
 	if f.waits[w.Job] == note {
 		return false
 	}
--- a/internal/controller/recovery/drain.go
+++ b/internal/controller/recovery/drain.go
@@ -5,46 +5,46 @@
 	"github.com/skylarklock/skylarklock/internal/cell"
 )
 
-// Move is what is done next with a task that must leave its VM.
-type Move uint8
+// DrainAction is what is done next with a task that must leave its VM.
+type DrainAction uint8
 
 // Moves.
 const (
-	MoveNone    Move = iota // wait, or let it run to its end
-	MoveReplace             // start a replacement
-	MoveStop                // save and stop, cutting nothing off
+	ActionNone    DrainAction = iota // wait, or let it run to its end
+	ActionReplace                    // start a replacement
+	ActionStop                       // save and stop, cutting nothing off
 )
 
-// Drain decides the next move of a task on a leaving VM. Services are
+// NextDrainAction decides the next move of a task on a leaving VM. Services are
 // replaced before they are stopped. Batch and gang tasks are checkpointed;
 // those that can't be run on until they end or the VM is gone.
-func Drain(spec api.JobSpec, task cell.Held, replacement api.TaskState, replaced bool) Move {
+func NextDrainAction(spec api.JobSpec, task cell.AllocatedTask, replacement api.TaskState, replaced bool) DrainAction {
 	if task.State == api.TaskStopping {
-		return MoveNone
+		return ActionNone
 	}
 	switch spec.Class {
 	case api.ClassService, api.ClassInteractive:
 		return drainService(replacement, replaced)
 	}
 	if spec.Checkpointable && task.State == api.TaskRunning {
-		return MoveStop
+		return ActionStop
 	}
-	return MoveNone
+	return ActionNone
 }
 
-func drainService(replacement api.TaskState, replaced bool) Move {
+func drainService(replacement api.TaskState, replaced bool) DrainAction {
 	switch {
 	case !replaced:
-		return MoveReplace
+		return ActionReplace
 	case replacement == api.TaskRunning:
-		return MoveStop
+		return ActionStop
 	}
-	return MoveNone
+	return ActionNone
 }
 
-// Regroup tells whether the held tasks of a gang must be stopped, since
+// IsGangBroken tells whether the held tasks of a gang must be stopped, since
 // another part of it fell out and a gang runs whole or not at all.
-func Regroup(job cell.JobView) bool {
+func IsGangBroken(job cell.JobView) bool {
 	if job.Spec.Class != api.ClassGang || job.Cancelled || job.Ended {
 		return false
 	}
--- a/internal/controller/recovery/evacuate.go
+++ b/internal/controller/recovery/evacuate.go
@@ -16,13 +16,13 @@
 // Cell is one data centre's cell as an evacuation sees it.
 type Cell struct {
 	DataCentre api.DataCentre
-	Machine    *cell.Machine
+	Machine    *cell.StateMachine
 	Proposer   journal.Proposer
 	Authority  controller.Authority // of the lost cell; nil for the one that takes over
 }
 
-// MaxMoves bounds the jobs moved with one entry.
-const MaxMoves = 200
+// MaxMovedJobs bounds the jobs moved with one entry.
+const MaxMovedJobs = 200
 
 // Evacuate moves at most MaxMoves jobs that wait in a lost data centre to
 // another: it ends them there, submits them here and confirms that, in this
@@ -35,7 +35,7 @@
 		return 0, nil
 	}
 	if jobs := movable(lost.Machine, target.DataCentre); len(jobs) > 0 {
-		if err := lost.Proposer.Propose(ctx, lost.Machine.MoveEntry(epoch, target.DataCentre, jobs)); err != nil {
+		if err := lost.Proposer.Propose(ctx, lost.Machine.MoveJobsEntry(epoch, target.DataCentre, jobs)); err != nil {
 			return 0, err
 		}
 	}
@@ -43,7 +43,7 @@
 	if len(arrived) == 0 {
 		return 0, err
 	}
-	if confirmErr := lost.Proposer.Propose(ctx, lost.Machine.ConfirmEntry(epoch, arrived)); confirmErr != nil {
+	if confirmErr := lost.Proposer.Propose(ctx, lost.Machine.ConfirmMovesEntry(epoch, arrived)); confirmErr != nil {
 		return 0, confirmErr
 	}
 	log.WithFields(logrus.Fields{"from": lost.DataCentre, "to": target.DataCentre, "jobs": len(arrived)}).Info("jobs_evacuated")
@@ -52,7 +52,7 @@
 
 // movable lists the jobs to move next, in the order in which lost work is
 // placed again.
-func movable(m *cell.Machine, to api.DataCentre) []api.JobID {
+func movable(m *cell.StateMachine, to api.DataCentre) []api.JobID {
 	var views []cell.JobView
 	for _, id := range m.Jobs() {
 		view, ok := m.Job(id)
@@ -61,8 +61,8 @@
 		}
 	}
 	Sort(views, func(v cell.JobView) Order { return OrderOf(v, api.TaskID{Job: v.Spec.ID}) })
-	ids := make([]api.JobID, 0, MaxMoves)
-	for _, v := range views[:min(len(views), MaxMoves)] {
+	ids := make([]api.JobID, 0, MaxMovedJobs)
+	for _, v := range views[:min(len(views), MaxMovedJobs)] {
 		ids = append(ids, v.Spec.ID)
 	}
 	return ids
@@ -85,11 +85,11 @@
 // can't be.
 func submitMoved(ctx context.Context, lost, target Cell, now time.Time) ([]api.JobID, error) {
 	var arrived []api.JobID
-	for _, moving := range lost.Machine.Unconfirmed() {
+	for _, moving := range lost.Machine.UnconfirmedMoves() {
 		if moving.To != target.DataCentre {
 			continue
 		}
-		err := target.Proposer.Propose(ctx, cell.MovedEntry(moving, lost.DataCentre, now.UnixMilli()))
+		err := target.Proposer.Propose(ctx, cell.SubmitMovedEntry(moving, lost.DataCentre, now.UnixMilli()))
 		if err != nil && !arrivedBefore(err) {
 			return arrived, err
 		}
--- a/internal/controller/recovery/outage.go
+++ b/internal/controller/recovery/outage.go
@@ -9,14 +9,14 @@
 
 // Outage sums up what was lost together.
 type Outage struct {
-	VMs      int
-	Attempts int
-	Racks    []string // racks of which every VM lost work, with more than one VM
-	All      bool     // every VM of the data centre, with more than one
+	VMs             int
+	Attempts        int
+	Racks           []string // racks of which every VM lost work, with more than one VM
+	WholeDataCentre bool     // every VM of the data centre, with more than one
 }
 
-// Classify sums up the attempts lost on each VM.
-func Classify(vms []cell.VMView, lost map[api.VMID]int) Outage {
+// SummarizeOutage sums up the attempts lost on each VM.
+func SummarizeOutage(vms []cell.VMView, lost map[api.VMID]int) Outage {
 	size := make(map[string]int)
 	hit := make(map[string]int)
 	o := Outage{VMs: len(lost)}
@@ -35,6 +35,6 @@
 		}
 	}
 	sort.Strings(o.Racks)
-	o.All = len(vms) > 1 && len(lost) >= len(vms)
+	o.WholeDataCentre = len(vms) > 1 && len(lost) >= len(vms)
 	return o
 }
--- a/internal/controller/recovery/recovery.go
+++ b/internal/controller/recovery/recovery.go
@@ -14,19 +14,19 @@
 	"github.com/skylarklock/skylarklock/internal/journal"
 )
 
-// Leavers tells which VMs leave.
-type Leavers interface {
+// LeavingVMs tells which VMs leave.
+type LeavingVMs interface {
 	Leaving(id api.VMID) bool
 }
 
 // Config holds the controller's settings.
 type Config struct {
-	Tick time.Duration // between two looks at the VMs and gangs
+	Interval time.Duration // between two looks at the VMs and gangs
 }
 
 // DefaultConfig returns the settings used in production.
 func DefaultConfig() Config {
-	return Config{Tick: 250 * time.Millisecond}
+	return Config{Interval: 250 * time.Millisecond}
 }
 
 // counterGroup is the group of this package's counters.
@@ -36,10 +36,10 @@
 // was lost together.
 type Controller struct {
 	cfg      Config
-	machine  *cell.Machine
+	machine  *cell.StateMachine
 	proposer journal.Proposer
 	auth     controller.Authority
-	leavers  Leavers
+	leavers  LeavingVMs
 	counters cell.Counters
 	log      logrus.FieldLogger
 	clock    func() time.Time
@@ -50,7 +50,7 @@
 }
 
 // New returns a controller. It subscribes to machine.
-func New(cfg Config, machine *cell.Machine, proposer journal.Proposer, auth controller.Authority, leavers Leavers, counters cell.Counters, log logrus.FieldLogger, clock func() time.Time) *Controller {
+func New(cfg Config, machine *cell.StateMachine, proposer journal.Proposer, auth controller.Authority, leavers LeavingVMs, counters cell.Counters, log logrus.FieldLogger, clock func() time.Time) *Controller {
 	c := &Controller{
 		cfg: cfg, machine: machine, proposer: proposer, auth: auth, leavers: leavers,
 		counters: counters, log: log, clock: clock,
@@ -86,7 +86,7 @@
 
 // Run recovers until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
-	return controller.Every(ctx, c.cfg.Tick, nil, c.Step)
+	return controller.RunPeriodically(ctx, c.cfg.Interval, nil, c.Step)
 }
 
 // Step does one round.
@@ -155,11 +155,11 @@
 	var stops []cell.Stop
 	for _, id := range candidates {
 		job, ok := c.machine.Job(id)
-		if !ok || !Regroup(job) {
+		if !ok || !IsGangBroken(job) {
 			c.settled(id)
 			continue
 		}
-		for _, h := range c.machine.Holding(id) {
+		for _, h := range c.machine.AllocatedTasks(id) {
 			if h.State != api.TaskStopping {
 				stops = append(stops, stopOf(h, job.Spec.Checkpointable, api.ReasonGangWaiting))
 			}
@@ -168,27 +168,27 @@
 	return stops
 }
 
-func stopOf(h cell.Held, checkpoint bool, reason api.Reason) cell.Stop {
+func stopOf(h cell.AllocatedTask, checkpoint bool, reason api.Reason) cell.Stop {
 	return cell.Stop{Task: h.Task, Attempt: h.Attempt, Checkpoint: checkpoint, Reason: reason}
 }
 
 // drain decides the next moves on all leaving VMs.
-func (c *Controller) drain() ([]cell.Stop, map[api.JobID][]cell.Held) {
+func (c *Controller) drain() ([]cell.Stop, map[api.JobID][]cell.AllocatedTask) {
 	var stops []cell.Stop
-	replace := make(map[api.JobID][]cell.Held)
+	replace := make(map[api.JobID][]cell.AllocatedTask)
 	for _, vm := range c.machine.VMs() {
 		if !c.leavers.Leaving(vm.ID) {
 			continue
 		}
-		for _, h := range c.machine.On(vm.ID) {
+		for _, h := range c.machine.TasksOnVM(vm.ID) {
 			job, ok := c.machine.Job(h.Task.Job)
 			if !ok {
 				continue
 			}
 			switch c.next(job, h) {
-			case MoveReplace:
+			case ActionReplace:
 				replace[h.Task.Job] = append(replace[h.Task.Job], h)
-			case MoveStop:
+			case ActionStop:
 				stops = append(stops, stopOf(h, true, api.ReasonDrained))
 			}
 		}
@@ -196,12 +196,12 @@
 	return stops, replace
 }
 
-func (c *Controller) next(job cell.JobView, h cell.Held) Move {
-	if !h.Retiring {
-		return Drain(job.Spec, h, api.TaskPending, false)
+func (c *Controller) next(job cell.JobView, h cell.AllocatedTask) DrainAction {
+	if !h.HasReplacement {
+		return NextDrainAction(job.Spec, h, api.TaskPending, false)
 	}
 	replacement, ok := c.machine.Replacement(h.Task)
-	return Drain(job.Spec, h, replacement.State, ok)
+	return NextDrainAction(job.Spec, h, replacement.State, ok)
 }
 
 func (c *Controller) proposeStops(ctx context.Context, epoch api.Epoch, stops []cell.Stop) {
@@ -213,7 +213,7 @@
 	}
 }
 
-func (c *Controller) proposeReplacements(ctx context.Context, epoch api.Epoch, replace map[api.JobID][]cell.Held) {
+func (c *Controller) proposeReplacements(ctx context.Context, epoch api.Epoch, replace map[api.JobID][]cell.AllocatedTask) {
 	for id, tasks := range replace {
 		entry, ok := c.machine.ReplaceEntry(epoch, id, tasks)
 		if !ok {
@@ -230,11 +230,11 @@
 	if len(lost) == 0 {
 		return
 	}
-	outage := Classify(c.machine.VMs(), lost)
+	outage := SummarizeOutage(c.machine.VMs(), lost)
 	c.log.WithFields(logrus.Fields{
 		"vms":         outage.VMs,
 		"attempts":    outage.Attempts,
 		"racks":       outage.Racks,
-		"data_centre": outage.All,
+		"data_centre": outage.WholeDataCentre,
 	}).Warn("work_lost")
 }
--- a/internal/controller/recovery/recovery_test.go
+++ b/internal/controller/recovery/recovery_test.go
@@ -19,14 +19,14 @@
 // site is a cell whose proposals are applied at once, but for those whose
 // answer is lost after that.
 type site struct {
-	*cell.Machine
+	*cell.StateMachine
 	offset uint32
 	lose   int // answers lost from now on
 }
 
 func newSite() *site {
 	s := &site{}
-	s.Machine = cell.New(s, nil)
+	s.StateMachine = cell.New(s, nil)
 	return s
 }
 
@@ -46,7 +46,7 @@
 
 // What ran in a lost data centre arrives in another by priority, class and
 // age, once, whatever answers are lost on the way.
-func TestEvacuationArrivesOnceAndInOrder(t *testing.T) {
+func TestEvacuationIsOrderedAndIdempotent(t *testing.T) {
 	lost, target := newSite(), newSite()
 	must := func(e journal.Entry) {
 		t.Helper()
@@ -55,7 +55,7 @@
 		}
 	}
 	one := api.Resources{MilliCPU: 1000}
-	must(cell.VMsEntry(1, []cell.SeenVM{{ID: "a", Capacity: one.Mul(9)}}, nil))
+	must(cell.VMUpdateEntry(1, []cell.ObservedVM{{ID: "a", Capacity: one.Mul(9)}}, nil))
 	submit := func(id api.JobID, class api.Class, priority int, only ...api.DataCentre) {
 		must(cell.SubmitEntry(api.JobSpec{ID: id, Class: class, Priority: priority, Tasks: 3, Resources: one, DataCentres: only}, 0))
 	}
@@ -68,12 +68,12 @@
 		e, _ := lost.StartEntry(1, []cell.Start{{Task: api.TaskID{Job: id, Index: 1}, Attempt: 1, VM: "a", Resources: one}})
 		must(e)
 	}
-	must(lost.ReportEntry(1, []cell.Report{{Task: api.TaskID{Job: "old-batch", Index: 1}, Attempt: 1, Ending: cell.ReportSucceeded}}))
+	must(lost.ReportEntry(1, []cell.Report{{Task: api.TaskID{Job: "old-batch", Index: 1}, Attempt: 1, Status: cell.AttemptSucceeded}}))
 
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	from := recovery.Cell{DataCentre: "cas1", Machine: lost.Machine, Proposer: lost, Authority: lost}
-	to := recovery.Cell{DataCentre: "cas2", Machine: target.Machine, Proposer: target}
+	from := recovery.Cell{DataCentre: "cas1", Machine: lost.StateMachine, Proposer: lost, Authority: lost}
+	to := recovery.Cell{DataCentre: "cas2", Machine: target.StateMachine, Proposer: target}
 	lost.lose, target.lose = 1, 2
 	failures := 0
 	for range 10 {
@@ -81,8 +81,8 @@
 			failures++
 		}
 	}
-	if failures < 3 || len(lost.Unconfirmed()) != 0 {
-		t.Errorf("%d failures, left %v", failures, lost.Unconfirmed())
+	if failures < 3 || len(lost.UnconfirmedMoves()) != 0 {
+		t.Errorf("%d failures, left %v", failures, lost.UnconfirmedMoves())
 	}
 	if got, want := target.Jobs(), []api.JobID{"urgent", "service", "old-batch"}; !slices.Equal(got, want) {
 		t.Errorf("arrived %v, want %v", got, want)
--- a/internal/controller/vms/vms.go
+++ b/internal/controller/vms/vms.go
@@ -24,10 +24,10 @@
 
 // Config holds the controller's settings.
 type Config struct {
-	DataCentre api.DataCentre
-	Poll       time.Duration // between two reads of the list
-	Timeout    time.Duration // of a read and of a proposal
-	Directory  directory.Config
+	DataCentre   api.DataCentre
+	PollInterval time.Duration // between two reads of the list
+	Timeout      time.Duration // of a read and of a proposal
+	Directory    directory.Config
 }
 
 // goneAfter is how long a VM is absent from a list that is believed until it
@@ -40,10 +40,10 @@
 // DefaultConfig returns the settings used in production.
 func DefaultConfig(dc api.DataCentre) Config {
 	return Config{
-		DataCentre: dc,
-		Poll:       time.Second,
-		Timeout:    3 * time.Second,
-		Directory:  directory.Config{GracePeriod: goneAfter},
+		DataCentre:   dc,
+		PollInterval: time.Second,
+		Timeout:      3 * time.Second,
+		Directory:    directory.Config{GracePeriod: goneAfter},
 	}
 }
 
@@ -55,7 +55,7 @@
 	cfg      Config
 	list     platform.VMList
 	contacts Contacts
-	machine  *cell.Machine
+	machine  *cell.StateMachine
 	proposer journal.Proposer
 	auth     controller.Authority
 	counters cell.Counters
@@ -68,7 +68,7 @@
 }
 
 // New returns a controller that has not read the list yet.
-func New(cfg Config, list platform.VMList, contacts Contacts, machine *cell.Machine, proposer journal.Proposer, auth controller.Authority, counters cell.Counters, log logrus.FieldLogger, clock func() time.Time) *Controller {
+func New(cfg Config, list platform.VMList, contacts Contacts, machine *cell.StateMachine, proposer journal.Proposer, auth controller.Authority, counters cell.Counters, log logrus.FieldLogger, clock func() time.Time) *Controller {
 	if contacts == nil {
 		contacts = func() []directory.Contact { return nil }
 	}
@@ -80,7 +80,7 @@
 
 // Run follows the list until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
-	return controller.Every(ctx, c.cfg.Poll, nil, c.Step)
+	return controller.RunPeriodically(ctx, c.cfg.PollInterval, nil, c.Step)
 }
 
 // Step reads the list once and proposes what changed.
@@ -103,7 +103,7 @@
 	if len(seen)+len(gone) == 0 {
 		return
 	}
-	if err := c.proposer.Propose(ctx, cell.VMsEntry(epoch, seen, gone)); err != nil {
+	if err := c.proposer.Propose(ctx, cell.VMUpdateEntry(epoch, seen, gone)); err != nil {
 		c.counters.Inc("vm_list", "not_journaled")
 		return
 	}
@@ -148,7 +148,7 @@
 // it counts as missing from now on, and is given the time to show.
 func adopt(view directory.View, journaled map[api.VMID]cell.VMView, now time.Time) directory.View {
 	for id, v := range journaled {
-		if _, known := view.Entries[id]; known || v.Gone {
+		if _, known := view.Entries[id]; known || v.Removed {
 			continue
 		}
 		if view.Entries == nil {
@@ -161,17 +161,17 @@
 }
 
 // changes compares what is believed with what the log holds.
-func (c *Controller) changes(journaled map[api.VMID]cell.VMView) (seen []cell.SeenVM, gone []api.VMID) {
+func (c *Controller) changes(journaled map[api.VMID]cell.VMView) (seen []cell.ObservedVM, gone []api.VMID) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	for _, id := range slices.Sorted(maps.Keys(c.view.Entries)) {
 		entry := c.view.Entries[id]
 		if !entry.IsMissing() && isWorker(entry.VM) && differs(entry.VM, journaled[id]) {
-			seen = append(seen, cell.SeenVM{ID: id, Rack: entry.VM.Rack, Capacity: entry.VM.Capacity})
+			seen = append(seen, cell.ObservedVM{ID: id, Rack: entry.VM.Rack, Capacity: entry.VM.Capacity})
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(journaled)) {
-		if _, believed := c.view.Entries[id]; !believed && !journaled[id].Gone {
+		if _, believed := c.view.Entries[id]; !believed && !journaled[id].Removed {
 			gone = append(gone, id)
 		}
 	}
@@ -182,7 +182,7 @@
 func isWorker(vm api.VM) bool { return !vm.Capacity.IsZero() }
 
 func differs(vm api.VM, v cell.VMView) bool {
-	return v.ID == "" || v.Gone || v.Rack != vm.Rack || v.Capacity != vm.Capacity
+	return v.ID == "" || v.Removed || v.Rack != vm.Rack || v.Capacity != vm.Capacity
 }
 
 // VMs returns the VMs as believed: those listed, and those missing from the
@@ -204,9 +204,9 @@
 	return c.view.Entries[id].VM.State == api.VMLeaving
 }
 
-// Absent returns for how long the list, while it could be read, has lacked
+// MissingDurations returns for how long the list, while it could be read, has lacked
 // each VM that it once held.
-func (c *Controller) Absent(now time.Time) map[api.VMID]time.Duration {
+func (c *Controller) MissingDurations(now time.Time) map[api.VMID]time.Duration {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	absent := make(map[api.VMID]time.Duration)
--- a/internal/controller/worker/batcher.go
+++ b/internal/controller/worker/batcher.go
@@ -17,7 +17,7 @@
 // could not be journaled is dropped: the next exchange brings it again.
 type batcher struct {
 	cfg      Config
-	machine  *cell.Machine
+	machine  *cell.StateMachine
 	proposer journal.Proposer
 	auth     controller.Authority
 	counters cell.Counters
@@ -26,7 +26,7 @@
 
 	mu      sync.Mutex
 	waiting []waiting
-	known   map[lease.Attempt]cell.Ending // waiting or under way
+	known   map[lease.Attempt]cell.AttemptStatus // waiting or under way
 }
 
 type waiting struct {
@@ -37,16 +37,16 @@
 // maxBatches bounds the entries under way at once.
 const maxBatches = 4
 
-func newBatcher(cfg Config, machine *cell.Machine, proposer journal.Proposer, auth controller.Authority, counters cell.Counters, clock func() time.Time) *batcher {
+func newBatcher(cfg Config, machine *cell.StateMachine, proposer journal.Proposer, auth controller.Authority, counters cell.Counters, clock func() time.Time) *batcher {
 	return &batcher{
 		cfg: cfg, machine: machine, proposer: proposer, auth: auth, counters: counters, clock: clock,
 		full:  make(chan struct{}, 1),
-		known: make(map[lease.Attempt]cell.Ending),
+		known: make(map[lease.Attempt]cell.AttemptStatus),
 	}
 }
 
 // add takes a report unless the same one is on its way already.
-func (b *batcher) add(r cell.Report, h cell.Held) {
+func (b *batcher) add(r cell.Report, h cell.AllocatedTask) {
 	a := lease.Attempt{Task: r.Task, Attempt: r.Attempt}
 	order := recovery.Order{Task: h.Task}
 	if job, ok := b.machine.Job(h.Task.Job); ok {
@@ -54,12 +54,12 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.known[a] == r.Ending {
+	if b.known[a] == r.Status {
 		return
 	}
-	b.known[a] = r.Ending
+	b.known[a] = r.Status
 	b.waiting = append(b.waiting, waiting{report: r, order: order})
-	if len(b.waiting) >= b.cfg.FlushSize {
+	if len(b.waiting) >= b.cfg.MaxBatch {
 		select {
 		case b.full <- struct{}{}:
 		default:
@@ -69,7 +69,7 @@
 
 // run journals batches until ctx ends.
 func (b *batcher) run(ctx context.Context) {
-	ticker := time.NewTicker(b.cfg.FlushEvery)
+	ticker := time.NewTicker(b.cfg.FlushInterval)
 	defer ticker.Stop()
 	slots := make(chan struct{}, maxBatches)
 	var running sync.WaitGroup
@@ -102,7 +102,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	recovery.Sort(b.waiting, func(w waiting) recovery.Order { return w.order })
-	n := min(len(b.waiting), b.cfg.FlushSize)
+	n := min(len(b.waiting), b.cfg.MaxBatch)
 	batch := make([]cell.Report, n)
 	for i, w := range b.waiting[:n] {
 		batch[i] = w.report
@@ -129,7 +129,7 @@
 	defer b.mu.Unlock()
 	for _, r := range batch {
 		a := lease.Attempt{Task: r.Task, Attempt: r.Attempt}
-		if b.known[a] == r.Ending {
+		if b.known[a] == r.Status {
 			delete(b.known, a)
 		}
 	}
--- a/internal/controller/worker/ends.go
+++ b/internal/controller/worker/ends.go
@@ -26,7 +26,7 @@
 
 // expectEnds works out from a report when to look at the VM next. It needs
 // the VM locked.
-func (c *Controller) expectEnds(v *vm, now time.Time, held []cell.Held, reported map[lease.Attempt]platform.TaskReport) {
+func (c *Controller) expectEnds(v *vm, now time.Time, held []cell.AllocatedTask, reported map[lease.Attempt]platform.TaskReport) {
 	soonest, stopping := v.cfg.Interval, false
 	for _, h := range held {
 		r, ok := reported[attemptOf(h)]
@@ -55,7 +55,7 @@
 	case !stopping:
 		return 0
 	case v.stopGap == 0:
-		return v.cfg.MinGap
+		return v.cfg.MinInterval
 	}
 	return min(2*v.stopGap, v.cfg.Interval)
 }
--- a/internal/controller/worker/ends_test.go
+++ b/internal/controller/worker/ends_test.go
@@ -10,7 +10,7 @@
 )
 
 // A task that overruns what was declared is looked at ever more rarely.
-func TestLooksAtAnOverrunGrowApart(t *testing.T) {
+func TestOverrunCheckIntervalGrows(t *testing.T) {
 	const declared = 2 * time.Second
 	if got := untilEnd(declared, 500*time.Millisecond); got != 1500*time.Millisecond {
 		t.Fatalf("looks after %v, want when the declared time is over", got)
@@ -18,16 +18,16 @@
 	cfg := DefaultConfig(lease.Params{Lease: 10 * time.Second})
 	looks := 0
 	for ran := declared; ran < 20*declared; looks++ {
-		ran += min(max(untilEnd(declared, ran), cfg.MinGap), cfg.Interval)
+		ran += min(max(untilEnd(declared, ran), cfg.MinInterval), cfg.Interval)
 	}
 	if regular := int(19 * declared / cfg.Interval); looks > regular+6 {
 		t.Errorf("%d looks at a task that runs 20 times as long, %d without following its end", looks, regular)
 	}
 }
 
-func TestLooksAtAStopGrowApart(t *testing.T) {
+func TestStopCheckIntervalDoubles(t *testing.T) {
 	v := newVM(api.VM{}, tenure{}, DefaultConfig(lease.Params{Lease: 10 * time.Second}))
-	want := []time.Duration{v.cfg.MinGap, 2 * v.cfg.MinGap, 4 * v.cfg.MinGap}
+	want := []time.Duration{v.cfg.MinInterval, 2 * v.cfg.MinInterval, 4 * v.cfg.MinInterval}
 	for _, gap := range want {
 		if v.stopGap = v.nextStopGap(true); v.stopGap != gap {
 			t.Fatalf("looks again after %v, want %v", v.stopGap, gap)
@@ -45,12 +45,12 @@
 }
 
 // Looking early doesn't break the bound on the exchanges with one VM.
-func TestNextExchangeKeepsTheSmallestGap(t *testing.T) {
+func TestNextExchangeKeepsMinInterval(t *testing.T) {
 	v := newVM(api.VM{}, tenure{}, DefaultConfig(lease.Params{Lease: 10 * time.Second}))
 	v.last = time.Unix(100, 0)
 	v.report = &platform.WorkerReport{}
 	for after, want := range map[time.Duration]time.Duration{
-		time.Millisecond: v.cfg.MinGap, time.Second: time.Second, time.Hour: v.cfg.Interval,
+		time.Millisecond: v.cfg.MinInterval, time.Second: time.Second, time.Hour: v.cfg.Interval,
 	} {
 		v.look = v.last.Add(after)
 		if got := v.next().Sub(v.last); got != want {
@@ -59,7 +59,7 @@
 	}
 	v.look = v.last.Add(time.Millisecond)
 	v.failures = 1
-	if got := v.next().Sub(v.last); got != v.cfg.Retry {
-		t.Errorf("next exchange with a silent VM after %v, want %v", got, v.cfg.Retry)
+	if got := v.next().Sub(v.last); got != v.cfg.RetryInterval {
+		t.Errorf("next exchange with a silent VM after %v, want %v", got, v.cfg.RetryInterval)
 	}
 }
--- a/internal/controller/worker/exchange.go
+++ b/internal/controller/worker/exchange.go
@@ -17,7 +17,7 @@
 func (c *Controller) exchange(ctx context.Context, v *vm, timeout time.Duration) {
 	defer v.done()
 	v.changed.Store(false)
-	held := c.machine.On(v.id)
+	held := c.machine.TasksOnVM(v.id)
 	v.mu.Lock()
 	address := v.address
 	msg, out, ok := c.compose(v, held)
@@ -55,7 +55,7 @@
 }
 
 // compose builds the message. It needs the VM locked.
-func (c *Controller) compose(v *vm, held []cell.Held) (platform.WorkerSync, outgoing, bool) {
+func (c *Controller) compose(v *vm, held []cell.AllocatedTask) (platform.WorkerSync, outgoing, bool) {
 	msg := platform.WorkerSync{Epoch: v.tenure.epoch}
 	var out outgoing
 	if v.tracker.Incarnation() != 0 {
@@ -75,18 +75,18 @@
 	return msg, out, ok
 }
 
-func attemptOf(h cell.Held) lease.Attempt {
+func attemptOf(h cell.AllocatedTask) lease.Attempt {
 	return lease.Attempt{Task: h.Task, Attempt: h.Attempt}
 }
 
-func (c *Controller) startOf(h cell.Held) platform.TaskStart {
+func (c *Controller) startOf(h cell.AllocatedTask) platform.TaskStart {
 	job, _ := c.machine.Job(h.Task.Job)
 	return platform.TaskStart{
 		Task:      h.Task,
 		Attempt:   h.Attempt,
 		Resources: h.Resources,
 		RunTime:   job.Spec.RunTime,
-		Restore:   h.Checkpoint,
+		Restore:   h.HasCheckpoint,
 		Payload:   job.Spec.Payload,
 	}
 }
@@ -94,8 +94,8 @@
 // stops orders what the log wants stopped, and lets the VM forget the
 // attempts that, by the log, it no longer holds: a StopKill for an attempt
 // that ended acknowledges its end.
-func (c *Controller) stops(v *vm, held []cell.Held) []platform.TaskStop {
-	stops := c.observer.Throttles(v.id)
+func (c *Controller) stops(v *vm, held []cell.AllocatedTask) []platform.TaskStop {
+	stops := c.observer.TakeThrottles(v.id)
 	holds := make(map[lease.Attempt]bool, len(held))
 	for _, h := range held {
 		a := attemptOf(h)
@@ -115,8 +115,8 @@
 	return stops
 }
 
-func stopMode(h cell.Held) platform.StopMode {
-	if h.SaveStop {
+func stopMode(h cell.AllocatedTask) platform.StopMode {
+	if h.CheckpointOnStop {
 		return platform.StopCheckpoint
 	}
 	return platform.StopKill
@@ -163,7 +163,7 @@
 }
 
 // lapse gives up what a VM held when its lease has certainly lapsed.
-func (c *Controller) lapse(v *vm, now time.Time, held []cell.Held) {
+func (c *Controller) lapse(v *vm, now time.Time, held []cell.AllocatedTask) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !v.tracker.Expired(now) {
@@ -172,7 +172,7 @@
 	v.lapsed = true
 	for _, h := range held {
 		v.tracker.MarkEnded(attemptOf(h))
-		c.journal.add(cell.Report{Task: h.Task, Attempt: h.Attempt, Ending: cell.ReportLost, Reason: api.ReasonLeaseExpired}, h)
+		c.journal.add(cell.Report{Task: h.Task, Attempt: h.Attempt, Status: cell.AttemptLost, Reason: api.ReasonLeaseExpired}, h)
 	}
 }
 
@@ -187,11 +187,11 @@
 
 // judge compares a report with what the log said before the exchange. It
 // needs the VM locked.
-func (c *Controller) judge(v *vm, held []cell.Held, report platform.WorkerReport, restarted bool) {
+func (c *Controller) judge(v *vm, held []cell.AllocatedTask, report platform.WorkerReport, restarted bool) {
 	reported := make(map[lease.Attempt]platform.TaskReport, len(report.Tasks))
 	for _, r := range report.Tasks {
 		reported[lease.Attempt{Task: r.Task, Attempt: r.Attempt}] = r
-		c.observer.Reported(v.id, r)
+		c.observer.ObserveReport(v.id, r)
 	}
 	c.expectEnds(v, v.answeredAt, held, reported)
 	for _, h := range held {
@@ -204,12 +204,12 @@
 			continue // to be told with the next exchange
 		}
 		if v.tracker.ConfirmMissing(a) {
-			c.journal.add(cell.Report{Task: h.Task, Attempt: h.Attempt, Ending: cell.ReportLost, Reason: missingReason(h, restarted)}, h)
+			c.journal.add(cell.Report{Task: h.Task, Attempt: h.Attempt, Status: cell.AttemptLost, Reason: missingReason(h, restarted)}, h)
 		}
 	}
 }
 
-func missingReason(h cell.Held, restarted bool) api.Reason {
+func missingReason(h cell.AllocatedTask, restarted bool) api.Reason {
 	switch {
 	case h.State == api.TaskStopping:
 		return h.Reason
@@ -220,23 +220,23 @@
 }
 
 // present journals the change that a report of an attempt makes.
-func (c *Controller) present(h cell.Held, r platform.TaskReport) {
+func (c *Controller) present(h cell.AllocatedTask, r platform.TaskReport) {
 	report := cell.Report{Task: h.Task, Attempt: h.Attempt}
 	switch r.State {
 	case platform.RunRunning:
 		if h.State != api.TaskStarting {
 			return
 		}
-		report.Ending = cell.ReportRunning
+		report.Status = cell.AttemptRunning
 	case platform.RunSucceeded:
-		report.Ending = cell.ReportSucceeded
+		report.Status = cell.AttemptSucceeded
 	case platform.RunFailed:
-		report.Ending = cell.ReportErrored
+		report.Status = cell.AttemptFailed
 		report.Reason = api.ReasonTaskFailed
 	case platform.RunCheckpointed:
-		report.Ending = cell.ReportCheckpointed
+		report.Status = cell.AttemptCheckpointed
 	case platform.RunKilled:
-		report.Ending = cell.ReportKilled
+		report.Status = cell.AttemptKilled
 		if h.State != api.TaskStopping {
 			report.Reason = api.ReasonLeaseExpired
 		}
@@ -248,14 +248,14 @@
 }
 
 // endingOf gives the ending that led to an event, as far as it shows.
-func endingOf(e cell.Event) cell.Ending {
+func endingOf(e cell.Event) cell.AttemptStatus {
 	switch {
 	case e.State == api.TaskFinished:
-		return cell.ReportSucceeded
+		return cell.AttemptSucceeded
 	case e.Reason == api.ReasonTaskFailed || e.Reason == api.ReasonFailsEverywhere:
-		return cell.ReportErrored
+		return cell.AttemptFailed
 	case e.Reason == api.ReasonWorkerLost || e.Reason == api.ReasonLeaseExpired || e.Reason == api.ReasonWorkerRestart:
-		return cell.ReportLost
+		return cell.AttemptLost
 	}
-	return cell.ReportKilled
+	return cell.AttemptKilled
 }
--- a/internal/controller/worker/vm.go
+++ b/internal/controller/worker/vm.go
@@ -82,7 +82,7 @@
 	if v.failures > 0 || v.look.IsZero() || !v.look.Before(at) {
 		return at
 	}
-	if earliest := v.last.Add(v.cfg.MinGap); v.look.Before(earliest) {
+	if earliest := v.last.Add(v.cfg.MinInterval); v.look.Before(earliest) {
 		return earliest
 	}
 	return v.look
@@ -99,13 +99,13 @@
 // pause is the time from one exchange to the next.
 func (v *vm) pause() time.Duration {
 	if v.failures > 0 && !v.lapsed {
-		return v.cfg.Retry
+		return v.cfg.RetryInterval
 	}
 	if v.failures > 0 {
-		return min(v.cfg.Interval*time.Duration(v.failures), v.cfg.Backoff)
+		return min(v.cfg.Interval*time.Duration(v.failures), v.cfg.MaxBackoff)
 	}
 	if v.changed.Load() || v.report == nil {
-		return v.cfg.MinGap
+		return v.cfg.MinInterval
 	}
 	return v.cfg.Interval
 }
@@ -120,8 +120,8 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return Status{
-		Answers:  !v.answeredAt.IsZero() && now.Sub(v.answeredAt) < v.cfg.Lease.Lease/2,
-		Leaving:  v.leaving,
-		LapsesAt: v.tracker.ExpiresAt(),
+		IsResponsive:   !v.answeredAt.IsZero() && now.Sub(v.answeredAt) < v.cfg.Lease.Lease/2,
+		Leaving:        v.leaving,
+		LeaseExpiresAt: v.tracker.ExpiresAt(),
 	}
 }
--- a/internal/controller/worker/worker.go
+++ b/internal/controller/worker/worker.go
@@ -31,49 +31,49 @@
 // Observer learns from reports: estimates of use and time, and VMs that fail
 // what they start. Its methods are called concurrently and must return soon.
 type Observer interface {
-	// Reported tells of each attempt in each report.
-	Reported(vm api.VMID, r platform.TaskReport)
-	// Ended tells once of each attempt whose end was journaled.
-	Ended(vm api.VMID, task api.TaskID, ending cell.Ending)
-	// Throttles returns the attempts on vm to be held to their declared use.
-	Throttles(vm api.VMID) []platform.TaskStop
+	// ObserveReport tells of each attempt in each report.
+	ObserveReport(vm api.VMID, r platform.TaskReport)
+	// ObserveEnd tells once of each attempt whose end was journaled.
+	ObserveEnd(vm api.VMID, task api.TaskID, ending cell.AttemptStatus)
+	// TakeThrottles returns the attempts on vm to be held to their declared use.
+	TakeThrottles(vm api.VMID) []platform.TaskStop
 }
 
 // Config holds the controller's settings.
 type Config struct {
-	Lease       lease.Params
-	Interval    time.Duration // between exchanges with a VM that has no changes
-	MinGap      time.Duration // between exchanges with a VM that has changes
-	Retry       time.Duration // after an exchange without an answer, while the lease may hold
-	Tick        time.Duration // between two looks for VMs that are due
-	Timeout     time.Duration // of an exchange with a VM that answered the last
-	Concurrency int           // such exchanges under way at once
-	FlushEvery  time.Duration // longest wait of a report for its entry
-	FlushSize   int           // reports in one entry
-	Backoff     time.Duration // longest pause between exchanges with a VM whose lease has lapsed
+	Lease         lease.Params
+	Interval      time.Duration // between exchanges with a VM that has no changes
+	MinInterval   time.Duration // between exchanges with a VM that has changes
+	RetryInterval time.Duration // after an exchange without an answer, while the lease may hold
+	TickInterval  time.Duration // between two looks for VMs that are due
+	Timeout       time.Duration // of an exchange with a VM that answered the last
+	Concurrency   int           // such exchanges under way at once
+	FlushInterval time.Duration // longest wait of a report for its entry
+	MaxBatch      int           // reports in one entry
+	MaxBackoff    time.Duration // longest pause between exchanges with a VM whose lease has lapsed
 
-	ProbeTimeout time.Duration // of an exchange with any other VM
-	Probes       int           // such exchanges under way at once
-	RefreshEvery time.Duration // between two looks at the directory
+	ProbeTimeout     time.Duration // of an exchange with any other VM
+	ProbeConcurrency int           // such exchanges under way at once
+	RefreshInterval  time.Duration // between two looks at the directory
 }
 
 // DefaultConfig returns the settings used in production.
 func DefaultConfig(p lease.Params) Config {
 	return Config{
-		Lease:       p,
-		Interval:    p.Lease / 4,
-		MinGap:      50 * time.Millisecond,
-		Retry:       p.Lease / 12,
-		Tick:        20 * time.Millisecond,
-		Timeout:     p.Lease / 4,
-		Concurrency: 128,
-		FlushEvery:  20 * time.Millisecond,
-		FlushSize:   2000,
-		Backoff:     p.Lease,
+		Lease:         p,
+		Interval:      p.Lease / 4,
+		MinInterval:   50 * time.Millisecond,
+		RetryInterval: p.Lease / 12,
+		TickInterval:  20 * time.Millisecond,
+		Timeout:       p.Lease / 4,
+		Concurrency:   128,
+		FlushInterval: 20 * time.Millisecond,
+		MaxBatch:      2000,
+		MaxBackoff:    p.Lease,
 
-		ProbeTimeout: p.Lease / 20,
-		Probes:       256,
-		RefreshEvery: 500 * time.Millisecond,
+		ProbeTimeout:     p.Lease / 20,
+		ProbeConcurrency: 256,
+		RefreshInterval:  500 * time.Millisecond,
 	}
 }
 
@@ -86,7 +86,7 @@
 // Controller syncs the VMs. Its methods are safe for concurrent use.
 type Controller struct {
 	cfg      Config
-	machine  *cell.Machine
+	machine  *cell.StateMachine
 	workers  platform.Worker
 	dir      Directory
 	auth     controller.Authority
@@ -108,12 +108,12 @@
 const counterGroup = "worker_sync"
 
 // New returns a controller. It subscribes to machine.
-func New(cfg Config, machine *cell.Machine, proposer journal.Proposer, workers platform.Worker, dir Directory, auth controller.Authority, observer Observer, counters cell.Counters, log logrus.FieldLogger, clock func() time.Time) *Controller {
+func New(cfg Config, machine *cell.StateMachine, proposer journal.Proposer, workers platform.Worker, dir Directory, auth controller.Authority, observer Observer, counters cell.Counters, log logrus.FieldLogger, clock func() time.Time) *Controller {
 	c := &Controller{
 		cfg: cfg, machine: machine, workers: workers, dir: dir, auth: auth, observer: observer,
 		counters: counters, log: log, clock: clock,
 		slots:  make(chan struct{}, cfg.Concurrency),
-		probes: make(chan struct{}, cfg.Probes),
+		probes: make(chan struct{}, cfg.ProbeConcurrency),
 		vms:    make(map[api.VMID]*vm),
 	}
 	c.journal = newBatcher(cfg, machine, proposer, auth, counters, clock)
@@ -140,7 +140,7 @@
 			}
 		}
 		if e.Kind == cell.EventTaskFreed {
-			c.observer.Ended(e.VM, e.Task, endingOf(e))
+			c.observer.ObserveEnd(e.VM, e.Task, endingOf(e))
 		}
 	}
 }
@@ -150,7 +150,7 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	running.Go(func() { c.journal.run(ctx) })
-	return controller.Every(ctx, c.cfg.Tick, nil, func(ctx context.Context) { c.step(ctx, &running) })
+	return controller.RunPeriodically(ctx, c.cfg.TickInterval, nil, func(ctx context.Context) { c.step(ctx, &running) })
 }
 
 // step starts the exchanges that are due.
@@ -164,7 +164,7 @@
 	c.refresh(now)
 	for _, d := range c.due(now) {
 		if d.lapsing {
-			c.lapse(d.vm, now, c.machine.On(d.vm.id))
+			c.lapse(d.vm, now, c.machine.TasksOnVM(d.vm.id))
 		}
 		c.launch(ctx, running, d, now)
 	}
@@ -210,7 +210,7 @@
 		c.vms = make(map[api.VMID]*vm)
 		for _, view := range c.machine.VMs() {
 			v := newVM(api.VM{ID: view.ID}, t, c.cfg)
-			for _, held := range c.machine.On(view.ID) {
+			for _, held := range c.machine.TasksOnVM(view.ID) {
 				v.tracker.Inherit(lease.Attempt{Task: held.Task, Attempt: held.Attempt})
 			}
 			c.vms[view.ID] = v
@@ -224,7 +224,7 @@
 // forgotten.
 func (c *Controller) refresh(now time.Time) {
 	c.mu.Lock()
-	fresh := now.Sub(c.refreshedAt) < c.cfg.RefreshEvery
+	fresh := now.Sub(c.refreshedAt) < c.cfg.RefreshInterval
 	if !fresh {
 		c.refreshedAt = now
 	}
@@ -274,10 +274,10 @@
 
 // Status is how a VM stands with this controller.
 type Status struct {
-	Answers bool // reported in this tenure, not longer than half a lease ago
-	Leaving bool // says so in its reports
-	// LapsesAt is when every lease given to it has certainly lapsed.
-	LapsesAt time.Time
+	IsResponsive bool // reported in this tenure, not longer than half a lease ago
+	Leaving      bool // says so in its reports
+	// LeaseExpiresAt is when every lease given to it has certainly lapsed.
+	LeaseExpiresAt time.Time
 }
 
 // Status returns how a VM stands; false when it is not known here.
--- a/internal/entry/controllers.go
+++ b/internal/entry/controllers.go
@@ -50,7 +50,7 @@
 	params := lease.Params{Lease: s.Hold.Lease.Std(), Hold: s.Hold.Hold.Std(), Drift: s.Hold.Drift}
 	p := new(cellControllers)
 	vmsConfig := vms.DefaultConfig(s.DataCentre)
-	vmsConfig.Poll = s.VMList.Interval.Std()
+	vmsConfig.PollInterval = s.VMList.Interval.Std()
 	vmsConfig.Timeout = s.VMList.Timeout.Std()
 	p.vms = vms.New(vmsConfig, n.adapters.VMList, n.router.Contacts, st.cellState, st.cell, auth, n.counters, n.log, time.Now)
 	p.learning = learning.New(st.configState.Policy, st.cellState, st.cell, auth, n.counters, time.Now)
@@ -60,7 +60,7 @@
 	p.recovery = recovery.New(recovery.DefaultConfig(), st.cellState, st.cell, auth, view, n.counters, n.log, time.Now)
 	p.endpoints = endpoints.New(p.vms, n.owner, n.router, n.adapters.Endpoint, time.Now)
 	p.jobs = jobs.New(jobs.Config{
-		DataCentre: s.DataCentre, DataCentres: s.DataCentres, Home: filter.HomeOf,
+		DataCentre: s.DataCentre, DataCentres: s.DataCentres, SelectHome: filter.HomeOf,
 	}, st.configState, st.cellState, st.cell, config.NewPublisher(st.configState, st.config), auth, n.counters, time.Now)
 	return p
 }
@@ -110,7 +110,7 @@
 // callers have their answers, so that it stays in the roster, where other members
 // query it for these answers.
 func (n *Node) maxInFlight(shard ownership.Shard) int {
-	inFlight := n.router.MaxInFlight(n.cell.endpoints.Of(shard))
+	inFlight := n.router.MaxInFlight(n.cell.endpoints.ShardEndpoints(shard))
 	if shard != ownership.Cell && n.owner.Draining() && !n.callersAnswered.Load() {
 		return max(inFlight, 1)
 	}
@@ -121,7 +121,7 @@
 // list has been missing. The list identifies entry VMs by their node ID.
 func (n *Node) unlisted(now time.Time) map[api.NodeID]time.Duration {
 	nodes := make(map[api.NodeID]time.Duration)
-	for id, absent := range n.cell.vms.Absent(now) {
+	for id, absent := range n.cell.vms.MissingDurations(now) {
 		nodes[api.NodeID(id)] = absent
 	}
 	return nodes
--- a/internal/entry/jobs.go
+++ b/internal/entry/jobs.go
@@ -18,7 +18,7 @@
 
 // jobService proposes callers' jobs and cancellations to the data centre's stream.
 type jobService struct {
-	cellState *cell.Machine
+	cellState *cell.StateMachine
 	proposer  journal.Proposer
 	validate  func(api.JobSpec) (api.JobSpec, error) // validates a job and sets its defaults
 	now       func() time.Time
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -134,7 +134,7 @@
 
 // explainer explains the state of jobs and tasks to operators.
 type explainer struct {
-	cellState *cell.Machine
+	cellState *cell.StateMachine
 }
 
 // ExplainJob implements operator.Explainer.
@@ -186,5 +186,5 @@
 }
 
 func historyLine(i cell.Incident) api.HistoryEvent {
-	return api.HistoryEvent{Event: i.What, Task: &i.Task.Index, VM: i.VM, Reason: i.Reason, Count: 1}
+	return api.HistoryEvent{Event: i.Description, Task: &i.Task.Index, VM: i.VM, Reason: i.Reason, Count: 1}
 }
--- a/internal/entry/schedulerstate.go
+++ b/internal/entry/schedulerstate.go
@@ -21,7 +21,7 @@
 }
 
 // newSchedulerState returns an empty scheduler state.
-func (n *Node) newSchedulerState() placement.World {
+func (n *Node) newSchedulerState() placement.SchedulerState {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	w := &schedulerState{
 		State:       scheduler.NewState(),
@@ -33,7 +33,7 @@
 	return w
 }
 
-// Cycle implements placement.World.
+// Cycle implements placement.SchedulerState.
 func (w *schedulerState) Cycle(now time.Time, maxStarts int) scheduler.Plan {
 	if w.configState.Revision() != w.configRevision {
 		w.refresh()
--- a/internal/entry/streams.go
+++ b/internal/entry/streams.go
@@ -38,7 +38,7 @@
 	configState    *config.StateMachine
 	ownershipState *ownership.StateMachine
 	markState      *reqkey.StateMachine
-	cellState      *cell.Machine
+	cellState      *cell.StateMachine
 
 	config *journal.Replica
 	cell   *journal.Replica
