--- a/internal/cell/apply.go
+++ b/internal/cell/apply.go
@@ -7,37 +7,38 @@
 	"github.com/skylarklock/skylarklock/internal/ledger"
 )
 
-// maxTasks bounds the tasks of one job.
-const maxTasks = 1_000_000
+// maxTasksPerJob is the maximum number of tasks of a job, including replacements.
+const maxTasksPerJob = 1_000_000
 
 func (m *StateMachine) applySubmit(s *Submit) *Rejection {
 	id := s.Spec.ID
-	if fault := specFault(&s.Spec); fault != "" {
-		return &Rejection{Reason: api.ReasonMalformed, Task: api.TaskID{Job: id}, Detail: fault}
+	if detail := invalidSpecDetail(&s.Spec); detail != "" {
+		return &Rejection{Reason: api.ReasonMalformed, Task: api.TaskID{Job: id}, Detail: detail}
 	}
-	if r := m.takeMove(s); r != nil {
+	if r := m.acceptMove(s); r != nil {
 		return r
 	}
 	if _, known := m.numberOf(id); known {
-		return m.knownJob(s)
+		return m.handleKnownJob(s)
 	}
 	j := newJob(m.nextJob, s.Spec, s.ProposedAtMs)
 	m.nextJob++
 	if s.MovedFrom != nil {
-		j.settleRanges(s.MovedFrom.EndedTasks)
+		j.markEndedElsewhere(s.MovedFrom.EndedTasks)
 	}
 	m.insert(j)
 	m.emit(Event{Kind: EventJobSubmitted, Task: api.TaskID{Job: id}})
-	m.retireIfDone(j.number)
+	m.endIfDone(j.number)
 	return nil
 }
 
-// specFault says what keeps a job from ever being placed, "" for nothing.
-func specFault(spec *api.JobSpec) string {
+// invalidSpecDetail describes why a job with this spec can never be placed. It
+// returns "" for a valid spec.
+func invalidSpecDetail(spec *api.JobSpec) string {
 	switch {
 	case spec.ID == "":
 		return "no ID"
-	case spec.Tasks == 0 || spec.Tasks > maxTasks:
+	case spec.Tasks == 0 || spec.Tasks > maxTasksPerJob:
 		return "number of tasks out of range"
 	case spec.Resources.HasNegative() || spec.Resources.IsZero():
 		return "resources negative or none"
@@ -45,9 +46,9 @@
 	return ""
 }
 
-// knownJob rejects a second job of an ID. One that was moved here counts as
-// arrived all the same, so that the moves after it can be taken.
-func (m *StateMachine) knownJob(s *Submit) *Rejection {
+// handleKnownJob rejects a second job with a known ID. A job that was moved to
+// this cell counts as arrived nevertheless, so that later moves can be applied.
+func (m *StateMachine) handleKnownJob(s *Submit) *Rejection {
 	if s.MovedFrom != nil {
 		m.count(api.ReasonDuplicate)
 		return nil
@@ -56,33 +57,34 @@
 }
 
 func (m *StateMachine) insert(j *job) {
-	s := m.shardOf(j.number)
+	s := m.jobShardOf(j.number)
 	s.mu.Lock()
 	s.jobs[j.number] = j
 	s.mu.Unlock()
-	n := m.nameShardOf(j.spec.ID)
+	n := m.idShardOf(j.spec.ID)
 	n.mu.Lock()
 	n.numbers[j.spec.ID] = j.number
 	n.mu.Unlock()
 }
 
 func (m *StateMachine) applyCancel(c *Cancel) *Rejection {
-	done := 0
+	cancelled := 0
 	for _, id := range c.Jobs {
-		if m.cancelOne(id) {
-			done++
+		if m.cancelJob(id) {
+			cancelled++
 		} else {
 			m.count(api.ReasonUnknownJob)
 		}
 	}
-	if done == 0 {
+	if cancelled == 0 {
 		return &Rejection{Reason: api.ReasonUnknownJob, Detail: "no job to cancel"}
 	}
 	return nil
 }
 
-// cancelOne cancels a job that has not ended; a second time changes nothing.
-func (m *StateMachine) cancelOne(id api.JobID) bool {
+// cancelJob cancels a job unless it has ended or is cancelled already. It
+// returns false if the job is unknown.
+func (m *StateMachine) cancelJob(id api.JobID) bool {
 	number, ok := m.numberOf(id)
 	if !ok {
 		return false
@@ -97,33 +99,33 @@
 	})
 	if changed {
 		m.emit(Event{Kind: EventJobCancelled, Task: api.TaskID{Job: id}, Reason: api.ReasonCancelled})
-		m.retireIfDone(number)
+		m.endIfDone(number)
 	}
 	return true
 }
 
-// retireIfDone ends a job of which no task can change any more.
-func (m *StateMachine) retireIfDone(number uint32) {
+// endIfDone ends a job if none of its tasks can change any more.
+func (m *StateMachine) endIfDone(number uint32) {
 	var id api.JobID
-	retired := false
+	hasEnded := false
 	m.withJob(number, func(j *job) {
-		if j.ended || !j.done() {
+		if j.ended || !j.isDone() {
 			return
 		}
 		j.ended = true
-		retired = true
+		hasEnded = true
 		id = j.spec.ID
 	})
-	if !retired {
+	if !hasEnded {
 		return
 	}
 	m.emit(Event{Kind: EventJobEnded, Task: api.TaskID{Job: id}})
-	m.keepEnded(number)
+	m.retainEnded(number)
 }
 
-// keepEnded keeps an ended job for explanations and forgets the oldest ones
-// beyond the bounds.
-func (m *StateMachine) keepEnded(number uint32) {
+// retainEnded keeps an ended job for explanations and forgets the oldest ended
+// jobs beyond the limits.
+func (m *StateMachine) retainEnded(number uint32) {
 	m.ended = append(m.ended, number)
 	m.withJob(number, func(j *job) { m.endedTasks += len(j.tasks) })
 	for len(m.ended) > maxEndedJobs || (m.endedTasks > maxEndedTasks && len(m.ended) > 1) {
@@ -133,62 +135,62 @@
 }
 
 func (m *StateMachine) forget(number uint32) {
-	s := m.shardOf(number)
+	s := m.jobShardOf(number)
 	s.mu.Lock()
 	j := s.jobs[number]
 	delete(s.jobs, number)
 	s.mu.Unlock()
 	m.endedTasks -= len(j.tasks)
-	n := m.nameShardOf(j.spec.ID)
+	n := m.idShardOf(j.spec.ID)
 	n.mu.Lock()
 	delete(n.numbers, j.spec.ID)
 	n.mu.Unlock()
 }
 
-func (m *StateMachine) applyVMs(b *VMUpdate) *Rejection {
+func (m *StateMachine) applyVMUpdate(b *VMUpdate) *Rejection {
 	if r := m.checkEpoch(b.Epoch); r != nil {
 		return r
 	}
 	m.vms.mu.Lock()
 	defer m.vms.mu.Unlock()
-	for _, seen := range b.Observed {
-		m.vms.put(seen)
-		m.emit(Event{Kind: EventVMObserved, VM: seen.ID, Resources: seen.Capacity})
+	for _, observed := range b.Observed {
+		m.vms.update(observed)
+		m.emit(Event{Kind: EventVMObserved, VM: observed.ID, Resources: observed.Capacity})
 	}
 	for _, id := range b.Removed {
-		if m.vms.drop(id) {
+		if m.vms.remove(id) {
 			m.emit(Event{Kind: EventVMRemoved, VM: id})
 		}
 	}
 	return nil
 }
 
-func (t *vmTable) put(seen ObservedVM) {
-	number, known := t.numbers[seen.ID]
+func (t *vmTable) update(observed ObservedVM) {
+	number, known := t.numbers[observed.ID]
 	if !known {
 		number = uint32(len(t.rows))
 		t.rows = append(t.rows, nil)
-		t.numbers[seen.ID] = number
+		t.numbers[observed.ID] = number
 	}
-	t.rows[number] = &vmRow{id: seen.ID, rack: seen.Rack, capacity: seen.Capacity}
-	t.ledger.SetCapacity(number, seen.Capacity)
+	t.rows[number] = &vmRow{id: observed.ID, rack: observed.Rack, capacity: observed.Capacity}
+	t.ledger.SetCapacity(number, observed.Capacity)
 }
 
-func (t *vmTable) drop(id api.VMID) bool {
+func (t *vmTable) remove(id api.VMID) bool {
 	number, known := t.numbers[id]
-	if !known || t.rows[number].gone {
+	if !known || t.rows[number].removed {
 		return false
 	}
-	t.rows[number].gone = true
+	t.rows[number].removed = true
 	t.forgetIfEmpty(number)
 	return true
 }
 
-// forgetIfEmpty forgets a dropped VM that nothing holds. Its number is never
-// given again.
+// forgetIfEmpty forgets a removed VM that no task holds. Its number is never
+// reused.
 func (t *vmTable) forgetIfEmpty(number uint32) {
 	row := t.rows[number]
-	if row == nil || !row.gone || t.ledger.Count(number) > 0 {
+	if row == nil || !row.removed || t.ledger.Count(number) > 0 {
 		return
 	}
 	t.ledger.RemoveVM(number)
@@ -196,19 +198,19 @@
 	delete(t.numbers, row.id)
 }
 
-// row returns a VM that takes starts.
-func (t *vmTable) row(number uint32) *vmRow {
+// schedulableRow returns the VM with the given number if it accepts starts, or nil.
+func (t *vmTable) schedulableRow(number uint32) *vmRow {
 	if number >= uint32(len(t.rows)) {
 		return nil
 	}
-	row := t.rows[number]
-	if row == nil || row.gone {
+	vm := t.rows[number]
+	if vm == nil || vm.removed {
 		return nil
 	}
-	return row
+	return vm
 }
 
-// ledgerReason translates the ledger's errors.
+// ledgerReason returns the reason of a rejection for an error of the ledger.
 func ledgerReason(err error) api.Reason {
 	switch {
 	case errors.Is(err, ledger.ErrUnknownVM):
--- a/internal/cell/apply_report.go
+++ b/internal/cell/apply_report.go
@@ -13,10 +13,12 @@
 	for i := range b.Groups {
 		applied += m.applyReportGroup(&b.Groups[i])
 	}
-	return orWrongState(applied)
+	return rejectionIfNoneApplied(applied)
 }
 
-func orWrongState(applied int) *Rejection {
+// rejectionIfNoneApplied returns a rejection of the entry if none of its items was
+// applied.
+func rejectionIfNoneApplied(applied int) *Rejection {
 	if applied > 0 {
 		return nil
 	}
@@ -37,14 +39,14 @@
 		}
 	})
 	if applied > 0 && g.Status != AttemptRunning {
-		m.retireIfDone(g.Job)
+		m.endIfDone(g.Job)
 	}
 	return applied
 }
 
-// current returns the task whose latest attempt is the named one and holds a
-// VM, or nil.
-func (j *job) current(item AttemptRef) *task {
+// currentAttempt returns the task if item names its latest attempt and that holds
+// a VM, else nil.
+func (j *job) currentAttempt(item AttemptRef) *task {
 	if item.Index >= uint32(len(j.tasks)) {
 		return nil
 	}
@@ -56,40 +58,40 @@
 }
 
 func (m *StateMachine) applyReport(j *job, g *ReportGroup, item AttemptRef) bool {
-	t := j.current(item)
+	t := j.currentAttempt(item)
 	if t == nil {
 		return false
 	}
 	if g.Status == AttemptRunning {
-		return m.seenRunning(j, t, item)
+		return m.markRunning(j, t, item)
 	}
 	if g.Status < AttemptRunning || g.Status > AttemptLost {
 		return false
 	}
 	vm := t.vm
-	// A task that holds a VM has its claim there; both change together.
-	held, _ := m.vms.ledger.Release(vm, ledger.Key{Job: j.number, Index: item.Index, Attempt: item.Attempt})
+	// A task that holds a VM always has an allocation there.
+	released, _ := m.vms.ledger.Release(vm, ledger.Key{Job: j.number, Index: item.Index, Attempt: item.Attempt})
 	id := m.vms.rows[vm].id
 	m.vms.forgetIfEmpty(vm)
-	j.settle(t, g.Status, g.Reason)
-	effective, _ := j.get(item.Index)
+	j.endAttempt(t, g.Status, g.Reason)
+	effective, _ := j.effectiveTask(item.Index)
 	m.emit(Event{
 		Kind:      EventTaskFreed,
 		Task:      api.TaskID{Job: j.spec.ID, Index: item.Index},
 		Attempt:   item.Attempt,
 		VM:        id,
-		Resources: held,
+		Resources: released,
 		State:     effective.state,
 		Reason:    reasonOf(t.reason),
 	})
 	return true
 }
 
-func (m *StateMachine) seenRunning(j *job, t *task, item AttemptRef) bool {
+func (m *StateMachine) markRunning(j *job, t *task, item AttemptRef) bool {
 	if t.state != api.TaskStarting {
 		return false
 	}
-	j.shift(t, api.TaskRunning)
+	j.setState(t, api.TaskRunning)
 	m.emit(Event{
 		Kind:    EventTaskRunning,
 		Task:    api.TaskID{Job: j.spec.ID, Index: item.Index},
@@ -119,25 +121,25 @@
 			}
 		})
 	}
-	return orWrongState(applied)
+	return rejectionIfNoneApplied(applied)
 }
 
-// applyStop marks a task as stopping. A later stop without a checkpoint
-// overrules one that asked for it, never the other way round.
+// applyStop marks a task as stopping. A stop without a checkpoint overrides an
+// earlier stop with a checkpoint, but not the reverse.
 func (m *StateMachine) applyStop(j *job, g *StopGroup, item AttemptRef) bool {
-	t := j.current(item)
+	t := j.currentAttempt(item)
 	if t == nil || j.cancelled {
 		return false
 	}
-	if t.state == api.TaskStopping && (g.Checkpoint || t.flags&flagStopSave == 0) {
+	if t.state == api.TaskStopping && (g.Checkpoint || t.flags&flagCheckpointOnStop == 0) {
 		return false
 	}
-	t.flags &^= flagStopSave
+	t.flags &^= flagCheckpointOnStop
 	if g.Checkpoint {
-		t.flags |= flagStopSave
+		t.flags |= flagCheckpointOnStop
 	}
 	t.reason = g.Reason
-	j.shift(t, api.TaskStopping)
+	j.setState(t, api.TaskStopping)
 	m.emit(Event{
 		Kind:    EventTaskStopping,
 		Task:    api.TaskID{Job: j.spec.ID, Index: item.Index},
@@ -156,23 +158,23 @@
 	applied := 0
 	m.withJob(b.Job, func(j *job) {
 		for _, item := range b.Attempts {
-			if m.replaceOne(j, item) {
+			if m.replaceTask(j, item) {
 				applied++
 			}
 		}
 	})
-	return orWrongState(applied)
+	return rejectionIfNoneApplied(applied)
 }
 
-func (m *StateMachine) replaceOne(j *job, item AttemptRef) bool {
-	t := j.current(item)
-	if t == nil || j.cancelled || t.flags&flagRetiring != 0 || j.size >= maxTasks {
+func (m *StateMachine) replaceTask(j *job, item AttemptRef) bool {
+	t := j.currentAttempt(item)
+	if t == nil || j.cancelled || t.flags&flagHasReplacement != 0 || j.size >= maxTasksPerJob {
 		return false
 	}
-	t.flags |= flagRetiring
+	t.flags |= flagHasReplacement
 	index := j.size
 	j.size++
-	j.tasks = append(j.tasks, j.untouched())
+	j.tasks = append(j.tasks, j.initialTask())
 	j.counts[api.TaskPending]++
 	if j.replaced == nil {
 		j.replaced = make(map[uint32]uint32)
--- a/internal/cell/apply_start.go
+++ b/internal/cell/apply_start.go
@@ -9,63 +9,63 @@
 	if r := m.checkEpoch(b.Epoch); r != nil {
 		return r
 	}
-	var first *Rejection
+	var firstRejection *Rejection
 	accepted := 0
 	for i := range b.Groups {
-		n, rejection := m.applyGroup(b.Epoch, &b.Groups[i])
+		n, rejection := m.applyStartGroup(b.Epoch, &b.Groups[i])
 		accepted += n
-		if first == nil {
-			first = rejection
+		if firstRejection == nil {
+			firstRejection = rejection
 		}
 	}
 	if accepted > 0 {
 		return nil
 	}
-	if first == nil {
+	if firstRejection == nil {
 		return &Rejection{Reason: api.ReasonMalformed, Detail: "no starts"}
 	}
-	return first
+	return firstRejection
 }
 
-// applyGroup applies the starts of one job and returns how many it accepted
-// and the first rejection.
-func (m *StateMachine) applyGroup(epoch api.Epoch, g *StartGroup) (int, *Rejection) {
+// applyStartGroup applies the starts of one job. It returns the number of
+// accepted starts and the first rejection.
+func (m *StateMachine) applyStartGroup(epoch api.Epoch, g *StartGroup) (int, *Rejection) {
 	m.vms.mu.Lock()
 	defer m.vms.mu.Unlock()
 	accepted := 0
-	var first *Rejection
+	var firstRejection *Rejection
 	known := m.withJob(g.Job, func(j *job) {
-		a := groupApply{m: m, epoch: epoch, j: j, g: g}
+		a := startApplier{machine: m, epoch: epoch, job: j, group: g}
 		if g.Gang || j.spec.Class == api.ClassGang {
-			accepted = a.gang()
+			accepted = a.applyGang()
 		} else {
-			accepted = a.each()
+			accepted = a.applyEach()
 		}
-		first = a.first
+		firstRejection = a.firstRejection
 	})
 	if !known {
-		first = &Rejection{Reason: api.ReasonUnknownJob, Detail: "the job of a start is not known"}
+		firstRejection = &Rejection{Reason: api.ReasonUnknownJob, Detail: "the job of a start is not known"}
 		for range g.Starts {
 			m.count(api.ReasonUnknownJob)
 		}
 	}
-	return accepted, first
+	return accepted, firstRejection
 }
 
-// groupApply applies one group with its job and the VMs locked.
-type groupApply struct {
-	m     *StateMachine
-	epoch api.Epoch
-	j     *job
-	g     *StartGroup
-	first *Rejection
+// startApplier applies one group of starts while its job and the VMs are locked.
+type startApplier struct {
+	machine        *StateMachine
+	epoch          api.Epoch
+	job            *job
+	group          *StartGroup
+	firstRejection *Rejection
 }
 
-// each accepts or rejects every start on its own.
-func (a *groupApply) each() int {
+// applyEach accepts or rejects every start on its own.
+func (a *startApplier) applyEach() int {
 	accepted := 0
-	for _, s := range a.g.Starts {
-		if reason := a.claim(s); reason != "" {
+	for _, s := range a.group.Starts {
+		if reason := a.allocate(s); reason != "" {
 			a.reject(s, reason)
 			continue
 		}
@@ -75,50 +75,53 @@
 	return accepted
 }
 
-// gang claims for all starts and accepts them, or gives all claims back.
-func (a *groupApply) gang() int {
-	reason := a.gangReason()
-	claimed := 0
-	for _, s := range a.g.Starts {
+// applyGang allocates capacity for all starts and accepts them, or releases all
+// allocations and rejects them.
+func (a *startApplier) applyGang() int {
+	reason := a.incompleteGangReason()
+	allocated := 0
+	for _, s := range a.group.Starts {
 		if reason != "" {
 			break
 		}
-		if reason = a.claim(s); reason == "" {
-			claimed++
+		if reason = a.allocate(s); reason == "" {
+			allocated++
 		}
 	}
 	if reason == "" {
-		for _, s := range a.g.Starts {
+		for _, s := range a.group.Starts {
 			a.accept(s)
 		}
-		return claimed
+		return allocated
 	}
-	for _, s := range a.g.Starts[:claimed] {
-		// The claim was just made, so it can be released.
-		_, _ = a.m.vms.ledger.Release(s.VM, a.key(s))
+	for _, s := range a.group.Starts[:allocated] {
+		// Release can't fail because the allocation was just made.
+		_, _ = a.machine.vms.ledger.Release(s.VM, a.ledgerKey(s))
 	}
-	for _, s := range a.g.Starts {
+	for _, s := range a.group.Starts {
 		a.reject(s, reason)
 	}
 	return 0
 }
 
-// gangReason rejects a gang that is not whole: another part of it still
-// holds a VM, or not every pending task is in the group.
-func (a *groupApply) gangReason() api.Reason {
-	if a.j.holding() > 0 || uint32(len(a.g.Starts)) != a.j.counts[api.TaskPending] {
+// incompleteGangReason returns the reason to reject an incomplete gang: another
+// task of it still holds a VM, or the group lacks a pending task. It returns ""
+// for a complete gang.
+func (a *startApplier) incompleteGangReason() api.Reason {
+	if a.job.allocatedCount() > 0 || uint32(len(a.group.Starts)) != a.job.counts[api.TaskPending] {
 		return api.ReasonGangWaiting
 	}
 	return ""
 }
 
-// claim checks a start and claims the VM for it. It returns why not, or "".
-func (a *groupApply) claim(s StartItem) api.Reason {
-	t, ok := a.j.get(s.Index)
+// allocate checks a start and allocates its capacity on the VM. It returns the
+// reason of a failure, or "".
+func (a *startApplier) allocate(s StartItem) api.Reason {
+	t, ok := a.job.effectiveTask(s.Index)
 	if !ok {
 		return api.ReasonUnknownJob
 	}
-	if a.j.cancelled {
+	if a.job.cancelled {
 		return api.ReasonCancelled
 	}
 	if t.state != api.TaskPending {
@@ -127,49 +130,49 @@
 	if s.Attempt != t.attempt+1 {
 		return api.ReasonConflict
 	}
-	if a.m.vms.row(s.VM) == nil {
+	if a.machine.vms.schedulableRow(s.VM) == nil {
 		return api.ReasonUnknownVM
 	}
-	if err := a.m.vms.ledger.Allocate(s.VM, a.key(s), a.g.Resources); err != nil {
+	if err := a.machine.vms.ledger.Allocate(s.VM, a.ledgerKey(s), a.group.Resources); err != nil {
 		return ledgerReason(err)
 	}
 	return ""
 }
 
-func (a *groupApply) key(s StartItem) ledger.Key {
-	return ledger.Key{Job: a.g.Job, Index: s.Index, Attempt: s.Attempt}
+func (a *startApplier) ledgerKey(s StartItem) ledger.Key {
+	return ledger.Key{Job: a.group.Job, Index: s.Index, Attempt: s.Attempt}
 }
 
-func (a *groupApply) accept(s StartItem) {
-	a.j.allocate()
-	t := &a.j.tasks[s.Index]
+func (a *startApplier) accept(s StartItem) {
+	a.job.allocateTasks()
+	t := &a.job.tasks[s.Index]
 	t.vm = s.VM
 	t.attempt = s.Attempt
 	t.reason = 0
-	a.j.shift(t, api.TaskStarting)
-	a.m.emit(a.event(EventTaskStarted, s, ""))
+	a.job.setState(t, api.TaskStarting)
+	a.machine.emit(a.event(EventTaskStarted, s, ""))
 }
 
-func (a *groupApply) reject(s StartItem, reason api.Reason) {
-	a.m.count(reason)
-	a.m.emit(a.event(EventStartRejected, s, reason))
-	if a.first == nil {
-		task := api.TaskID{Job: a.j.spec.ID, Index: s.Index}
-		a.first = &Rejection{Reason: reason, Task: task, Detail: "start rejected where it stands in the log"}
+func (a *startApplier) reject(s StartItem, reason api.Reason) {
+	a.machine.count(reason)
+	a.machine.emit(a.event(EventStartRejected, s, reason))
+	if a.firstRejection == nil {
+		task := api.TaskID{Job: a.job.spec.ID, Index: s.Index}
+		a.firstRejection = &Rejection{Reason: reason, Task: task, Detail: "start rejected where it stands in the log"}
 	}
 }
 
-func (a *groupApply) event(kind EventKind, s StartItem, reason api.Reason) Event {
+func (a *startApplier) event(kind EventKind, s StartItem, reason api.Reason) Event {
 	e := Event{
 		Kind:      kind,
 		Epoch:     a.epoch,
-		Task:      api.TaskID{Job: a.j.spec.ID, Index: s.Index},
+		Task:      api.TaskID{Job: a.job.spec.ID, Index: s.Index},
 		Attempt:   s.Attempt,
-		Resources: a.g.Resources,
+		Resources: a.group.Resources,
 		State:     api.TaskStarting,
 		Reason:    reason,
 	}
-	if row := a.m.vms.row(s.VM); row != nil {
+	if row := a.machine.vms.schedulableRow(s.VM); row != nil {
 		e.VM = row.id
 	}
 	return e
--- a/internal/cell/bench_test.go
+++ b/internal/cell/bench_test.go
@@ -10,10 +10,10 @@
 	"github.com/skylarklock/skylarklock/internal/journal"
 )
 
-// BenchmarkStartCycle applies the life of tasks in entries of 25: started,
-// seen running, ended. 25 starts an entry is 5,000 a second in 200 appends.
+// BenchmarkStartCycle starts, runs and ends tasks with entries of 25. With 25
+// starts in an entry, 5,000 starts a second need 200 appends a second.
 func BenchmarkStartCycle(b *testing.B) {
-	m, w := benchState(b, 1700, 42_000)
+	m, w := newBusyMachine(b, 1700, 42_000)
 	const perEntry = 25
 	bytes, starts := 0, 0
 	apply := func(e journal.Entry) {
@@ -39,11 +39,11 @@
 	b.ReportMetric(float64(bytes)/float64(starts), "bytes/start-to-end")
 }
 
-// BenchmarkStartEntry measures the entries of starts alone.
+// BenchmarkStartEntry measures only the entries with starts.
 func BenchmarkStartEntry(b *testing.B) {
 	for _, perJob := range []int{1, 25} {
 		b.Run(fmt.Sprintf("%d-of-a-job", perJob), func(b *testing.B) {
-			m, w := benchState(b, 1700, 42_000)
+			m, w := newBusyMachine(b, 1700, 42_000)
 			const perEntry = 25
 			bytes, starts := 0, 0
 			for i := 0; b.Loop(); i++ {
@@ -73,51 +73,51 @@
 	}
 }
 
-func reports(starts []cell.Start, ending cell.AttemptStatus) []cell.Report {
+func reports(starts []cell.Start, status cell.AttemptStatus) []cell.Report {
 	list := make([]cell.Report, len(starts))
 	for i, s := range starts {
-		list[i] = cell.Report{Task: s.Task, Attempt: s.Attempt, Status: ending}
+		list[i] = cell.Report{Task: s.Task, Attempt: s.Attempt, Status: status}
 	}
 	return list
 }
 
-// BenchmarkCancelPendingJobs cancels 100,000 pending jobs of 50 tasks, 1,000 to an
-// entry; an operation is one job.
+// BenchmarkCancelPendingJobs cancels 100,000 pending jobs of 50 tasks with 1,000
+// jobs in an entry. One operation is one job.
 func BenchmarkCancelPendingJobs(b *testing.B) {
-	const wave, perEntry = 100_000, 1000
+	const jobCount, perEntry = 100_000, 1000
 	perJob := 0.0
 	for b.Loop() {
 		b.StopTimer()
-		before := heap()
+		before := heapBytes()
 		m, w := newMachine()
-		ids := make([]api.JobID, wave)
+		ids := make([]api.JobID, jobCount)
 		for i := range ids {
 			ids[i] = api.JobID(fmt.Sprintf("wave-%06d", i))
 			_ = w.apply(m, cell.SubmitEntry(benchSpec(string(ids[i]), 50), 0))
 		}
-		perJob = float64(heap()-before) / wave
+		perJob = float64(heapBytes()-before) / jobCount
 		b.StartTimer()
-		for i := 0; i < wave; i += perEntry {
+		for i := 0; i < jobCount; i += perEntry {
 			if err := w.apply(m, cell.CancelEntry(ids[i:i+perEntry], 0)); err != nil {
 				b.Fatal(err)
 			}
 		}
 	}
-	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/wave, "ns/job")
-	b.ReportMetric(perJob, "heap-bytes/pending-job") // with its ID
+	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/jobCount, "ns/job")
+	b.ReportMetric(perJob, "heap-bytes/pending-job") // including its ID
 }
 
 func BenchmarkSnapshot(b *testing.B) {
 	for _, size := range []struct{ vms, tasks int }{{1700, 42_000}, {18_000, 460_000}} {
 		b.Run(fmt.Sprintf("%d-running", size.tasks), func(b *testing.B) {
-			before := heap()
-			m, w := benchState(b, size.vms, size.tasks)
-			perTask := float64(heap()-before) / float64(size.tasks)
-			var image []byte
+			before := heapBytes()
+			m, w := newBusyMachine(b, size.vms, size.tasks)
+			perTask := float64(heapBytes()-before) / float64(size.tasks)
+			var data []byte
 			for b.Loop() {
-				image, _ = m.Snapshot()
+				data, _ = m.Snapshot()
 			}
-			b.ReportMetric(float64(len(image)), "snapshot-bytes")
+			b.ReportMetric(float64(len(data)), "snapshot-bytes")
 			b.ReportMetric(perTask, "heap-bytes/task")
 			runtime.KeepAlive(m)
 			_ = w
@@ -128,10 +128,10 @@
 func BenchmarkRestore(b *testing.B) {
 	for _, size := range []struct{ vms, tasks int }{{1700, 42_000}, {18_000, 460_000}} {
 		b.Run(fmt.Sprintf("%d-running", size.tasks), func(b *testing.B) {
-			m, w := benchState(b, size.vms, size.tasks)
-			image, _ := m.Snapshot()
+			m, w := newBusyMachine(b, size.vms, size.tasks)
+			data, _ := m.Snapshot()
 			for b.Loop() {
-				if err := cell.New(w, nil).Restore(image); err != nil {
+				if err := cell.New(w, nil).Restore(data); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -139,7 +139,7 @@
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var s runtime.MemStats
--- a/internal/cell/entries.go
+++ b/internal/cell/entries.go
@@ -1,12 +1,13 @@
-// Package cell holds the jobs and tasks of one data centre as a state
-// machine fed by the data centre's stream.
+// Package cell holds the jobs and tasks of one data centre in a state machine
+// that is fed by the data centre's stream.
 //
-// An entry is a proposal. Every start is checked again where it stands in
-// the log: against the epoch of the cell shard at that place, the task's
-// state and the ledger of the VM. All readers accept and reject the same.
+// An entry is a proposal. Every start is checked again when it is applied,
+// against the state at its position in the log: the epoch of the cell shard,
+// the state of the task and the ledger of the VM. All replicas therefore
+// accept and reject the same starts.
 //
-// Jobs and VMs get numbers in log order, never used twice, so that entries
-// and the state are small.
+// Jobs and VMs are numbered in log order, and numbers are never reused.
+// Entries and state refer to them by number to stay small.
 package cell
 
 import (
@@ -14,7 +15,7 @@
 	"github.com/skylarklock/skylarklock/internal/journal"
 )
 
-// Types of entries. The values are part of the stored format.
+// Entry types. The values are part of the stored format.
 const (
 	TypeSubmit        = journal.TypeCellFirst + iota // Submit
 	TypeCancel                                       // Cancel
@@ -28,32 +29,32 @@
 	TypePublishedJobs                                // Published
 )
 
-// Submit adds a job. The first of an ID that the machine knows wins.
+// Submit adds a job. It is rejected if a job with the same ID is known.
 type Submit struct {
 	_            struct{} `cbor:",toarray"`
 	Spec         api.JobSpec
-	ProposedAtMs int64 // proposer's wall clock in Unix milliseconds, for display only
+	ProposedAtMs int64 // Unix time on the proposer's clock, for display only
 	MovedFrom    *Origin
 }
 
-// Origin tells of a job that comes from the cell of another data centre.
-// The moves of each data centre are taken in order, each once, however often
+// Origin describes where a job moved from another data centre comes from. The
+// moves of each data centre are applied in order and exactly once, even if
 // their entries are repeated.
 type Origin struct {
 	_          struct{} `cbor:",toarray"`
 	DataCentre api.DataCentre
 	MoveNumber uint32
-	EndedTasks []IndexRange // tasks that ended there
+	EndedTasks []IndexRange // tasks that ended in that data centre
 }
 
-// IndexRange is a run of task indexes, First included and End not.
+// IndexRange is a range of task indexes that includes First and excludes End.
 type IndexRange struct {
 	_          struct{} `cbor:",toarray"`
 	First, End uint32
 }
 
-// MoveJobs gives jobs of which nothing holds a VM to another data centre. They
-// end here, and are kept until Moved.
+// MoveJobs moves jobs that hold no VM to another data centre. They end in this
+// cell and are kept until ConfirmMoves.
 type MoveJobs struct {
 	_     struct{} `cbor:",toarray"`
 	Epoch api.Epoch
@@ -68,19 +69,19 @@
 	Jobs  []uint32
 }
 
-// ReasonMoved is the reason of tasks that another data centre has taken.
+// ReasonMoved is the reason of tasks that were moved to another data centre.
 const ReasonMoved api.Reason = "moved"
 
-// Cancel cancels whole jobs, each at the cost of one lookup: tasks that hold
-// a VM are stopped when their VM is next synced.
+// Cancel cancels whole jobs at the cost of one lookup each. Tasks that hold a
+// VM are stopped at the next exchange with their VM.
 type Cancel struct {
 	_            struct{} `cbor:",toarray"`
 	Jobs         []api.JobID
-	ProposedAtMs int64 // as in Submit
+	ProposedAtMs int64 // see Submit
 }
 
-// ObservedVM is a VM as listed by the platform. Its capacity is what the ledger
-// checks starts against.
+// ObservedVM is a VM from the platform's list. Starts are checked against its
+// capacity in the ledger.
 type ObservedVM struct {
 	_        struct{} `cbor:",toarray"`
 	ID       api.VMID
@@ -88,8 +89,8 @@
 	Capacity api.Resources
 }
 
-// VMUpdate adds or changes VMs and drops others. A dropped VM takes no starts; it
-// is forgotten when nothing holds it any more.
+// VMUpdate adds or changes VMs and removes others. A removed VM accepts no
+// starts and is forgotten as soon as no task holds it.
 type VMUpdate struct {
 	_        struct{} `cbor:",toarray"`
 	Epoch    api.Epoch
@@ -97,55 +98,55 @@
 	Removed  []api.VMID
 }
 
-// StartBatch starts tasks. Each is accepted or rejected on its own, but for
-// gang groups.
+// StartBatch starts tasks. Each start is accepted or rejected on its own,
+// except for those of a gang group.
 type StartBatch struct {
 	_      struct{} `cbor:",toarray"`
 	Epoch  api.Epoch
 	Groups []StartGroup
 }
 
-// StartGroup holds starts of one job with the same resources. A gang group
-// is accepted whole or not at all, and must hold every unfinished task.
+// StartGroup holds starts of one job with the same resources. A gang group is
+// accepted or rejected as a whole and must contain every pending task.
 type StartGroup struct {
 	_         struct{} `cbor:",toarray"`
-	Job       uint32   // number of the job
+	Job       uint32   // job number
 	Gang      bool
 	Resources api.Resources
 	Starts    []StartItem
 }
 
-// StartItem starts one task. Attempt is one more than the last.
+// StartItem starts one task. Attempt is the task's previous attempt plus one.
 type StartItem struct {
 	_       struct{} `cbor:",toarray"`
 	Index   uint32
 	Attempt uint32
-	VM      uint32 // number of the VM
+	VM      uint32 // VM number
 }
 
-// AttemptStatus says what became of an attempt. The values are part of the stored
-// format.
+// AttemptStatus is the reported status of an attempt. The values are part of the
+// stored format.
 type AttemptStatus uint8
 
-// Reports on an attempt.
+// Statuses of an attempt.
 const (
-	AttemptRunning      AttemptStatus = iota + 1 // seen running
-	AttemptSucceeded                             // ended well
-	AttemptFailed                                // ended badly, by itself
-	AttemptCheckpointed                          // stopped after a checkpoint
+	AttemptRunning      AttemptStatus = iota + 1 // reported as running
+	AttemptSucceeded                             // ended successfully
+	AttemptFailed                                // failed by itself
+	AttemptCheckpointed                          // stopped after saving a checkpoint
 	AttemptKilled                                // stopped without a checkpoint
-	AttemptLost                                  // certainly not running any more, nothing else is known
+	AttemptLost                                  // certainly no longer running; nothing else is known
 )
 
-// ReportBatch passes on what workers reported, or what is certain without
-// them.
+// ReportBatch holds statuses that workers reported, and losses that are certain
+// without a report.
 type ReportBatch struct {
 	_      struct{} `cbor:",toarray"`
 	Epoch  api.Epoch
 	Groups []ReportGroup
 }
 
-// ReportGroup holds reports of one job with the same ending and reason.
+// ReportGroup holds reports of one job with the same status and reason.
 type ReportGroup struct {
 	_        struct{} `cbor:",toarray"`
 	Job      uint32
@@ -154,15 +155,15 @@
 	Attempts []AttemptRef
 }
 
-// AttemptRef names one attempt of a task.
+// AttemptRef identifies one attempt of a task of a known job.
 type AttemptRef struct {
 	_       struct{} `cbor:",toarray"`
 	Index   uint32
 	Attempt uint32
 }
 
-// StopBatch orders attempts to be stopped. They stay on their VM until a
-// report says that they ended.
+// StopBatch orders the stop of attempts. They hold their VM until a report
+// confirms that they have ended.
 type StopBatch struct {
 	_      struct{} `cbor:",toarray"`
 	Epoch  api.Epoch
@@ -173,14 +174,14 @@
 type StopGroup struct {
 	_          struct{} `cbor:",toarray"`
 	Job        uint32
-	Checkpoint bool  // save before stopping
+	Checkpoint bool  // save a checkpoint before stopping
 	Reason     uint8 // code of an api.Reason
 	Preemptor  api.JobID
 	Attempts   []AttemptRef
 }
 
-// Replace adds to a job one task for each named, to run in its stead. When
-// the named task ends it is not started again.
+// Replace adds a replacement task to a job for each named task. The named tasks
+// are not started again after they end.
 type Replace struct {
 	_        struct{} `cbor:",toarray"`
 	Epoch    api.Epoch
@@ -188,13 +189,13 @@
 	Attempts []AttemptRef
 }
 
-// entry wraps a body.
+// entry encodes body into a journal entry of type t.
 func entry(t journal.EntryType, body any) journal.Entry {
 	return journal.Entry{Type: t, Body: journal.Encode(body)}
 }
 
-// reasonCodes gives every reason that is stored its code. The order is part
-// of the stored format: add at the end only.
+// reasonCodes lists the stored reasons; the index of a reason is its code. The
+// order is part of the stored format, so new reasons go at the end.
 var reasonCodes = []api.Reason{
 	"",
 	api.ReasonPreempted,
@@ -213,7 +214,7 @@
 	ReasonMoved,
 }
 
-// reasonCode returns the code of r, zero when it has none.
+// reasonCode returns the code of r, or zero if r has none.
 func reasonCode(r api.Reason) uint8 {
 	for i, known := range reasonCodes {
 		if known == r {
@@ -223,7 +224,7 @@
 	return 0
 }
 
-// reasonOf returns the reason of a code; an unknown code has none.
+// reasonOf returns the reason with the given code, or "" for an unknown code.
 func reasonOf(code uint8) api.Reason {
 	if int(code) < len(reasonCodes) {
 		return reasonCodes[code]
--- a/internal/cell/events.go
+++ b/internal/cell/events.go
@@ -7,26 +7,26 @@
 	"github.com/skylarklock/skylarklock/internal/journal"
 )
 
-// EventKind says what an Event tells.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
-// Kinds of events.
+// Event kinds.
 const (
 	EventJobSubmitted  EventKind = iota + 1
-	EventJobCancelled            // pending tasks are cancelled, the rest stop when synced
+	EventJobCancelled            // pending tasks are cancelled, the others stop at the next exchange
 	EventJobEnded                // no task can change any more
-	EventTaskStarted             // accepted: the task holds VM
-	EventStartRejected           // Reason says why; the task did not change
-	EventTaskRunning             // seen running
-	EventTaskStopping            // ordered to stop; still holds VM
-	EventTaskFreed               // holds VM no longer; State is the new state
-	EventTaskAdded               // a replacement, pending
+	EventTaskStarted             // the start was accepted and the task holds VM
+	EventStartRejected           // for Reason; the task is unchanged
+	EventTaskRunning             // reported as running
+	EventTaskStopping            // ordered to stop, but still holds VM
+	EventTaskFreed               // no longer holds VM; State is the new state
+	EventTaskAdded               // a pending replacement task was added
 	EventVMObserved              // added or changed
-	EventVMRemoved               // takes no more starts
-	EventRestored                // the whole state was replaced: read it anew
+	EventVMRemoved               // accepts no more starts
+	EventRestored                // the whole state was replaced and must be read again
 )
 
-// Event is one change made by an entry. Subscribers get all events of an
+// Event is one change made by an entry. Subscribers receive all events of an
 // entry together, in the order in which they were applied.
 type Event struct {
 	Kind      EventKind
@@ -34,21 +34,21 @@
 	Task      api.TaskID
 	Attempt   uint32
 	VM        api.VMID
-	Resources api.Resources // held, or asked for
+	Resources api.Resources // held or requested
 	State     api.TaskState
 	Reason    api.Reason
 }
 
-// Counters counts by reason. Implementations are safe for concurrent use.
+// Counters counts events by reason. Implementations are safe for concurrent use.
 type Counters interface {
 	Inc(group string, reason api.Reason)
 }
 
-// counterGroup is the group of the machine's rejections.
+// counterGroup is the counter group of rejections.
 const counterGroup = "cell_rejected"
 
-// Rejection is the typed error of an entry, or of one start in it, that was
-// rejected and changed nothing.
+// Rejection is the error of an entry, or of one start in it, that was rejected
+// and changed nothing.
 type Rejection struct {
 	Reason api.Reason
 	Task   api.TaskID // zero when the whole entry was rejected
@@ -60,35 +60,35 @@
 	return fmt.Sprintf("cell: rejected: %s: task %s/%d: %s", r.Reason, r.Task.Job, r.Task.Index, r.Detail)
 }
 
-// logged is a noteworthy event with its place, for explanations.
-type logged struct {
+// historyEntry is a noteworthy event with its position in the log.
+type historyEntry struct {
 	pos   journal.Position
 	event Event
 }
 
-// historySize bounds the noteworthy events kept for explanations.
+// historySize is the maximum number of noteworthy events kept for explanations.
 const historySize = 4096
 
-// history is a bounded ring. Ordinary starts and ends are not kept in it;
-// the task's own state tells those.
+// history is a ring buffer. It holds no ordinary starts and ends, which can be
+// read from the state of the task.
 type history struct {
-	ring []logged
+	ring []historyEntry
 	next int
 }
 
 func (h *history) add(pos journal.Position, e Event) {
-	if !noteworthy(e) {
+	if !isNoteworthy(e) {
 		return
 	}
 	if len(h.ring) < historySize {
-		h.ring = append(h.ring, logged{pos: pos, event: e})
+		h.ring = append(h.ring, historyEntry{pos: pos, event: e})
 		return
 	}
-	h.ring[h.next] = logged{pos: pos, event: e}
+	h.ring[h.next] = historyEntry{pos: pos, event: e}
 	h.next = (h.next + 1) % historySize
 }
 
-func noteworthy(e Event) bool {
+func isNoteworthy(e Event) bool {
 	switch e.Kind {
 	case EventTaskFreed:
 		return e.State != api.TaskFinished
@@ -98,8 +98,8 @@
 	return false
 }
 
-// each calls f for every kept event, oldest first.
-func (h *history) each(f func(logged)) {
+// each calls f for every event kept, oldest first.
+func (h *history) each(f func(historyEntry)) {
 	for i := range h.ring {
 		f(h.ring[(h.next+i)%len(h.ring)])
 	}
--- a/internal/cell/explain.go
+++ b/internal/cell/explain.go
@@ -7,37 +7,37 @@
 	"github.com/skylarklock/skylarklock/internal/journal"
 )
 
-// WaitReason says why a job waits, from the placement's last cycle.
+// WaitReason explains why a job waits, as found by the latest placement cycle.
 type WaitReason struct {
 	Reason    api.Reason
 	Detail    string
-	NeverFits bool // no VM of the cell could ever hold a task of it
+	NeverFits bool // no VM of the cell has enough capacity for a task of the job
 }
 
-// waitBoard holds the notes of the last cycle. It is no part of the state
-// that the log decides.
-type waitBoard struct {
-	notes atomic.Pointer[map[api.JobID]WaitReason]
+// waitReasonTable holds the wait reasons of the latest cycle. They are local to this
+// process and not part of the replicated state.
+type waitReasonTable struct {
+	byJob atomic.Pointer[map[api.JobID]WaitReason]
 }
 
-// SetWaitReasons replaces the notes on waiting jobs. The map is not to be changed
-// afterwards.
-func (m *StateMachine) SetWaitReasons(notes map[api.JobID]WaitReason) {
-	m.waits.notes.Store(&notes)
+// SetWaitReasons replaces the wait reasons of all jobs. The map must not be
+// changed afterwards.
+func (m *StateMachine) SetWaitReasons(byJob map[api.JobID]WaitReason) {
+	m.waitReasons.byJob.Store(&byJob)
 }
 
-func (m *StateMachine) wait(job api.JobID) *WaitReason {
-	notes := m.waits.notes.Load()
-	if notes == nil {
+func (m *StateMachine) waitReason(job api.JobID) *WaitReason {
+	byJob := m.waitReasons.byJob.Load()
+	if byJob == nil {
 		return nil
 	}
-	if n, ok := (*notes)[job]; ok {
-		return &n
+	if reason, ok := (*byJob)[job]; ok {
+		return &reason
 	}
 	return nil
 }
 
-// Incident is one noteworthy thing that was done to a job or task.
+// Incident is a noteworthy event in the history of a job or task.
 type Incident struct {
 	Position    journal.Position
 	Task        api.TaskID
@@ -48,18 +48,18 @@
 	Reason      api.Reason
 }
 
-// maxIncidents bounds the incidents of one explanation; the newest are kept.
+// maxIncidents is the maximum number of incidents of an explanation. The newest are kept.
 const maxIncidents = 50
 
-// Explanation says how a job, or one task of it, stands and why.
+// Explanation describes the state of a job, or of one of its tasks, and its causes.
 type Explanation struct {
 	Job       JobView
-	Task      *TaskView   // nil for a job
-	Wait      *WaitReason // nil when nothing waits, or this VM doesn't place
+	Task      *TaskView   // nil in the explanation of a job
+	Wait      *WaitReason // nil if nothing waits, or another entry VM runs the placement
 	Incidents []Incident
 }
 
-// Explain explains a job, if it is known.
+// Explain returns the explanation of a job, or false if the job is unknown.
 func (m *StateMachine) Explain(id api.JobID) (Explanation, bool) {
 	job, ok := m.Job(id)
 	if !ok {
@@ -67,13 +67,13 @@
 	}
 	x := Explanation{Job: job}
 	if job.Counts[api.TaskPending] > 0 {
-		x.Wait = m.wait(id)
+		x.Wait = m.waitReason(id)
 	}
 	x.Incidents = m.incidents(func(e Event) bool { return e.Task.Job == id })
 	return x, true
 }
 
-// ExplainTask explains one task, if it is known.
+// ExplainTask returns the explanation of a task, or false if the task is unknown.
 func (m *StateMachine) ExplainTask(id api.TaskID) (Explanation, bool) {
 	job, ok := m.Job(id.Job)
 	if !ok {
@@ -85,7 +85,7 @@
 	}
 	x := Explanation{Job: job, Task: &view}
 	if view.State == api.TaskPending {
-		x.Wait = m.wait(id.Job)
+		x.Wait = m.waitReason(id.Job)
 	}
 	x.Incidents = m.incidents(func(e Event) bool {
 		return e.Task == id || (e.Kind == EventJobCancelled && e.Task.Job == id.Job)
@@ -97,9 +97,9 @@
 	m.historyMu.Lock()
 	defer m.historyMu.Unlock()
 	var list []Incident
-	m.history.each(func(l logged) {
-		if match(l.event) {
-			list = append(list, incidentOf(l))
+	m.history.each(func(h historyEntry) {
+		if match(h.event) {
+			list = append(list, newIncident(h))
 		}
 	})
 	if len(list) > maxIncidents {
@@ -108,7 +108,7 @@
 	return list
 }
 
-var incidentNames = map[EventKind]string{
+var incidentDescriptions = map[EventKind]string{
 	EventTaskFreed:     "attempt ended",
 	EventTaskStopping:  "ordered to stop",
 	EventJobCancelled:  "job cancelled",
@@ -116,14 +116,14 @@
 	EventTaskAdded:     "replacement added",
 }
 
-func incidentOf(l logged) Incident {
+func newIncident(h historyEntry) Incident {
 	return Incident{
-		Position:    l.pos,
-		Task:        l.event.Task,
-		Attempt:     l.event.Attempt,
-		VM:          l.event.VM,
-		Description: incidentNames[l.event.Kind],
-		State:       l.event.State,
-		Reason:      l.event.Reason,
+		Position:    h.pos,
+		Task:        h.event.Task,
+		Attempt:     h.event.Attempt,
+		VM:          h.event.VM,
+		Description: incidentDescriptions[h.event.Kind],
+		State:       h.event.State,
+		Reason:      h.event.Reason,
 	}
 }
--- a/internal/cell/job.go
+++ b/internal/cell/job.go
@@ -4,39 +4,39 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// noVM marks a task that holds no VM.
-const noVM = ^uint32(0)
+// noVMNumber is the VM number of a task that holds no VM.
+const noVMNumber = ^uint32(0)
 
-// Flags of a task.
+// Task flags.
 const (
-	flagCheckpoint = 1 << iota // a checkpoint can be restored
-	flagRetiring               // replaced: not started again
-	flagStopSave               // its stop asks for a checkpoint
+	flagHasCheckpoint    = 1 << iota // a checkpoint can be restored
+	flagHasReplacement               // the task is replaced and not started again
+	flagCheckpointOnStop             // the stop order requests a checkpoint
 )
 
-// task is the compact state of a task: 16 bytes.
+// task is the state of a task in 16 bytes.
 type task struct {
 	vm       uint32
-	attempt  uint32 // last one started
-	failures uint16 // attempts that ended badly by themselves
+	attempt  uint32 // latest attempt started
+	failures uint16 // attempts that failed by themselves
 	state    api.TaskState
-	reason   uint8 // why it was last moved, stopped or given up
+	reason   uint8 // of the latest move, stop or failure
 	flags    uint8
 }
 
-// job is a job and its tasks. It is guarded by its shard's lock.
+// job is a job with its tasks. It is guarded by the lock of its shard.
 type job struct {
-	number    uint32
-	spec      api.JobSpec
-	submitted int64 // Unix milliseconds, display only
-	cancelled bool
-	ended     bool
-	movedTo   api.DataCentre    // pending tasks are placed there
-	move      uint32            // number of the move, from 1
-	size      uint32            // tasks, with replacements
-	counts    Counts            // tasks by stored state
-	tasks     []task            // nil until the first start
-	replaced  map[uint32]uint32 // replacement to replaced task
+	number     uint32
+	spec       api.JobSpec
+	submitted  int64 // Unix milliseconds, for display only
+	cancelled  bool
+	ended      bool
+	movedTo    api.DataCentre    // data centre that places the pending tasks, if the job was moved
+	moveNumber uint32            // from 1
+	size       uint32            // number of tasks, including replacements
+	counts     Counts            // number of tasks by stored state
+	tasks      []task            // nil before the first start
+	replaced   map[uint32]uint32 // replacement index to index of the replaced task
 }
 
 const stateCount = int(api.TaskCancelled) + 1
@@ -47,35 +47,35 @@
 	return j
 }
 
-// allocate makes room for the tasks. Jobs cancelled before their first start
-// never need it.
-func (j *job) allocate() {
+// allocateTasks allocates the tasks. A job that is cancelled before its first
+// start never needs them.
+func (j *job) allocateTasks() {
 	if j.tasks != nil {
 		return
 	}
 	j.tasks = make([]task, j.size)
 	for i := range j.tasks {
-		j.tasks[i] = j.untouched()
+		j.tasks[i] = j.initialTask()
 	}
 }
 
-func (j *job) untouched() task {
-	return task{vm: noVM}
+func (j *job) initialTask() task {
+	return task{vm: noVMNumber}
 }
 
-// get returns a task as it effectively stands: in a cancelled job pending
-// tasks are cancelled and those that hold a VM are stopping.
-func (j *job) get(index uint32) (task, bool) {
+// effectiveTask returns a task in its effective state: in a cancelled job,
+// pending tasks are cancelled and tasks that hold a VM are stopping.
+func (j *job) effectiveTask(index uint32) (task, bool) {
 	if index >= j.size {
 		return task{}, false
 	}
-	t := j.untouched()
+	t := j.initialTask()
 	if j.tasks != nil {
 		t = j.tasks[index]
 	}
 	switch {
 	case j.cancelled:
-		t = j.cancelledView(t)
+		t = j.cancelledTask(t)
 	case j.movedTo != "" && t.state == api.TaskPending:
 		t.state = api.TaskCancelled
 		t.reason = reasonCode(ReasonMoved)
@@ -83,17 +83,18 @@
 	return t, true
 }
 
-// cancelledView shows a task of a cancelled job. Services are given the time
-// to end what they serve; anything else is stopped at once.
-func (j *job) cancelledView(t task) task {
+// cancelledTask returns the effective state of a task of a cancelled job.
+// Services are stopped with a checkpoint request so that they can finish their
+// requests. Other tasks are stopped immediately.
+func (j *job) cancelledTask(t task) task {
 	switch {
 	case t.state == api.TaskPending:
 		t.state = api.TaskCancelled
 	case t.state.HoldsResources():
 		t.state = api.TaskStopping
-		t.flags &^= flagStopSave
+		t.flags &^= flagCheckpointOnStop
 		if j.spec.Class == api.ClassService {
-			t.flags |= flagStopSave
+			t.flags |= flagCheckpointOnStop
 		}
 	default:
 		return t
@@ -102,37 +103,37 @@
 	return t
 }
 
-// shift changes the stored state of a task and the counts.
-func (j *job) shift(t *task, to api.TaskState) {
+// setState changes the stored state of a task and updates the counts.
+func (j *job) setState(t *task, to api.TaskState) {
 	j.counts[t.state]--
 	t.state = to
 	j.counts[to]++
 }
 
-// holding is the number of tasks that may occupy a VM.
-func (j *job) holding() uint32 {
+// allocatedCount returns the number of tasks that may occupy a VM.
+func (j *job) allocatedCount() uint32 {
 	return j.counts[api.TaskStarting] + j.counts[api.TaskRunning] + j.counts[api.TaskStopping]
 }
 
-// cancel marks the job; its cost does not depend on its size.
+// cancel marks the job as cancelled in time independent of its size.
 func (j *job) cancel() {
 	j.cancelled = true
-	j.dropPending()
+	j.cancelPending()
 }
 
-// dropPending counts the pending tasks as cancelled.
-func (j *job) dropPending() {
+// cancelPending counts the pending tasks as cancelled.
+func (j *job) cancelPending() {
 	j.counts[api.TaskCancelled] += j.counts[api.TaskPending]
 	j.counts[api.TaskPending] = 0
 }
 
-// done reports whether no task can change any more.
-func (j *job) done() bool {
-	return j.counts[api.TaskPending] == 0 && j.holding() == 0
+// isDone reports whether no task can change any more.
+func (j *job) isDone() bool {
+	return j.counts[api.TaskPending] == 0 && j.allocatedCount() == 0
 }
 
-// pending lists the tasks to place, in order.
-func (j *job) pending() []uint32 {
+// pendingIndexes returns the indexes of the pending tasks in ascending order.
+func (j *job) pendingIndexes() []uint32 {
 	n := j.counts[api.TaskPending]
 	if n == 0 {
 		return nil
@@ -146,41 +147,41 @@
 	return list
 }
 
-// settle moves a task whose attempt ended.
-func (j *job) settle(t *task, ending AttemptStatus, reason uint8) {
-	t.vm = noVM
+// endAttempt updates a task whose attempt has ended.
+func (j *job) endAttempt(t *task, status AttemptStatus, reason uint8) {
+	t.vm = noVMNumber
 	if reason != 0 || t.state != api.TaskStopping {
 		t.reason = reason
 	}
-	t.flags &^= flagStopSave
-	if ending == AttemptCheckpointed {
-		t.flags |= flagCheckpoint
+	t.flags &^= flagCheckpointOnStop
+	if status == AttemptCheckpointed {
+		t.flags |= flagHasCheckpoint
 	}
-	if ending == AttemptFailed && t.failures < ^uint16(0) {
+	if status == AttemptFailed && t.failures < ^uint16(0) {
 		t.failures++
 	}
-	j.shift(t, j.next(t, ending))
+	j.setState(t, j.nextState(t, status))
 	if t.state == api.TaskFailed {
 		t.reason = reasonCode(api.ReasonFailsEverywhere)
 	}
 }
 
-// next decides the state after an attempt ended.
-func (j *job) next(t *task, ending AttemptStatus) api.TaskState {
-	service := j.spec.Class == api.ClassService
+// nextState returns the state of a task after its attempt has ended.
+func (j *job) nextState(t *task, status AttemptStatus) api.TaskState {
+	isService := j.spec.Class == api.ClassService
 	switch {
-	case ending == AttemptSucceeded && !service:
+	case status == AttemptSucceeded && !isService:
 		return api.TaskFinished
-	case j.cancelled || t.flags&flagRetiring != 0:
+	case j.cancelled || t.flags&flagHasReplacement != 0:
 		return api.TaskCancelled
-	case ending == AttemptFailed && uint32(t.failures) >= j.maxFailures():
+	case status == AttemptFailed && uint32(t.failures) >= j.maxFailures():
 		return api.TaskFailed
 	}
 	return api.TaskPending
 }
 
-// maxFailures is the number of bad endings after which a task is given up.
-// Services without a bound are started for ever.
+// maxFailures returns the number of failed attempts after which a task fails.
+// Services without a limit are restarted without end.
 func (j *job) maxFailures() uint32 {
 	switch {
 	case j.spec.MaxAttempts > 0:
@@ -191,6 +192,6 @@
 	return DefaultMaxAttempts
 }
 
-// DefaultMaxAttempts is the number of bad endings after which a task is
-// given up when its job names none.
+// DefaultMaxAttempts is the number of failed attempts after which a task fails
+// if its job sets no limit.
 const DefaultMaxAttempts = 5
--- a/internal/cell/machine_test.go
+++ b/internal/cell/machine_test.go
@@ -12,27 +12,27 @@
 	"github.com/skylarklock/skylarklock/internal/journal"
 )
 
-// world is the surroundings of a machine: the epoch and the rejections.
-type world struct {
-	epoch   api.Epoch
-	counted map[api.Reason]int
-	offset  uint32
+// testEnv provides the epoch of the cell shard and counts rejections.
+type testEnv struct {
+	epoch      api.Epoch
+	rejections map[api.Reason]int
+	offset     uint32
 }
 
-func (w *world) CellEpoch() api.Epoch            { return w.epoch }
-func (w *world) Inc(_ string, reason api.Reason) { w.counted[reason]++ }
+func (w *testEnv) CellEpoch() api.Epoch            { return w.epoch }
+func (w *testEnv) Inc(_ string, reason api.Reason) { w.rejections[reason]++ }
 
-func newMachine() (*cell.StateMachine, *world) {
-	w := &world{epoch: 1, counted: map[api.Reason]int{}}
+func newMachine() (*cell.StateMachine, *testEnv) {
+	w := &testEnv{epoch: 1, rejections: map[api.Reason]int{}}
 	return cell.New(w, w), w
 }
 
-func (w *world) apply(m *cell.StateMachine, e journal.Entry) error {
+func (w *testEnv) apply(m *cell.StateMachine, e journal.Entry) error {
 	w.offset++
 	return m.Apply(journal.Position{Index: w.offset}, e)
 }
 
-// cores is an amount that only the processors bound.
+// cores returns n processor cores without memory.
 func cores(n int64) api.Resources { return api.Resources{MilliCPU: 1000 * n} }
 
 func task(job string, index uint32) api.TaskID {
@@ -47,12 +47,12 @@
 	return ""
 }
 
-// setUp observes two VMs of 4 cores and submits a batch and a gang job.
-func setUp(t testing.TB, m *cell.StateMachine, w *world) {
+// addVMsAndJobs adds two VMs with 4 cores, a batch job and a gang job.
+func addVMsAndJobs(t testing.TB, m *cell.StateMachine, w *testEnv) {
 	t.Helper()
-	seen := []cell.ObservedVM{{ID: "a", Rack: "r1", Capacity: cores(4)}, {ID: "b", Rack: "r2", Capacity: cores(4)}}
+	observed := []cell.ObservedVM{{ID: "a", Rack: "r1", Capacity: cores(4)}, {ID: "b", Rack: "r2", Capacity: cores(4)}}
 	for _, e := range []journal.Entry{
-		cell.VMUpdateEntry(1, seen, nil),
+		cell.VMUpdateEntry(1, observed, nil),
 		cell.SubmitEntry(api.JobSpec{ID: "batch", Class: api.ClassBatch, Tasks: 6, Resources: cores(1), MaxAttempts: 2}, 0),
 		cell.SubmitEntry(api.JobSpec{ID: "gang", Class: api.ClassGang, Tasks: 3, Resources: cores(2)}, 0),
 	} {
@@ -62,7 +62,8 @@
 	}
 }
 
-// Each start is checked where it stands, whatever its proposer knew.
+// Starts are checked against the state when they are applied, not when they were
+// proposed.
 func TestStartsAreCheckedWhenApplied(t *testing.T) {
 	start := func(index, attempt uint32, vm api.VMID, n int64) cell.Start {
 		return cell.Start{Task: task("batch", index), Attempt: attempt, VM: vm, Resources: cores(n)}
@@ -74,17 +75,17 @@
 		want  api.Reason
 	}{
 		{"stale epoch", 0, start(1, 1, "b", 1), api.ReasonStaleEpoch},
-		{"epoch of the future", 2, start(1, 1, "b", 1), api.ReasonStaleEpoch},
-		{"held already", 1, start(0, 2, "b", 1), api.ReasonWrongState},
+		{"future epoch", 2, start(1, 1, "b", 1), api.ReasonStaleEpoch},
+		{"task holds a VM", 1, start(0, 2, "b", 1), api.ReasonWrongState},
 		{"attempt skipped", 1, start(1, 2, "b", 1), api.ReasonConflict},
-		{"no room left", 1, start(1, 1, "a", 2), api.ReasonNoCapacity},
-		{"nothing asked for", 1, start(1, 1, "b", 0), api.ReasonMalformed},
-		{"no such task", 1, start(9, 1, "b", 1), api.ReasonUnknownJob},
-		{"cancelled before", 1, cell.Start{Task: task("gone", 0), Attempt: 1, VM: "b", Resources: cores(1)}, api.ReasonCancelled},
+		{"no capacity left", 1, start(1, 1, "a", 2), api.ReasonNoCapacity},
+		{"no resources requested", 1, start(1, 1, "b", 0), api.ReasonMalformed},
+		{"unknown task", 1, start(9, 1, "b", 1), api.ReasonUnknownJob},
+		{"cancelled job", 1, cell.Start{Task: task("gone", 0), Attempt: 1, VM: "b", Resources: cores(1)}, api.ReasonCancelled},
 		{"fits", 1, start(1, 1, "a", 1), ""},
 	} {
 		m, w := newMachine()
-		setUp(t, m, w)
+		addVMsAndJobs(t, m, w)
 		prior, _ := m.StartEntry(1, []cell.Start{start(0, 1, "a", 3)})
 		later, skipped := m.StartEntry(tt.epoch, []cell.Start{tt.start})
 		if tt.want == api.ReasonCancelled {
@@ -96,18 +97,18 @@
 			t.Fatal(tt.name, err, skipped)
 		}
 		if got := reasonOf(w.apply(m, later)); got != tt.want {
-			t.Errorf("%s: %q, want %q", tt.name, got, tt.want)
+			t.Errorf("%s: got reason %q, want %q", tt.name, got, tt.want)
 		}
-		if tt.want != "" && w.counted[tt.want] == 0 {
-			t.Errorf("%s: not counted", tt.name)
+		if tt.want != "" && w.rejections[tt.want] == 0 {
+			t.Errorf("%s: rejection not counted", tt.name)
 		}
 	}
 }
 
-// A gang whose last start doesn't fit leaves no claim behind.
+// A rejected gang leaves no allocation behind, even if only its last start doesn't fit.
 func TestGangStartsAllOrNothing(t *testing.T) {
 	m, w := newMachine()
-	setUp(t, m, w)
+	addVMsAndJobs(t, m, w)
 	var events []cell.Event
 	m.Subscribe(func(e []cell.Event) { events = append(events, e...) })
 	gang := func(vms ...api.VMID) journal.Entry {
@@ -122,15 +123,15 @@
 		t.Fatal(got)
 	}
 	if got := reasonOf(w.apply(m, gang("a", "b"))); got != api.ReasonGangWaiting {
-		t.Fatal("a part of a gang: ", got)
+		t.Fatal("incomplete gang: got reason ", got)
 	}
 	for _, e := range events {
 		if e.Kind != cell.EventStartRejected {
-			t.Errorf("%+v", e)
+			t.Errorf("unexpected event %+v", e)
 		}
 	}
 	if used := m.VMs()[0].Used; !used.IsZero() {
-		t.Error("left behind: ", used)
+		t.Error("resources used after rejected gangs: ", used)
 	}
 	if err := w.apply(m, gang("a", "b", "a")); err != nil {
 		t.Fatal(err)
@@ -142,7 +143,7 @@
 
 func TestTaskFailsAfterMaxAttempts(t *testing.T) {
 	m, w := newMachine()
-	setUp(t, m, w)
+	addVMsAndJobs(t, m, w)
 	for attempt := uint32(1); attempt <= 2; attempt++ {
 		e, _ := m.StartEntry(1, []cell.Start{{Task: task("batch", 0), Attempt: attempt, VM: "a", Resources: cores(1)}})
 		if err := w.apply(m, e); err != nil {
@@ -153,20 +154,20 @@
 			t.Fatal(err)
 		}
 		if got := reasonOf(w.apply(m, m.ReportEntry(1, []cell.Report{failed}))); got != api.ReasonWrongState {
-			t.Fatal("a doubled report: ", got)
+			t.Fatal("repeated report: got reason ", got)
 		}
 	}
 	x, _ := m.ExplainTask(task("batch", 0))
 	if x.Task.State != api.TaskFailed || x.Task.Reason != api.ReasonFailsEverywhere || len(x.Incidents) != 2 {
-		t.Errorf("%+v", x)
+		t.Errorf("unexpected explanation %+v", x)
 	}
 }
 
-// A replacement runs beside the task it replaces, which then is not started
-// again; the job keeps its size.
+// A replacement runs beside the task that it replaces. When the replaced task is
+// lost, it is not started again.
 func TestReplacedTaskIsNotRestarted(t *testing.T) {
 	m, w := newMachine()
-	setUp(t, m, w)
+	addVMsAndJobs(t, m, w)
 	_ = w.apply(m, cell.SubmitEntry(api.JobSpec{ID: "svc", Class: api.ClassService, Tasks: 1, Resources: cores(1)}, 0))
 	start := func(index uint32, vm api.VMID) {
 		e, _ := m.StartEntry(1, []cell.Start{{Task: task("svc", index), Attempt: 1, VM: vm, Resources: cores(1)}})
@@ -180,7 +181,7 @@
 		t.Fatal(err)
 	}
 	if err := w.apply(m, replace); err == nil {
-		t.Fatal("replaced twice")
+		t.Fatal("the same task was replaced twice")
 	}
 	start(1, "b")
 	lost := cell.Report{Task: task("svc", 0), Attempt: 1, Status: cell.AttemptLost, Reason: api.ReasonWorkerLost}
@@ -189,32 +190,33 @@
 	}
 	job, _ := m.Job("svc")
 	if job.Counts[api.TaskCancelled] != 1 || job.Counts[api.TaskStarting] != 1 || len(m.Pending("svc")) != 0 {
-		t.Errorf("%+v", job.Counts)
+		t.Errorf("unexpected task counts %+v", job.Counts)
 	}
 }
 
-// Entries at random, many of them wrong, keep every VM within its capacity;
-// a machine restored from a snapshot at any moment goes on exactly alike.
+// Random entries, many of them invalid, never exceed the capacity of a VM. A state
+// machine restored from a snapshot accepts and rejects the same later entries and
+// ends in the same state.
 func TestReplayFromSnapshotIsDeterministic(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		a, w := newMachine()
-		setUp(t, a, w)
+		addVMsAndJobs(t, a, w)
 		b := (*cell.StateMachine)(nil)
 		for step := range 400 {
 			e := randomEntry(rng, a)
 			errA := w.apply(a, e)
 			if b != nil {
 				if errB := b.Apply(journal.Position{Index: w.offset}, e); reasonOf(errA) != reasonOf(errB) {
-					t.Fatalf("seed %d step %d: %v and %v", seed, step, errA, errB)
+					t.Fatalf("seed %d step %d: original returned %v, restored copy %v", seed, step, errA, errB)
 				}
 			}
 			if step == 150 {
-				b = restored(t, a, w)
+				b = restoreSnapshot(t, a, w)
 			}
 			for _, vm := range a.VMs() {
 				if !vm.Used.Fits(vm.Capacity) || vm.Used.HasNegative() {
-					t.Fatalf("seed %d step %d: %+v", seed, step, vm)
+					t.Fatalf("seed %d step %d: VM exceeds its capacity: %+v", seed, step, vm)
 				}
 			}
 		}
@@ -226,20 +228,20 @@
 	}
 }
 
-func restored(t *testing.T, m *cell.StateMachine, w *world) *cell.StateMachine {
+func restoreSnapshot(t *testing.T, m *cell.StateMachine, w *testEnv) *cell.StateMachine {
 	t.Helper()
-	image, err := m.Snapshot()
+	data, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := cell.New(w, nil)
-	if err := b.Restore(image); err != nil {
+	restored := cell.New(w, nil)
+	if err := restored.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	return b
+	return restored
 }
 
-// randomEntry draws entries that are valid about half of the time.
+// randomEntry returns an entry that is valid about half of the time.
 func randomEntry(rng *rand.Rand, m *cell.StateMachine) journal.Entry {
 	jobs := []string{"batch", "gang", "x", "y"}
 	id := task(jobs[rng.IntN(len(jobs))], uint32(rng.IntN(7)))
@@ -268,8 +270,8 @@
 		e, _ := m.ReplaceEntry(epoch, id.Job, m.TasksOnVM(vm))
 		return e
 	case 5, 6, 7:
-		ending := cell.AttemptRunning + cell.AttemptStatus(rng.IntN(6))
-		return m.ReportEntry(epoch, []cell.Report{{Task: id, Attempt: view.Attempt, Status: ending, Reason: api.ReasonWorkerLost}})
+		status := cell.AttemptRunning + cell.AttemptStatus(rng.IntN(6))
+		return m.ReportEntry(epoch, []cell.Report{{Task: id, Attempt: view.Attempt, Status: status, Reason: api.ReasonWorkerLost}})
 	}
 	var starts []cell.Start
 	for index := range uint32(1 + rng.IntN(4)) {
@@ -280,14 +282,14 @@
 	return e
 }
 
-// benchState fills a machine with running tasks, 25 to a VM.
-func benchState(b *testing.B, vms, tasks int) (*cell.StateMachine, *world) {
+// newBusyMachine returns a state machine with about 25 running tasks on each VM.
+func newBusyMachine(b *testing.B, vms, tasks int) (*cell.StateMachine, *testEnv) {
 	m, w := newMachine()
-	var seen []cell.ObservedVM
+	var observed []cell.ObservedVM
 	for i := range vms {
-		seen = append(seen, cell.ObservedVM{ID: vmName(i), Rack: fmt.Sprint("r", i/8), Capacity: api.Resources{MilliCPU: 64_000, MemoryMB: 1 << 18}})
+		observed = append(observed, cell.ObservedVM{ID: vmName(i), Rack: fmt.Sprint("r", i/8), Capacity: api.Resources{MilliCPU: 64_000, MemoryMB: 1 << 18}})
 	}
-	if err := w.apply(m, cell.VMUpdateEntry(1, seen, nil)); err != nil {
+	if err := w.apply(m, cell.VMUpdateEntry(1, observed, nil)); err != nil {
 		b.Fatal(err)
 	}
 	const perJob = 50
--- a/internal/cell/move.go
+++ b/internal/cell/move.go
@@ -6,32 +6,32 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// MovedJob is a job that has left this cell and may not have arrived in the
-// other one yet.
+// MovedJob is a job that was moved out of this cell and may not have arrived in
+// the other one yet.
 type MovedJob struct {
 	Spec       api.JobSpec
 	To         api.DataCentre
-	MoveNumber uint32       // from 1, in the order in which they are to be submitted
-	EndedTasks []IndexRange // tasks that ended here
+	MoveNumber uint32       // from 1, in the order in which the jobs must be submitted
+	EndedTasks []IndexRange // tasks that ended in this cell
 }
 
-// UnconfirmedMoves returns the jobs that were moved and whose arrival is not
-// confirmed, in order of their moves.
+// UnconfirmedMoves returns the jobs that were moved out and whose arrival is not
+// confirmed, in the order of their moves.
 func (m *StateMachine) UnconfirmedMoves() []MovedJob {
-	m.applying.Lock()
-	defer m.applying.Unlock()
+	m.applyMu.Lock()
+	defer m.applyMu.Unlock()
 	list := make([]MovedJob, 0, len(m.movedOut))
 	for _, number := range m.movedOut {
-		m.rlockJob(number, func(j *job) {
-			list = append(list, MovedJob{Spec: j.spec, To: j.movedTo, MoveNumber: j.move, EndedTasks: j.settledRanges()})
+		m.readJobNumber(number, func(j *job) {
+			list = append(list, MovedJob{Spec: j.spec, To: j.movedTo, MoveNumber: j.moveNumber, EndedTasks: j.endedRanges()})
 		})
 	}
 	return list
 }
 
-// settledRanges lists the tasks that ended. The tasks of a service start
-// anew, all of them.
-func (j *job) settledRanges() []IndexRange {
+// endedRanges returns the tasks that have ended. For a service it returns none,
+// because all tasks of a service start again.
+func (j *job) endedRanges() []IndexRange {
 	if j.spec.Class == api.ClassService {
 		return nil
 	}
@@ -50,21 +50,22 @@
 	return ranges
 }
 
-// settleRanges marks tasks as ended elsewhere.
-func (j *job) settleRanges(ranges []IndexRange) {
+// markEndedElsewhere marks tasks that ended in another data centre as finished.
+func (j *job) markEndedElsewhere(ranges []IndexRange) {
 	for _, r := range ranges {
-		j.allocate()
+		j.allocateTasks()
 		for i := r.First; i < min(r.End, j.size); i++ {
 			if t := &j.tasks[i]; t.state == api.TaskPending {
-				j.shift(t, api.TaskFinished)
+				j.setState(t, api.TaskFinished)
 				t.reason = reasonCode(ReasonMoved)
 			}
 		}
 	}
 }
 
-// takeMove takes the moves of a data centre in order and each once.
-func (m *StateMachine) takeMove(s *Submit) *Rejection {
+// acceptMove records the move of a submitted job that comes from another data centre.
+// It rejects a submission that repeats a move of its data centre or skips one.
+func (m *StateMachine) acceptMove(s *Submit) *Rejection {
 	if s.MovedFrom == nil {
 		return nil
 	}
@@ -79,7 +80,7 @@
 	return nil
 }
 
-func (m *StateMachine) applyMove(b *MoveJobs) *Rejection {
+func (m *StateMachine) applyMoveJobs(b *MoveJobs) *Rejection {
 	if r := m.checkEpoch(b.Epoch); r != nil {
 		return r
 	}
@@ -94,21 +95,21 @@
 			m.count(api.ReasonWrongState)
 		}
 	}
-	return orWrongState(applied)
+	return rejectionIfNoneApplied(applied)
 }
 
-// moveOut ends a job here, unless some of it still holds a VM.
+// moveOut ends a job in this cell unless one of its tasks still holds a VM.
 func (m *StateMachine) moveOut(number uint32, to api.DataCentre) bool {
 	var id api.JobID
 	moved := false
 	m.withJob(number, func(j *job) {
-		if j.ended || j.cancelled || j.holding() > 0 {
+		if j.ended || j.cancelled || j.allocatedCount() > 0 {
 			return
 		}
-		m.moves++
+		m.lastMoveNumber++
 		j.movedTo = to
-		j.move = m.moves
-		j.dropPending()
+		j.moveNumber = m.lastMoveNumber
+		j.cancelPending()
 		j.ended = true
 		id = j.spec.ID
 		moved = true
@@ -120,7 +121,7 @@
 	return moved
 }
 
-func (m *StateMachine) applyMoved(b *ConfirmMoves) *Rejection {
+func (m *StateMachine) applyConfirmMoves(b *ConfirmMoves) *Rejection {
 	if r := m.checkEpoch(b.Epoch); r != nil {
 		return r
 	}
@@ -132,8 +133,8 @@
 			continue
 		}
 		m.movedOut = slices.Delete(m.movedOut, i, i+1)
-		m.keepEnded(number)
+		m.retainEnded(number)
 		applied++
 	}
-	return orWrongState(applied)
+	return rejectionIfNoneApplied(applied)
 }
--- a/internal/cell/propose.go
+++ b/internal/cell/propose.go
@@ -5,7 +5,7 @@
 	"github.com/skylarklock/skylarklock/internal/journal"
 )
 
-// Start asks for one start in an entry of StartEntry.
+// Start describes one start for StartEntry.
 type Start struct {
 	Task      api.TaskID
 	Attempt   uint32
@@ -14,7 +14,7 @@
 	Gang      bool
 }
 
-// Report tells of one attempt in an entry of ReportEntry.
+// Report describes the status of one attempt for ReportEntry.
 type Report struct {
 	Task    api.TaskID
 	Attempt uint32
@@ -22,43 +22,43 @@
 	Reason  api.Reason
 }
 
-// Stop orders one stop in an entry of StopEntry.
+// Stop describes one stop for StopEntry.
 type Stop struct {
 	Task       api.TaskID
 	Attempt    uint32
 	Checkpoint bool
 	Reason     api.Reason
-	Preemptor  api.JobID // the job that gains from a preemption, if any
+	Preemptor  api.JobID // the job that the task is preempted for, if any
 }
 
-// SubmitEntry builds the entry of a Submit.
+// SubmitEntry returns the entry of a Submit.
 func SubmitEntry(spec api.JobSpec, atMs int64) journal.Entry {
 	return entry(TypeSubmit, &Submit{Spec: spec, ProposedAtMs: atMs})
 }
 
-// CancelEntry builds the entry of a Cancel.
+// CancelEntry returns the entry of a Cancel.
 func CancelEntry(jobs []api.JobID, atMs int64) journal.Entry {
 	return entry(TypeCancel, &Cancel{Jobs: jobs, ProposedAtMs: atMs})
 }
 
-// VMUpdateEntry builds the entry of a VMs.
-func VMUpdateEntry(epoch api.Epoch, seen []ObservedVM, gone []api.VMID) journal.Entry {
-	return entry(TypeVMUpdate, &VMUpdate{Epoch: epoch, Observed: seen, Removed: gone})
+// VMUpdateEntry returns the entry of a VMUpdate.
+func VMUpdateEntry(epoch api.Epoch, observed []ObservedVM, removed []api.VMID) journal.Entry {
+	return entry(TypeVMUpdate, &VMUpdate{Epoch: epoch, Observed: observed, Removed: removed})
 }
 
-// SubmitMovedEntry builds the entry that submits a job which another data centre
-// has moved here.
-func SubmitMovedEntry(moving MovedJob, from api.DataCentre, atMs int64) journal.Entry {
-	origin := &Origin{DataCentre: from, MoveNumber: moving.MoveNumber, EndedTasks: moving.EndedTasks}
-	return entry(TypeSubmit, &Submit{Spec: moving.Spec, ProposedAtMs: atMs, MovedFrom: origin})
+// SubmitMovedEntry returns the entry that submits a job that another data centre
+// has moved to this one.
+func SubmitMovedEntry(moved MovedJob, from api.DataCentre, atMs int64) journal.Entry {
+	origin := &Origin{DataCentre: from, MoveNumber: moved.MoveNumber, EndedTasks: moved.EndedTasks}
+	return entry(TypeSubmit, &Submit{Spec: moved.Spec, ProposedAtMs: atMs, MovedFrom: origin})
 }
 
-// MoveJobsEntry builds the entry of a Move; it leaves out unknown jobs.
+// MoveJobsEntry returns the entry of a MoveJobs. Unknown jobs are left out.
 func (m *StateMachine) MoveJobsEntry(epoch api.Epoch, to api.DataCentre, jobs []api.JobID) journal.Entry {
 	return entry(TypeMoveJobs, &MoveJobs{Epoch: epoch, To: to, Jobs: m.numbersOf(jobs)})
 }
 
-// ConfirmMovesEntry builds the entry of a Moved; it leaves out unknown jobs.
+// ConfirmMovesEntry returns the entry of a ConfirmMoves. Unknown jobs are left out.
 func (m *StateMachine) ConfirmMovesEntry(epoch api.Epoch, jobs []api.JobID) journal.Entry {
 	return entry(TypeConfirmMoves, &ConfirmMoves{Epoch: epoch, Jobs: m.numbersOf(jobs)})
 }
@@ -73,8 +73,8 @@
 	return numbers
 }
 
-// StartEntry builds one entry of starts. It leaves out those whose job or VM
-// is not known and returns them.
+// StartEntry returns one entry with the given starts. Starts whose job or VM is
+// unknown are left out and returned.
 func (m *StateMachine) StartEntry(epoch api.Epoch, starts []Start) (journal.Entry, []Start) {
 	type groupKey struct {
 		job       uint32
@@ -110,11 +110,11 @@
 	return n, ok
 }
 
-// ReportEntry builds one entry of reports; it leaves out unknown jobs.
+// ReportEntry returns one entry with the given reports. Unknown jobs are left out.
 func (m *StateMachine) ReportEntry(epoch api.Epoch, reports []Report) journal.Entry {
 	type groupKey struct {
 		job    uint32
-		ending AttemptStatus
+		status AttemptStatus
 		reason uint8
 	}
 	batch := ReportBatch{Epoch: epoch}
@@ -124,7 +124,7 @@
 		if !ok {
 			continue
 		}
-		key := groupKey{job: job, ending: r.Status, reason: reasonCode(r.Reason)}
+		key := groupKey{job: job, status: r.Status, reason: reasonCode(r.Reason)}
 		i, ok := groups[key]
 		if !ok {
 			i = len(batch.Groups)
@@ -137,13 +137,13 @@
 	return entry(TypeReport, &batch)
 }
 
-// StopEntry builds one entry of stops; it leaves out unknown jobs.
+// StopEntry returns one entry with the given stops. Unknown jobs are left out.
 func (m *StateMachine) StopEntry(epoch api.Epoch, stops []Stop) journal.Entry {
 	type groupKey struct {
 		job        uint32
 		checkpoint bool
 		reason     uint8
-		gainer     api.JobID
+		preemptor  api.JobID
 	}
 	batch := StopBatch{Epoch: epoch}
 	groups := make(map[groupKey]int)
@@ -152,7 +152,7 @@
 		if !ok {
 			continue
 		}
-		key := groupKey{job: job, checkpoint: s.Checkpoint, reason: reasonCode(s.Reason), gainer: s.Preemptor}
+		key := groupKey{job: job, checkpoint: s.Checkpoint, reason: reasonCode(s.Reason), preemptor: s.Preemptor}
 		i, ok := groups[key]
 		if !ok {
 			i = len(batch.Groups)
@@ -165,8 +165,8 @@
 	return entry(TypeStop, &batch)
 }
 
-// ReplaceEntry builds the entry that adds replacements for tasks of one job.
-// It returns false when the job is not known.
+// ReplaceEntry returns the entry that adds replacements for tasks of one job, or
+// false if the job is unknown.
 func (m *StateMachine) ReplaceEntry(epoch api.Epoch, job api.JobID, tasks []AllocatedTask) (journal.Entry, bool) {
 	number, ok := m.numberOf(job)
 	if !ok {
--- a/internal/cell/read.go
+++ b/internal/cell/read.go
@@ -7,41 +7,41 @@
 	"github.com/skylarklock/skylarklock/internal/ledger"
 )
 
-// TaskView is a task as it stands.
+// TaskView is a snapshot of the effective state of a task.
 type TaskView struct {
 	Task             api.TaskID
 	State            api.TaskState
-	Attempt          uint32   // last one started, zero before the first
+	Attempt          uint32   // latest attempt started, zero before the first start
 	VM               api.VMID // empty unless State.Holds()
-	Failures         uint16   // attempts that ended badly by themselves
+	Failures         uint16   // attempts that failed by themselves
 	Reason           api.Reason
 	HasCheckpoint    bool // the next start restores a checkpoint
-	CheckpointOnStop bool // its stop asks for a checkpoint
-	HasReplacement   bool // a replacement has been added for it
+	CheckpointOnStop bool // the stop order requests a checkpoint
+	HasReplacement   bool // a replacement was added
 }
 
-// JobView is a job as it stands.
+// JobView is a snapshot of the state of a job.
 type JobView struct {
 	Spec      api.JobSpec
 	Number    uint32 // in order of submission
-	Submitted int64  // submitter's wall clock in Unix milliseconds, display only
-	Size      uint32 // tasks, with replacements
+	Submitted int64  // Unix milliseconds on the submitter's clock, for display only
+	Size      uint32 // number of tasks, including replacements
 	Cancelled bool
 	Ended     bool
 	MovedTo   api.DataCentre // empty unless moved
 	Counts    Counts
 }
 
-// Counts holds numbers of tasks, indexed by api.TaskState.
+// Counts holds the number of tasks in each api.TaskState.
 type Counts [stateCount]uint32
 
-// AllocatedTask is an attempt that may occupy a VM.
+// AllocatedTask is a task whose latest attempt may occupy a VM.
 type AllocatedTask struct {
 	TaskView
 	Resources api.Resources
 }
 
-// VMView is a VM as observed through the log.
+// VMView is a snapshot of the state of a VM in the log.
 type VMView struct {
 	ID       api.VMID
 	Rack     string
@@ -50,7 +50,7 @@
 	Removed  bool
 }
 
-// Task returns a task, if its job is known.
+// Task returns the state of a task, or false if it is unknown.
 func (m *StateMachine) Task(id api.TaskID) (TaskView, bool) {
 	m.vms.mu.RLock()
 	defer m.vms.mu.RUnlock()
@@ -58,14 +58,14 @@
 	found := false
 	m.readJob(id.Job, func(j *job) {
 		var t task
-		if t, found = j.get(id.Index); found {
+		if t, found = j.effectiveTask(id.Index); found {
 			view = m.viewTask(j, id.Index, t)
 		}
 	})
 	return view, found
 }
 
-// viewTask needs the VMs and the job locked.
+// viewTask returns the view of a task. The VMs and the job must be locked.
 func (m *StateMachine) viewTask(j *job, index uint32, t task) TaskView {
 	v := TaskView{
 		Task:             api.TaskID{Job: j.spec.ID, Index: index},
@@ -73,9 +73,9 @@
 		Attempt:          t.attempt,
 		Failures:         t.failures,
 		Reason:           reasonOf(t.reason),
-		HasCheckpoint:    t.flags&flagCheckpoint != 0,
-		CheckpointOnStop: t.flags&flagStopSave != 0,
-		HasReplacement:   t.flags&flagRetiring != 0,
+		HasCheckpoint:    t.flags&flagHasCheckpoint != 0,
+		CheckpointOnStop: t.flags&flagCheckpointOnStop != 0,
+		HasReplacement:   t.flags&flagHasReplacement != 0,
 	}
 	if t.state.HoldsResources() {
 		v.VM = m.vms.rows[t.vm].id
@@ -83,7 +83,7 @@
 	return v
 }
 
-// Job returns a job, if it is known.
+// Job returns the state of a job, or false if it is unknown.
 func (m *StateMachine) Job(id api.JobID) (JobView, bool) {
 	var view JobView
 	found := m.readJob(id, func(j *job) { view = viewJob(j) })
@@ -103,15 +103,15 @@
 	}
 }
 
-// Pending returns the indexes of a job's tasks to place, in order. Parts of
-// a gang are not to be placed while another part holds a VM: then it is nil.
+// Pending returns the indexes of the tasks of a job that may be placed, in
+// ascending order. It returns nil for a gang of which a task still holds a VM.
 func (m *StateMachine) Pending(id api.JobID) []uint32 {
 	var list []uint32
 	m.readJob(id, func(j *job) {
-		if j.spec.Class == api.ClassGang && j.holding() > 0 {
+		if j.spec.Class == api.ClassGang && j.allocatedCount() > 0 {
 			return
 		}
-		list = j.pending()
+		list = j.pendingIndexes()
 	})
 	return list
 }
@@ -122,27 +122,28 @@
 	defer m.vms.mu.RUnlock()
 	var list []AllocatedTask
 	m.readJob(id, func(j *job) {
-		if j.holding() == 0 {
+		if j.allocatedCount() == 0 {
 			return
 		}
 		for i := range j.tasks {
 			if j.tasks[i].state.HoldsResources() {
-				list = append(list, m.held(j, uint32(i)))
+				list = append(list, m.allocatedTask(j, uint32(i)))
 			}
 		}
 	})
 	return list
 }
 
-// held needs the VMs and the job locked, and a task that holds a VM.
-func (m *StateMachine) held(j *job, index uint32) AllocatedTask {
-	t, _ := j.get(index)
+// allocatedTask returns a task that holds a VM with its resources. The VMs and
+// the job must be locked.
+func (m *StateMachine) allocatedTask(j *job, index uint32) AllocatedTask {
+	t, _ := j.effectiveTask(index)
 	key := ledger.Key{Job: j.number, Index: index, Attempt: t.attempt}
 	amount, _ := m.vms.ledger.Allocated(t.vm, key)
 	return AllocatedTask{TaskView: m.viewTask(j, index, t), Resources: amount}
 }
 
-// TasksOnVM returns what may occupy a VM, in order of job and index.
+// TasksOnVM returns the tasks that may occupy a VM, ordered by job number and index.
 func (m *StateMachine) TasksOnVM(vm api.VMID) []AllocatedTask {
 	m.vms.mu.RLock()
 	defer m.vms.mu.RUnlock()
@@ -150,12 +151,12 @@
 	if !ok {
 		return nil
 	}
-	claims := m.vms.ledger.Allocations(number)
-	sort.Slice(claims, func(i, j int) bool { return keyLess(claims[i].Key, claims[j].Key) })
-	list := make([]AllocatedTask, 0, len(claims))
-	for _, c := range claims {
-		m.rlockJob(c.Key.Job, func(j *job) {
-			list = append(list, m.held(j, c.Key.Index))
+	allocations := m.vms.ledger.Allocations(number)
+	sort.Slice(allocations, func(i, j int) bool { return keyLess(allocations[i].Key, allocations[j].Key) })
+	list := make([]AllocatedTask, 0, len(allocations))
+	for _, a := range allocations {
+		m.readJobNumber(a.Key.Job, func(j *job) {
+			list = append(list, m.allocatedTask(j, a.Key.Index))
 		})
 	}
 	return list
@@ -168,8 +169,10 @@
 	return a.Index < b.Index
 }
 
-func (m *StateMachine) rlockJob(number uint32, f func(*job)) {
-	s := m.shardOf(number)
+// readJobNumber calls f with the job of the given number locked for reading, if it
+// is known.
+func (m *StateMachine) readJobNumber(number uint32, f func(*job)) {
+	s := m.jobShardOf(number)
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	if j := s.jobs[number]; j != nil {
@@ -177,16 +180,15 @@
 	}
 }
 
-// Jobs returns the IDs of the jobs that have not ended, in order of
-// submission.
+// Jobs returns the IDs of the jobs that have not ended, in order of submission.
 func (m *StateMachine) Jobs() []api.JobID {
 	type numbered struct {
 		number uint32
 		id     api.JobID
 	}
 	var all []numbered
-	for i := range m.shards {
-		s := &m.shards[i]
+	for i := range m.jobShards {
+		s := &m.jobShards[i]
 		s.mu.RLock()
 		for n, j := range s.jobs {
 			if !j.ended {
@@ -203,7 +205,7 @@
 	return ids
 }
 
-// VMs returns the VMs that are known, in order of observation.
+// VMs returns the known VMs in the order in which they were added.
 func (m *StateMachine) VMs() []VMView {
 	m.vms.mu.RLock()
 	defer m.vms.mu.RUnlock()
@@ -213,19 +215,19 @@
 			continue
 		}
 		capacity, used, _ := m.vms.ledger.Usage(uint32(number))
-		list = append(list, VMView{ID: row.id, Rack: row.rack, Capacity: capacity, Used: used, Removed: row.gone})
+		list = append(list, VMView{ID: row.id, Rack: row.rack, Capacity: capacity, Used: used, Removed: row.removed})
 	}
 	return list
 }
 
-// Replacement returns the task that was added to run in the stead of id.
+// Replacement returns the task that was added to replace the task with the given ID.
 func (m *StateMachine) Replacement(id api.TaskID) (TaskView, bool) {
-	added := api.TaskID{Job: id.Job}
+	replacement := api.TaskID{Job: id.Job}
 	found := false
 	m.readJob(id.Job, func(j *job) {
 		for index, old := range j.replaced {
 			if old == id.Index {
-				added.Index = index
+				replacement.Index = index
 				found = true
 			}
 		}
@@ -233,5 +235,5 @@
 	if !found {
 		return TaskView{}, false
 	}
-	return m.Task(added)
+	return m.Task(replacement)
 }
--- a/internal/cell/snapshot.go
+++ b/internal/cell/snapshot.go
@@ -9,34 +9,34 @@
 	"github.com/skylarklock/skylarklock/internal/ledger"
 )
 
-// snapshotVersion is the form of the snapshot that this code writes.
+// snapshotVersion is the version of the snapshot format.
 const snapshotVersion = 2
 
-// snapshot is the whole state. The history for explanations is left out:
-// after a Restore it starts anew.
+// snapshot is the whole replicated state. It excludes the history for
+// explanations, which is not restored.
 type snapshot struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint
 	NextJob uint32
 	NextVM  uint32
-	VMs     []vmImage
-	Jobs    []jobImage
+	VMs     []vmSnapshot
+	Jobs    []jobSnapshot
 	Ended   []uint32
 
 	Published api.Revision
 
 	LastMoveNumber uint32
 	MovedOut       []uint32
-	MovedIn        []movedImage
+	MovedIn        []moveSnapshot
 }
 
-type movedImage struct {
+type moveSnapshot struct {
 	_          struct{} `cbor:",toarray"`
 	DataCentre api.DataCentre
 	MoveNumber uint32
 }
 
-type vmImage struct {
+type vmSnapshot struct {
 	_        struct{} `cbor:",toarray"`
 	Number   uint32
 	ID       api.VMID
@@ -45,7 +45,7 @@
 	Removed  bool
 }
 
-type jobImage struct {
+type jobSnapshot struct {
 	_          struct{} `cbor:",toarray"`
 	Number     uint32
 	Spec       api.JobSpec
@@ -55,17 +55,17 @@
 	MovedTo    api.DataCentre
 	MoveNumber uint32
 	Size       uint32
-	Replaced   []replacedImage
-	Tasks      []taskImage // only those that were ever started
+	Replaced   []replacementSnapshot
+	Tasks      []taskSnapshot // only tasks that differ from a task that was never started
 }
 
-type replacedImage struct {
+type replacementSnapshot struct {
 	_        struct{} `cbor:",toarray"`
 	New, Old uint32
 }
 
-// taskImage holds the claim of a task with it: nil when it holds no VM.
-type taskImage struct {
+// taskSnapshot is the state of a task. Allocation is nil if the task holds no VM.
+type taskSnapshot struct {
 	_          struct{} `cbor:",toarray"`
 	Index      uint32
 	VM         uint32
@@ -77,10 +77,10 @@
 	Allocation *api.Resources
 }
 
-// Snapshot implements journal.StateMachine. Equal states give equal bytes.
+// Snapshot encodes the state for the journal. Equal states give equal bytes.
 func (m *StateMachine) Snapshot() ([]byte, error) {
-	m.applying.Lock()
-	defer m.applying.Unlock()
+	m.applyMu.Lock()
+	defer m.applyMu.Unlock()
 	m.vms.mu.RLock()
 	defer m.vms.mu.RUnlock()
 	s := snapshot{
@@ -90,55 +90,56 @@
 		Ended:   m.ended,
 
 		Published:      m.PublishedRevision(),
-		LastMoveNumber: m.moves,
+		LastMoveNumber: m.lastMoveNumber,
 		MovedOut:       m.movedOut,
 	}
 	for dc, move := range m.movedIn {
-		s.MovedIn = append(s.MovedIn, movedImage{DataCentre: dc, MoveNumber: move})
+		s.MovedIn = append(s.MovedIn, moveSnapshot{DataCentre: dc, MoveNumber: move})
 	}
 	sort.Slice(s.MovedIn, func(i, j int) bool { return s.MovedIn[i].DataCentre < s.MovedIn[j].DataCentre })
 	for number, row := range m.vms.rows {
 		if row != nil {
-			s.VMs = append(s.VMs, vmImage{Number: uint32(number), ID: row.id, Rack: row.rack, Capacity: row.capacity, Removed: row.gone})
+			s.VMs = append(s.VMs, vmSnapshot{Number: uint32(number), ID: row.id, Rack: row.rack, Capacity: row.capacity, Removed: row.removed})
 		}
 	}
-	for i := range m.shards {
-		// Only Apply and Restore change jobs, and they are locked out.
-		for _, j := range m.shards[i].jobs {
-			s.Jobs = append(s.Jobs, m.imageOf(j))
+	for i := range m.jobShards {
+		// Jobs need no lock: only Apply and Restore change them, and applyMu
+		// keeps both out.
+		for _, j := range m.jobShards[i].jobs {
+			s.Jobs = append(s.Jobs, m.snapshotJob(j))
 		}
 	}
 	sort.Slice(s.Jobs, func(i, j int) bool { return s.Jobs[i].Number < s.Jobs[j].Number })
 	return journal.Encode(&s), nil
 }
 
-func (m *StateMachine) imageOf(j *job) jobImage {
-	image := jobImage{
+func (m *StateMachine) snapshotJob(j *job) jobSnapshot {
+	snap := jobSnapshot{
 		Number:     j.number,
 		Spec:       j.spec,
 		Submitted:  j.submitted,
 		Cancelled:  j.cancelled,
 		Ended:      j.ended,
 		MovedTo:    j.movedTo,
-		MoveNumber: j.move,
+		MoveNumber: j.moveNumber,
 		Size:       j.size,
 	}
-	for added, old := range j.replaced {
-		image.Replaced = append(image.Replaced, replacedImage{New: added, Old: old})
+	for replacement, old := range j.replaced {
+		snap.Replaced = append(snap.Replaced, replacementSnapshot{New: replacement, Old: old})
 	}
-	sort.Slice(image.Replaced, func(a, b int) bool { return image.Replaced[a].New < image.Replaced[b].New })
+	sort.Slice(snap.Replaced, func(a, b int) bool { return snap.Replaced[a].New < snap.Replaced[b].New })
 	for i := range j.tasks {
 		t := j.tasks[i]
-		if t == j.untouched() {
+		if t == j.initialTask() {
 			continue
 		}
-		image.Tasks = append(image.Tasks, m.taskImage(j, uint32(i), t))
+		snap.Tasks = append(snap.Tasks, m.snapshotTask(j, uint32(i), t))
 	}
-	return image
+	return snap
 }
 
-func (m *StateMachine) taskImage(j *job, index uint32, t task) taskImage {
-	image := taskImage{
+func (m *StateMachine) snapshotTask(j *job, index uint32, t task) taskSnapshot {
+	snap := taskSnapshot{
 		Index:    index,
 		VM:       t.vm,
 		Attempt:  t.attempt,
@@ -148,48 +149,48 @@
 		Flags:    t.flags,
 	}
 	if !t.state.HoldsResources() {
-		image.VM = 0
-		return image
+		snap.VM = 0
+		return snap
 	}
-	held, _ := m.vms.ledger.Allocated(t.vm, ledger.Key{Job: j.number, Index: index, Attempt: t.attempt})
-	image.Allocation = &held
-	return image
+	allocated, _ := m.vms.ledger.Allocated(t.vm, ledger.Key{Job: j.number, Index: index, Attempt: t.attempt})
+	snap.Allocation = &allocated
+	return snap
 }
 
-// Restore implements journal.StateMachine. A snapshot that contradicts itself is
-// an error; the state is then not to be used.
+// Restore replaces the state by a snapshot. After an error, for instance for an
+// inconsistent snapshot, the state must not be used.
 func (m *StateMachine) Restore(data []byte) error {
 	var s snapshot
 	if err := journal.Decode(data, &s); err != nil {
 		return fmt.Errorf("cell: snapshot: %w", err)
 	}
 	if s.Version != snapshotVersion {
-		return fmt.Errorf("cell: snapshot of version %d, known is %d", s.Version, snapshotVersion)
+		return fmt.Errorf("cell: unsupported snapshot version %d, expected %d", s.Version, snapshotVersion)
 	}
-	m.applying.Lock()
-	defer m.applying.Unlock()
+	m.applyMu.Lock()
+	defer m.applyMu.Unlock()
 	if err := m.load(&s); err != nil {
 		return err
 	}
 	m.events = []Event{{Kind: EventRestored}}
-	m.publish()
+	m.notifySubscribers()
 	return nil
 }
 
 func (m *StateMachine) load(s *snapshot) error {
 	m.vms.mu.Lock()
 	defer m.vms.mu.Unlock()
-	for i := range m.shards {
-		m.shards[i].mu.Lock()
-		defer m.shards[i].mu.Unlock()
-		m.names[i].mu.Lock()
-		defer m.names[i].mu.Unlock()
+	for i := range m.jobShards {
+		m.jobShards[i].mu.Lock()
+		defer m.jobShards[i].mu.Unlock()
+		m.idShards[i].mu.Lock()
+		defer m.idShards[i].mu.Unlock()
 	}
 	m.reset()
 	m.nextJob = s.NextJob
 	m.ended = s.Ended
-	m.published.Store(uint64(s.Published))
-	m.moves = s.LastMoveNumber
+	m.publishedRevision.Store(uint64(s.Published))
+	m.lastMoveNumber = s.LastMoveNumber
 	m.movedOut = s.MovedOut
 	for _, in := range s.MovedIn {
 		m.movedIn[in.DataCentre] = in.MoveNumber
@@ -197,9 +198,9 @@
 	m.vms.rows = make([]*vmRow, s.NextVM)
 	for _, v := range s.VMs {
 		if v.Number >= s.NextVM {
-			return fmt.Errorf("cell: snapshot: VM number %d of %d", v.Number, s.NextVM)
+			return fmt.Errorf("cell: snapshot: VM number %d out of range (%d numbers given)", v.Number, s.NextVM)
 		}
-		m.vms.rows[v.Number] = &vmRow{id: v.ID, rack: v.Rack, capacity: v.Capacity, gone: v.Removed}
+		m.vms.rows[v.Number] = &vmRow{id: v.ID, rack: v.Rack, capacity: v.Capacity, removed: v.Removed}
 		m.vms.numbers[v.ID] = v.Number
 		m.vms.ledger.SetCapacity(v.Number, v.Capacity)
 	}
@@ -209,7 +210,7 @@
 		}
 	}
 	for _, number := range m.ended {
-		j := m.shardOf(number).jobs[number]
+		j := m.jobShardOf(number).jobs[number]
 		if j == nil {
 			return fmt.Errorf("cell: snapshot: ended job %d is missing", number)
 		}
@@ -218,54 +219,54 @@
 	return nil
 }
 
-func (m *StateMachine) loadJob(image *jobImage) error {
-	j := newJob(image.Number, image.Spec, image.Submitted)
-	j.size = image.Size
-	j.counts[api.TaskPending] = image.Size
-	for _, r := range image.Replaced {
+func (m *StateMachine) loadJob(snap *jobSnapshot) error {
+	j := newJob(snap.Number, snap.Spec, snap.Submitted)
+	j.size = snap.Size
+	j.counts[api.TaskPending] = snap.Size
+	for _, r := range snap.Replaced {
 		if j.replaced == nil {
 			j.replaced = make(map[uint32]uint32)
 		}
 		j.replaced[r.New] = r.Old
 	}
-	for _, t := range image.Tasks {
+	for _, t := range snap.Tasks {
 		if err := m.loadTask(j, t); err != nil {
 			return err
 		}
 	}
-	if image.Cancelled {
+	if snap.Cancelled {
 		j.cancel()
 	}
-	j.movedTo = image.MovedTo
-	j.move = image.MoveNumber
-	if j.movedTo != "" && !image.Cancelled {
-		j.dropPending()
+	j.movedTo = snap.MovedTo
+	j.moveNumber = snap.MoveNumber
+	if j.movedTo != "" && !snap.Cancelled {
+		j.cancelPending()
 	}
-	j.ended = image.Ended
-	m.shardOf(j.number).jobs[j.number] = j
-	m.nameShardOf(j.spec.ID).numbers[j.spec.ID] = j.number
+	j.ended = snap.Ended
+	m.jobShardOf(j.number).jobs[j.number] = j
+	m.idShardOf(j.spec.ID).numbers[j.spec.ID] = j.number
 	return nil
 }
 
-func (m *StateMachine) loadTask(j *job, image taskImage) error {
-	if image.Index >= j.size || int(image.State) >= stateCount {
-		return fmt.Errorf("cell: snapshot: task %s/%d out of range", j.spec.ID, image.Index)
+func (m *StateMachine) loadTask(j *job, snap taskSnapshot) error {
+	if snap.Index >= j.size || int(snap.State) >= stateCount {
+		return fmt.Errorf("cell: snapshot: task %s/%d out of range", j.spec.ID, snap.Index)
 	}
-	j.allocate()
-	t := &j.tasks[image.Index]
-	j.shift(t, image.State)
-	t.vm = noVM
-	t.attempt = image.Attempt
-	t.failures = image.Failures
-	t.reason = image.Reason
-	t.flags = image.Flags
-	if !image.State.HoldsResources() {
+	j.allocateTasks()
+	t := &j.tasks[snap.Index]
+	j.setState(t, snap.State)
+	t.vm = noVMNumber
+	t.attempt = snap.Attempt
+	t.failures = snap.Failures
+	t.reason = snap.Reason
+	t.flags = snap.Flags
+	if !snap.State.HoldsResources() {
 		return nil
 	}
-	t.vm = image.VM
-	key := ledger.Key{Job: j.number, Index: image.Index, Attempt: image.Attempt}
-	if image.Allocation == nil || !m.vms.ledger.Restore(image.VM, key, *image.Allocation) {
-		return fmt.Errorf("cell: snapshot: task %s/%d has no claim", j.spec.ID, image.Index)
+	t.vm = snap.VM
+	key := ledger.Key{Job: j.number, Index: snap.Index, Attempt: snap.Attempt}
+	if snap.Allocation == nil || !m.vms.ledger.Restore(snap.VM, key, *snap.Allocation) {
+		return fmt.Errorf("cell: snapshot: task %s/%d has no allocation", j.spec.ID, snap.Index)
 	}
 	return nil
 }
