--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -22,11 +22,11 @@
 		})
 		want := []time.Duration{0, time.Second, time.Second, 2 * time.Second}
 		if err != context.DeadlineExceeded || len(at) != len(want) {
-			t.Fatalf("rounds at %v, %v", at, err)
+			t.Fatalf("got rounds at %v and error %v", at, err)
 		}
 		for i := range want {
 			if at[i] != want[i] {
-				t.Fatalf("rounds at %v, want %v", at, want)
+				t.Fatalf("got rounds at %v, want %v", at, want)
 			}
 		}
 	})
--- a/internal/controller/fleet/fleet.go
+++ b/internal/controller/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet puts together what the controllers know of each VM into
-// what the scheduler plans with.
+// Package fleet combines the states of each VM from several controllers into
+// the VMs that the scheduler plans with.
 package fleet
 
 import (
@@ -9,48 +9,48 @@
 	"github.com/skylarklock/skylarklock/internal/scheduler"
 )
 
-// Directory tells what the platform's list says of a VM.
+// Directory reports whether the platform's list marks a VM as leaving.
 type Directory interface {
 	Leaving(id api.VMID) bool
 }
 
-// SyncStatus tells how a VM stands with the exchanges.
+// SyncStatus returns the status of the exchanges with a VM.
 type SyncStatus interface {
 	Status(id api.VMID) (worker.Status, bool)
 }
 
-// Quarantine tells which VMs take only probes.
+// Quarantine reports whether a VM accepts only probes.
 type Quarantine interface {
 	Quarantined(id api.VMID) bool
 }
 
-// View gives the VMs of one data centre. It is safe for concurrent use.
+// View provides the VMs of one data centre. It is safe for concurrent use.
 type View struct {
 	dc         api.DataCentre
 	machine    *cell.StateMachine
-	dir        Directory
-	syncs      SyncStatus
+	directory  Directory
+	syncStatus SyncStatus
 	quarantine Quarantine
 }
 
-// New returns a view.
-func New(dc api.DataCentre, machine *cell.StateMachine, dir Directory, syncs SyncStatus, quarantine Quarantine) *View {
-	return &View{dc: dc, machine: machine, dir: dir, syncs: syncs, quarantine: quarantine}
+// New returns a view of the VMs of dc.
+func New(dc api.DataCentre, machine *cell.StateMachine, directory Directory, syncStatus SyncStatus, quarantine Quarantine) *View {
+	return &View{dc: dc, machine: machine, directory: directory, syncStatus: syncStatus, quarantine: quarantine}
 }
 
-// Leaving reports whether the list or the VM itself says that it leaves.
+// Leaving reports whether a VM leaves, according to the list or to the VM itself.
 func (v *View) Leaving(id api.VMID) bool {
-	status, _ := v.syncs.Status(id)
-	return status.Leaving || v.dir.Leaving(id)
+	status, _ := v.syncStatus.Status(id)
+	return status.Leaving || v.directory.Leaving(id)
 }
 
-// VMs returns every VM that the log holds. A VM takes starts once it has
-// answered in this tenure: then its lease can be renewed.
+// VMs returns all VMs in the log. A VM is schedulable only after it has answered
+// in this tenure, because only then can its lease be renewed.
 func (v *View) VMs() []scheduler.VM {
 	rows := v.machine.VMs()
 	vms := make([]scheduler.VM, 0, len(rows))
 	for _, row := range rows {
-		status, _ := v.syncs.Status(row.ID)
+		status, _ := v.syncStatus.Status(row.ID)
 		vms = append(vms, scheduler.VM{
 			ID:          row.ID,
 			DataCentre:  v.dc,
--- a/internal/controller/jobs/jobs.go
+++ b/internal/controller/jobs/jobs.go
@@ -1,9 +1,9 @@
-// Package jobs is the controller that takes the jobs that operators published
-// as records into the cell of their home data centre, and removes the records
-// of those that have ended.
+// Package jobs is the controller that adds the jobs that operators published as
+// records to the cell of their home data centre. It removes the records of jobs
+// that have ended.
 //
-// A job has one home: the data centre that its ID or its spec names, else the
-// one with the highest hash. Every entry VM works it out alike.
+// A job has one home: the data centre named by its ID or its spec, or else the
+// one with the highest hash. Every entry VM computes the same home.
 package jobs
 
 import (
@@ -21,46 +21,46 @@
 	"github.com/skylarklock/skylarklock/internal/schema"
 )
 
-// Records reads the records in force; *config.StateMachine implements it.
+// Records reads the records in force. *config.StateMachine implements it.
 type Records interface {
 	Jobs() []config.Job
 	Records(kind api.Kind) []api.RecordState
 	Notify() (changed <-chan struct{}, cancel func())
 }
 
-// Cell tells which revisions were taken and which jobs have ended;
+// Cell returns the highest revision applied and the states of jobs.
 // *cell.StateMachine implements it.
 type Cell interface {
 	PublishedRevision() api.Revision
 	Job(id api.JobID) (cell.JobView, bool)
 }
 
-// Publisher publishes records; *config.Publisher implements it.
+// Publisher publishes records. *config.Publisher implements it.
 type Publisher interface {
 	Publish(ctx context.Context, rec api.Record) (api.Revision, error)
 }
 
-// HomeSelector returns the home of an ID among data centres.
+// HomeSelector returns the home data centre, out of dcs, of the job with the given ID.
 type HomeSelector func(id string, dcs []api.DataCentre) api.DataCentre
 
 // Config holds the controller's settings.
 type Config struct {
 	DataCentre  api.DataCentre
-	DataCentres []api.DataCentre // of the whole cell
+	DataCentres []api.DataCentre // all data centres of the cell
 	SelectHome  HomeSelector
-	MaxInterval time.Duration // longest time between two looks
-	MaxBatch    int           // jobs in one entry
-	MaxRemovals int           // records removed in one look
+	MaxInterval time.Duration // maximum time between two steps
+	MaxBatch    int           // maximum number of jobs in one entry
+	MaxRemovals int           // maximum number of records removed in one step
 }
 
-// Defaults of Config.
+// Default settings.
 const (
 	DefaultMaxInterval = time.Second
 	DefaultMaxBatch    = 200
 	DefaultMaxRemovals = 20
 )
 
-// Controller takes published jobs into the cell.
+// Controller adds published jobs to the cell.
 type Controller struct {
 	cfg       Config
 	records   Records
@@ -72,10 +72,10 @@
 	now       func() time.Time
 }
 
-// counterGroup is the group of this package's counters.
+// counterGroup is the counter group of this package.
 const counterGroup = "published_jobs"
 
-// New returns a controller. Zero fields of cfg take the defaults.
+// New returns a controller. Zero fields of cfg get their default values.
 func New(cfg Config, records Records, c Cell, proposer journal.Proposer, publisher Publisher, auth controller.Authority, counters cell.Counters, now func() time.Time) *Controller {
 	defaults.Set(&cfg.MaxInterval, DefaultMaxInterval)
 	defaults.Set(&cfg.MaxBatch, DefaultMaxBatch)
@@ -83,14 +83,15 @@
 	return &Controller{cfg: cfg, records: records, cell: c, proposer: proposer, publisher: publisher, auth: auth, counters: counters, now: now}
 }
 
-// Run takes jobs until ctx ends.
+// Run adds published jobs until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
 	changed, cancel := c.records.Notify()
 	defer cancel()
 	return controller.RunPeriodically(ctx, c.cfg.MaxInterval, changed, c.Step)
 }
 
-// Step takes what is due, while this entry VM holds the placement shard.
+// Step adds the published jobs that are due and removes records of ended jobs, if
+// this entry VM holds the placement shard.
 func (c *Controller) Step(ctx context.Context) {
 	now := c.now()
 	if _, ok, _ := c.auth.Cell(now); !ok {
@@ -100,46 +101,46 @@
 	for batch := range slices.Chunk(due, c.cfg.MaxBatch) {
 		entry := cell.PublishedJobsEntry(batch, now.UnixMilli())
 		if err := c.proposer.Propose(ctx, entry); err != nil {
-			c.counters.Inc(counterGroup, "not_taken") // the next look tries again
+			c.counters.Inc(counterGroup, "not_taken") // retried in the next step
 			return
 		}
 	}
-	c.retire(ctx)
+	c.removeEndedRecords(ctx)
 }
 
-// retire removes the records of jobs that were taken and have ended, so that
-// the configuration holds what is to be done and not all that ever was.
-func (c *Controller) retire(ctx context.Context) {
-	taken := c.cell.PublishedRevision()
-	retired := 0
+// removeEndedRecords removes the records of jobs that were added and have ended, so
+// that the configuration doesn't grow with every job ever published.
+func (c *Controller) removeEndedRecords(ctx context.Context) {
+	applied := c.cell.PublishedRevision()
+	removed := 0
 	for _, job := range c.records.Jobs() {
-		if retired == c.cfg.MaxRemovals {
+		if removed == c.cfg.MaxRemovals {
 			return
 		}
-		if job.Key.Kind == api.KindService || job.Revision > taken || !c.isHome(job.Spec) || !c.ended(job.Spec.ID) {
+		if job.Key.Kind == api.KindService || job.Revision > applied || !c.isHome(job.Spec) || !c.hasEnded(job.Spec.ID) {
 			continue
 		}
-		retired++
+		removed++
 		_, err := c.publisher.Publish(ctx, api.Record{
 			Kind: job.Key.Kind, Name: job.Key.Name, SchemaVersion: schema.LatestVersion(job.Key.Kind),
 			BasedOn: job.Revision, Deleted: true,
 		})
 		if err != nil {
-			c.counters.Inc(counterGroup, "not_retired") // an operator was first, or the next look tries again
+			c.counters.Inc(counterGroup, "not_retired") // an operator changed the record first, or the next step retries
 			return
 		}
 	}
 }
 
-// ended reports whether a job that was taken has ended; one that the cell has
-// forgotten has.
-func (c *Controller) ended(id api.JobID) bool {
+// hasEnded reports whether a job that was added has ended. A job that the cell no
+// longer knows has ended.
+func (c *Controller) hasEnded(id api.JobID) bool {
 	view, known := c.cell.Job(id)
 	return !known || view.Ended
 }
 
-// DueJobs returns the jobs of this data centre published after a revision, in
-// ascending order of revision.
+// DueJobs returns the jobs of this data centre that were published after the given
+// revision, in ascending order of revision.
 func (c *Controller) DueJobs(after api.Revision) []cell.PublishedJob {
 	var due []cell.PublishedJob
 	for _, job := range c.records.Jobs() {
--- a/internal/controller/jobs/jobs_test.go
+++ b/internal/controller/jobs/jobs_test.go
@@ -13,10 +13,10 @@
 	"github.com/skylarklock/skylarklock/internal/journal"
 )
 
-// direct applies what is proposed at once.
-type direct struct{ machines []journal.StateMachine }
+// directProposer applies each entry immediately.
+type directProposer struct{ machines []journal.StateMachine }
 
-func (d direct) Propose(_ context.Context, e journal.Entry) error {
+func (d directProposer) Propose(_ context.Context, e journal.Entry) error {
 	for _, m := range d.machines {
 		for _, t := range m.Types() {
 			if t == e.Type {
@@ -27,16 +27,17 @@
 	return journal.ErrNotWritten
 }
 
-type holder struct{}
+// fixedAuthority always holds the cell at epoch 1.
+type fixedAuthority struct{}
 
-func (holder) Cell(time.Time) (api.Epoch, bool, time.Time) { return 1, true, time.Time{} }
-func (holder) CellEpoch() api.Epoch                        { return 1 }
+func (fixedAuthority) Cell(time.Time) (api.Epoch, bool, time.Time) { return 1, true, time.Time{} }
+func (fixedAuthority) CellEpoch() api.Epoch                        { return 1 }
 
 func TestPublishedJobIsAddedOnceInItsHome(t *testing.T) {
-	records, tasks, counters := config.NewStateMachine(), cell.New(holder{}, counter.NewSet()), counter.NewSet()
-	publisher := config.NewPublisher(records, direct{[]journal.StateMachine{records}})
+	records, tasks, counters := config.NewStateMachine(), cell.New(fixedAuthority{}, counter.NewSet()), counter.NewSet()
+	publisher := config.NewPublisher(records, directProposer{[]journal.StateMachine{records}})
 	home := func(id string, _ []api.DataCentre) api.DataCentre { return api.DataCentre(id[:1]) }
-	c := New(Config{DataCentre: "a", SelectHome: home}, records, tasks, direct{[]journal.StateMachine{tasks}}, publisher, holder{}, counters, time.Now)
+	c := New(Config{DataCentre: "a", SelectHome: home}, records, tasks, directProposer{[]journal.StateMachine{tasks}}, publisher, fixedAuthority{}, counters, time.Now)
 
 	publish := func(rec api.Record) api.Revision {
 		t.Helper()
@@ -54,22 +55,22 @@
 	publish(api.Record{Name: "b1", Spec: spec("b1")})
 	c.Step(t.Context())
 	if _, ok := tasks.Job("a1"); !ok {
-		t.Fatal("the job of this data centre was not taken")
+		t.Fatal("the job of this data centre was not added")
 	}
 	if _, ok := tasks.Job("b1"); ok {
-		t.Fatal("the job of another data centre was taken")
+		t.Fatal("the job of another data centre was added")
 	}
 	if due := c.DueJobs(tasks.PublishedRevision()); len(due) != 0 {
-		t.Fatalf("still due: %v", due)
+		t.Fatalf("jobs still due: %v", due)
 	}
 
-	// A cell that lost its memory of the job, but not of the revision.
+	// A restored cell still knows the applied revision.
 	data, err := tasks.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := tasks.Restore(data); err != nil || tasks.PublishedRevision() != first {
-		t.Fatalf("revision %d after a restore, %v", tasks.PublishedRevision(), err)
+		t.Fatalf("got revision %d after a restore, error %v", tasks.PublishedRevision(), err)
 	}
 
 	publish(api.Record{Name: "a1", BasedOn: first, Deleted: true})
@@ -78,7 +79,7 @@
 		t.Fatal("the deleted job was not cancelled")
 	}
 
-	// The record of a job that has ended is removed; the other cell's stays.
+	// The record of an ended job is removed, but not that of another data centre's job.
 	second := publish(api.Record{Name: "a2", Spec: spec("a2")})
 	c.Step(t.Context())
 	if _, ok := records.Job("a2"); !ok {
@@ -89,7 +90,7 @@
 	}
 	c.Step(t.Context())
 	if _, ok := records.Job("a2"); ok {
-		t.Fatalf("the record of revision %d outlives its job", second)
+		t.Fatalf("the record of revision %d was not removed after its job ended", second)
 	}
 	if _, ok := records.Job("b1"); !ok {
 		t.Fatal("the record of another data centre's job was removed")
--- a/internal/controller/learning/learning.go
+++ b/internal/controller/learning/learning.go
@@ -1,7 +1,7 @@
-// Package learning gathers what workers report and passes on what is to be
-// done about it: what tasks really use, which VMs fail everything, which
-// tasks fail everywhere. It connects the pure packages estimate and
-// quarantine to the controllers of placement and workers.
+// Package learning evaluates the reports of workers: the actual resource use of
+// tasks, VMs on which most tasks fail and tasks that fail on every VM. It connects
+// the packages estimate and quarantine, which have no side effects, to the placement
+// and worker controllers.
 package learning
 
 import (
@@ -19,72 +19,70 @@
 	"github.com/skylarklock/skylarklock/internal/quarantine"
 )
 
-// decideEvery is the time between two decisions.
-const decideEvery = time.Second
+// decisionInterval is the time between two decisions.
+const decisionInterval = time.Second
 
-// maxAvoid bounds the VMs remembered for one job.
-const maxAvoid = 64
+// maxAvoidedVMs is the maximum number of VMs to avoid remembered for one job.
+const maxAvoidedVMs = 64
 
-// Controller learns from reports and proposes the stops that follow. It
-// implements the Observer of the worker controller, the Advisor of placement
-// and the Quarantine of the fleet's view.
+// Controller learns from reports and proposes the resulting stops. It implements
+// worker.Observer, placement.Advisor and fleet.Quarantine.
 type Controller struct {
-	policy   func() api.PolicySpec // in force
+	policy   func() api.PolicySpec // returns the policy in force
 	machine  *cell.StateMachine
 	proposer journal.Proposer
 	auth     controller.Authority
 	counters cell.Counters
 	now      func() time.Time
 
-	mu        sync.Mutex
-	estimates *estimate.Estimator
-	failures  *quarantine.Tracker
-	started   map[api.TaskID]time.Time
-	throttles map[api.VMID][]platform.TaskStop
-	stops     []cell.Stop
-	avoid     map[api.JobID]map[api.VMID]bool
+	mu         sync.Mutex
+	estimates  *estimate.Estimator
+	failures   *quarantine.Tracker
+	started    map[api.TaskID]time.Time
+	throttles  map[api.VMID][]platform.TaskStop
+	stops      []cell.Stop
+	avoidedVMs map[api.JobID]map[api.VMID]bool
 }
 
-// counterGroup is the group of this package's counters.
+// counterGroup is the counter group of this package.
 const counterGroup = "learning"
 
-// New returns a controller that has learned nothing yet. It subscribes to
-// machine.
+// New returns a controller without any learned state. It is subscribed to machine.
 func New(policy func() api.PolicySpec, machine *cell.StateMachine, proposer journal.Proposer, auth controller.Authority, counters cell.Counters, now func() time.Time) *Controller {
 	c := &Controller{
-		policy:    policy,
-		machine:   machine,
-		proposer:  proposer,
-		auth:      auth,
-		counters:  counters,
-		now:       now,
-		estimates: estimate.New(estimate.Config{Policy: policy()}),
-		failures:  quarantine.New(quarantine.Config{Policy: policy()}),
-		started:   make(map[api.TaskID]time.Time),
-		throttles: make(map[api.VMID][]platform.TaskStop),
-		avoid:     make(map[api.JobID]map[api.VMID]bool),
+		policy:     policy,
+		machine:    machine,
+		proposer:   proposer,
+		auth:       auth,
+		counters:   counters,
+		now:        now,
+		estimates:  estimate.New(estimate.Config{Policy: policy()}),
+		failures:   quarantine.New(quarantine.Config{Policy: policy()}),
+		started:    make(map[api.TaskID]time.Time),
+		throttles:  make(map[api.VMID][]platform.TaskStop),
+		avoidedVMs: make(map[api.JobID]map[api.VMID]bool),
 	}
-	machine.Subscribe(c.applied)
+	machine.Subscribe(c.handleEvents)
 	return c
 }
 
-// applied forgets what was held against the VMs for a job that has ended.
-func (c *Controller) applied(events []cell.Event) {
+// handleEvents forgets the VMs to avoid of jobs that have ended.
+func (c *Controller) handleEvents(events []cell.Event) {
 	for _, e := range events {
 		if e.Kind == cell.EventJobEnded {
 			c.mu.Lock()
-			delete(c.avoid, e.Task.Job)
+			delete(c.avoidedVMs, e.Task.Job)
 			c.mu.Unlock()
 		}
 	}
 }
 
-// Run proposes stops and decides on quarantine until ctx ends.
+// Run decides on quarantine and proposes stops until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
-	return controller.RunPeriodically(ctx, decideEvery, nil, c.Step)
+	return controller.RunPeriodically(ctx, decisionInterval, nil, c.Step)
 }
 
-// Step decides once.
+// Step decides on quarantine and proposes the pending stops once.
 func (c *Controller) Step(ctx context.Context) {
 	now := c.now()
 	fleet := len(c.machine.VMs())
@@ -105,11 +103,11 @@
 		return
 	}
 	if err := c.proposer.Propose(ctx, c.machine.StopEntry(epoch, stops)); err != nil {
-		c.counters.Inc(counterGroup, "stop_not_applied") // a later report asks again
+		c.counters.Inc(counterGroup, "stop_not_applied") // a later report requests the stop again
 	}
 }
 
-// ObserveReport tells of one attempt in a worker's report.
+// ObserveReport learns from one attempt in a report of a worker.
 func (c *Controller) ObserveReport(vm api.VMID, r platform.TaskReport) {
 	if r.State != platform.RunRunning {
 		return
@@ -124,37 +122,37 @@
 	if _, ok := c.started[r.Task]; !ok {
 		c.started[r.Task] = now.Add(-r.RunFor)
 	}
-	verdict := c.estimates.Observe(job.Spec, estimate.Report{
+	decision := c.estimates.Observe(job.Spec, estimate.Report{
 		Task: r.Task, Usage: r.Usage, MeasuredAt: now, StartedAt: c.started[r.Task],
 	})
-	c.act(vm, r, verdict)
+	c.applyDecision(vm, r, decision)
 }
 
-// act notes what a verdict asks for. c.mu is held.
-func (c *Controller) act(vm api.VMID, r platform.TaskReport, v estimate.Decision) {
-	switch v.Action {
+// applyDecision queues the throttle or stop of a decision. c.mu must be held.
+func (c *Controller) applyDecision(vm api.VMID, r platform.TaskReport, decision estimate.Decision) {
+	switch decision.Action {
 	case estimate.ActionThrottle:
-		c.counters.Inc(counterGroup, v.Reason)
+		c.counters.Inc(counterGroup, decision.Reason)
 		stop := platform.TaskStop{Task: r.Task, Attempt: r.Attempt, Mode: platform.StopThrottle}
 		c.throttles[vm] = append(c.throttles[vm], stop)
 	case estimate.ActionCheckpoint, estimate.ActionStop:
-		c.counters.Inc(counterGroup, v.Reason)
+		c.counters.Inc(counterGroup, decision.Reason)
 		c.stops = append(c.stops, cell.Stop{
-			Task: r.Task, Attempt: r.Attempt, Reason: v.Reason,
-			Checkpoint: v.Action == estimate.ActionCheckpoint,
+			Task: r.Task, Attempt: r.Attempt, Reason: decision.Reason,
+			Checkpoint: decision.Action == estimate.ActionCheckpoint,
 		})
 	}
 }
 
-// ObserveEnd tells once of each attempt whose end was journaled.
-func (c *Controller) ObserveEnd(vm api.VMID, task api.TaskID, ending cell.AttemptStatus) {
+// ObserveEnd learns from the end of an attempt. It is called once after the end was journaled.
+func (c *Controller) ObserveEnd(vm api.VMID, task api.TaskID, status cell.AttemptStatus) {
 	job, ok := c.machine.Job(task.Job)
 	now := c.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	started, known := c.started[task]
 	delete(c.started, task)
-	switch ending {
+	switch status {
 	case cell.AttemptSucceeded:
 		c.failures.RecordSuccess(vm, task, now)
 		c.failures.ForgetTask(task)
@@ -162,35 +160,35 @@
 			c.estimates.RecordRun(job.Spec, task, now.Sub(started))
 		}
 	case cell.AttemptFailed:
-		c.failed(vm, task, now)
+		c.recordFailure(vm, task, now)
 		if ok && !job.Ended {
-			c.avoidVM(vm, task.Job)
+			c.addAvoidedVM(vm, task.Job)
 		}
 	default:
 		c.estimates.ForgetTask(task)
 	}
 }
 
-// failed notes that a task failed by itself on vm. c.mu is held.
-func (c *Controller) failed(vm api.VMID, task api.TaskID, now time.Time) {
+// recordFailure records that a task failed by itself on vm. c.mu must be held.
+func (c *Controller) recordFailure(vm api.VMID, task api.TaskID, now time.Time) {
 	c.estimates.ForgetTask(task)
-	if _, blamed := c.failures.RecordFailure(vm, task, now); blamed {
+	if _, isFailing := c.failures.RecordFailure(vm, task, now); isFailing {
 		c.counters.Inc(counterGroup, api.ReasonFailsEverywhere)
 	}
 }
 
-// avoidVM notes that a task of a job failed on vm. c.mu is held.
-func (c *Controller) avoidVM(vm api.VMID, job api.JobID) {
-	if c.avoid[job] == nil {
-		c.avoid[job] = make(map[api.VMID]bool)
+// addAvoidedVM records that a task of a job failed on vm. c.mu must be held.
+func (c *Controller) addAvoidedVM(vm api.VMID, job api.JobID) {
+	if c.avoidedVMs[job] == nil {
+		c.avoidedVMs[job] = make(map[api.VMID]bool)
 	}
-	if len(c.avoid[job]) < maxAvoid {
-		c.avoid[job][vm] = true
+	if len(c.avoidedVMs[job]) < maxAvoidedVMs {
+		c.avoidedVMs[job][vm] = true
 	}
 }
 
-// TakeThrottles returns the attempts on vm to be held to their declared use, and
-// forgets them: a task that goes on overusing is reported again.
+// TakeThrottles returns the attempts on vm to limit to their declared use and forgets
+// them. A task that continues to exceed its use is reported again.
 func (c *Controller) TakeThrottles(vm api.VMID) []platform.TaskStop {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -199,8 +197,8 @@
 	return stops
 }
 
-// Estimate returns the resources and the run time to plan each task of a job
-// with; a run time of zero is not known.
+// Estimate returns the resources and run time with which to plan each task of a job.
+// A run time of zero is unknown.
 func (c *Controller) Estimate(spec api.JobSpec) (api.Resources, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -212,10 +210,10 @@
 func (c *Controller) VMsToAvoid(job api.JobID) map[api.VMID]bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return maps.Clone(c.avoid[job])
+	return maps.Clone(c.avoidedVMs[job])
 }
 
-// Quarantined reports whether a VM takes only probes.
+// Quarantined reports whether a VM accepts only probes.
 func (c *Controller) Quarantined(id api.VMID) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/learning/learning_test.go
+++ b/internal/controller/learning/learning_test.go
@@ -10,14 +10,14 @@
 	"github.com/skylarklock/skylarklock/internal/journal"
 )
 
-type epoch struct{}
+type fixedEpoch struct{}
 
-func (epoch) CellEpoch() api.Epoch { return 1 }
+func (fixedEpoch) CellEpoch() api.Epoch { return 1 }
 
-// What is held against VMs for a job is forgotten with the job; a late word on
-// one of its attempts brings nothing back.
+// The VMs to avoid for a job are forgotten when the job ends. A late report of one of
+// its attempts does not add them again.
 func TestAvoidedVMsAreDroppedWithJob(t *testing.T) {
-	m := cell.New(epoch{}, counter.NewSet())
+	m := cell.New(fixedEpoch{}, counter.NewSet())
 	policy := func() api.PolicySpec { return api.PolicySpec{} }
 	c := New(policy, m, nil, nil, counter.NewSet(), time.Now)
 	task := api.TaskID{Job: "j"}
@@ -34,7 +34,7 @@
 	}
 	apply(cell.CancelEntry([]api.JobID{"j"}, 0))
 	c.ObserveEnd("v", task, cell.AttemptFailed)
-	if len(c.avoid) != 0 {
-		t.Fatalf("kept after the job ended: %v", c.avoid)
+	if len(c.avoidedVMs) != 0 {
+		t.Fatalf("VMs to avoid were kept after the job ended: %v", c.avoidedVMs)
 	}
 }
--- a/internal/controller/placement/bench_test.go
+++ b/internal/controller/placement/bench_test.go
@@ -16,8 +16,8 @@
 	"github.com/skylarklock/skylarklock/internal/scheduler"
 )
 
-// rig surrounds a controller with parts that cost next to nothing.
-type rig struct {
+// fakeDeps provides all dependencies of a controller at almost no cost.
+type fakeDeps struct {
 	mu      sync.Mutex
 	machine *cell.StateMachine
 	vms     []scheduler.VM
@@ -25,29 +25,29 @@
 	pending []scheduler.Job
 }
 
-func (r *rig) CellEpoch() api.Epoch                        { return 1 }
-func (r *rig) Cell(time.Time) (api.Epoch, bool, time.Time) { return 1, true, time.Time{} }
-func (r *rig) Inc(string, api.Reason)                      {}
-func (r *rig) Estimate(spec api.JobSpec) (api.Resources, time.Duration) {
+func (r *fakeDeps) CellEpoch() api.Epoch                        { return 1 }
+func (r *fakeDeps) Cell(time.Time) (api.Epoch, bool, time.Time) { return 1, true, time.Time{} }
+func (r *fakeDeps) Inc(string, api.Reason)                      {}
+func (r *fakeDeps) Estimate(spec api.JobSpec) (api.Resources, time.Duration) {
 	return spec.Resources, spec.RunTime
 }
-func (r *rig) VMsToAvoid(api.JobID) map[api.VMID]bool { return nil }
-func (r *rig) VMs() []scheduler.VM                    { return r.vms }
-func (r *rig) PutVM(scheduler.VM)                     {}
-func (r *rig) RemoveVM(api.VMID)                      {}
-func (r *rig) RemoveJob(api.JobID)                    {}
-func (r *rig) Occupy(scheduler.RunningTask)           {}
-func (r *rig) Vacate(api.TaskID)                      {}
-func (r *rig) Release(api.TaskID)                     {}
-func (r *rig) PutJob(j scheduler.Job)                 { r.pending = append(r.pending, j) }
+func (r *fakeDeps) VMsToAvoid(api.JobID) map[api.VMID]bool { return nil }
+func (r *fakeDeps) VMs() []scheduler.VM                    { return r.vms }
+func (r *fakeDeps) PutVM(scheduler.VM)                     {}
+func (r *fakeDeps) RemoveVM(api.VMID)                      {}
+func (r *fakeDeps) RemoveJob(api.JobID)                    {}
+func (r *fakeDeps) Occupy(scheduler.RunningTask)           {}
+func (r *fakeDeps) Vacate(api.TaskID)                      {}
+func (r *fakeDeps) Release(api.TaskID)                     {}
+func (r *fakeDeps) PutJob(j scheduler.Job)                 { r.pending = append(r.pending, j) }
 
-func (r *rig) Propose(_ context.Context, e journal.Entry) error {
+func (r *fakeDeps) Propose(_ context.Context, e journal.Entry) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.machine.Apply(journal.Position{}, e)
 }
 
-func (r *rig) Cycle(time.Time, int) scheduler.Plan {
+func (r *fakeDeps) Cycle(time.Time, int) scheduler.Plan {
 	var p scheduler.Plan
 	for _, j := range r.pending {
 		for _, index := range j.Pending {
@@ -60,21 +60,21 @@
 	return p
 }
 
-// BenchmarkPlacement takes 100 jobs of one task from submission to the
-// applied start, without the scheduler's own cost and without the log.
+// BenchmarkPlacement measures the placement of 100 jobs with one task each, from
+// submission to the applied start, without the scheduler and the log.
 func BenchmarkPlacement(b *testing.B) {
-	r := &rig{}
+	r := &fakeDeps{}
 	r.machine = cell.New(r, nil)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	c := New(DefaultConfig(""), func() SchedulerState { return r }, r.machine, r, r, r, r, r, log, time.Now)
-	var seen []cell.ObservedVM
+	var observed []cell.ObservedVM
 	for i := range 1700 {
 		vm := scheduler.VM{ID: api.VMID(fmt.Sprintf("worker-%05d", i)), Capacity: api.Resources{MilliCPU: 1 << 31}, Schedulable: true}
 		r.vms = append(r.vms, vm)
-		seen = append(seen, cell.ObservedVM{ID: vm.ID, Capacity: vm.Capacity})
+		observed = append(observed, cell.ObservedVM{ID: vm.ID, Capacity: vm.Capacity})
 	}
-	_ = r.Propose(b.Context(), cell.VMUpdateEntry(1, seen, nil))
+	_ = r.Propose(b.Context(), cell.VMUpdateEntry(1, observed, nil))
 	const jobs = 100
 	for i := 0; b.Loop(); i++ {
 		var reports []cell.Report
--- a/internal/controller/placement/feed.go
+++ b/internal/controller/placement/feed.go
@@ -11,69 +11,70 @@
 	"github.com/skylarklock/skylarklock/internal/scheduler"
 )
 
-// feed keeps one world in step with the machine during one tenure. It is
-// used by the loop only.
-type feed struct {
-	c        *Controller
-	epoch    api.Epoch
-	takeover time.Time
-	world    SchedulerState
+// stateFeed keeps the scheduler's state in sync with the state machine during one
+// tenure. It is used only by the loop.
+type stateFeed struct {
+	controller *Controller
+	epoch      api.Epoch
+	takeover   time.Time
+	state      SchedulerState
 
-	jobs     map[api.JobID]time.Time // known to the world, with the time of learning
-	dirty    map[api.JobID]bool      // to be put again
-	inFlight map[api.TaskID]bool     // planned, neither applied nor refused
-	moving   map[api.TaskID]bool     // preemption proposed
-	vms      map[api.VMID]scheduler.VM
-	vmsAt    time.Time
-	cycledAt time.Time
-	waits    map[api.JobID]cell.WaitReason // of jobs known to the world
-	dropped  bool                          // a note was dropped since the last cycle
+	jobs              map[api.JobID]time.Time // jobs in the scheduler's state, with the time of their addition
+	dirty             map[api.JobID]bool      // jobs to update in the scheduler's state
+	inFlight          map[api.TaskID]bool     // planned, neither applied nor rejected yet
+	preempting        map[api.TaskID]bool     // a preemption was proposed
+	vms               map[api.VMID]scheduler.VM
+	vmsRefreshedAt    time.Time
+	cycledAt          time.Time
+	waitReasons       map[api.JobID]cell.WaitReason // of the jobs in the scheduler's state
+	waitReasonDropped bool                          // a wait reason was dropped since the latest cycle
 }
 
-// newFeed builds a world from the whole state. It needs the machine's View.
-func newFeed(c *Controller, epoch api.Epoch, takeover, now time.Time) *feed {
-	f := &feed{
-		c:        c,
-		epoch:    epoch,
-		takeover: takeover,
-		world:    c.newWorld(),
-		jobs:     make(map[api.JobID]time.Time),
-		dirty:    make(map[api.JobID]bool),
-		inFlight: make(map[api.TaskID]bool),
-		moving:   make(map[api.TaskID]bool),
-		vms:      make(map[api.VMID]scheduler.VM),
-		waits:    make(map[api.JobID]cell.WaitReason),
-		dropped:  true, // what an earlier tenure noted
+// newStateFeed builds the scheduler's state from the whole state machine. It must be
+// called inside View.
+func newStateFeed(c *Controller, epoch api.Epoch, takeover, now time.Time) *stateFeed {
+	f := &stateFeed{
+		controller:        c,
+		epoch:             epoch,
+		takeover:          takeover,
+		state:             c.newState(),
+		jobs:              make(map[api.JobID]time.Time),
+		dirty:             make(map[api.JobID]bool),
+		inFlight:          make(map[api.TaskID]bool),
+		preempting:        make(map[api.TaskID]bool),
+		vms:               make(map[api.VMID]scheduler.VM),
+		waitReasons:       make(map[api.JobID]cell.WaitReason),
+		waitReasonDropped: true, // replaces the wait reasons of an earlier tenure
 	}
 	f.refreshVMs(now)
 	for _, id := range c.machine.Jobs() {
 		f.addJob(id, now)
-		for _, h := range c.machine.AllocatedTasks(id) {
-			f.occupy(h.Task, h.VM, h.Resources, now)
+		for _, task := range c.machine.AllocatedTasks(id) {
+			f.occupy(task.Task, task.VM, task.Resources, now)
 		}
 	}
 	return f
 }
 
-func (f *feed) addJob(id api.JobID, now time.Time) {
+func (f *stateFeed) addJob(id api.JobID, now time.Time) {
 	if _, known := f.jobs[id]; !known {
 		f.jobs[id] = now
 	}
 	f.dirty[id] = true
 }
 
-func (f *feed) dropJob(id api.JobID) {
+func (f *stateFeed) dropJob(id api.JobID) {
 	if _, known := f.jobs[id]; !known {
 		return
 	}
 	delete(f.jobs, id)
 	delete(f.dirty, id)
-	f.dropWait(id)
-	f.world.RemoveJob(id)
+	f.dropWaitReason(id)
+	f.state.RemoveJob(id)
 }
 
-// event feeds one applied change to the world.
-func (f *feed) event(e cell.Event, now time.Time) {
+// applyEvent applies one event of the state machine to the scheduler's state.
+func (f *stateFeed) applyEvent(e cell.Event, now time.Time) {
 	switch e.Kind {
 	case cell.EventJobSubmitted:
 		f.addJob(e.Task.Job, now)
@@ -87,26 +88,26 @@
 			f.release(e.Task)
 		}
 	case cell.EventTaskFreed:
-		delete(f.moving, e.Task)
-		f.world.Vacate(e.Task)
-		f.touch(e.Task.Job)
+		delete(f.preempting, e.Task)
+		f.state.Vacate(e.Task)
+		f.markDirty(e.Task.Job)
 	case cell.EventTaskAdded:
-		f.touch(e.Task.Job)
+		f.markDirty(e.Task.Job)
 	case cell.EventVMObserved, cell.EventVMRemoved:
-		f.vmsAt = time.Time{}
+		f.vmsRefreshedAt = time.Time{}
 	}
 }
 
-// touch has a job put again, if it is still of interest.
-func (f *feed) touch(id api.JobID) {
+// markDirty marks a job for an update if it is still in the scheduler's state.
+func (f *stateFeed) markDirty(id api.JobID) {
 	if _, known := f.jobs[id]; known {
 		f.dirty[id] = true
 	}
 }
 
-func (f *feed) occupy(task api.TaskID, vm api.VMID, held api.Resources, now time.Time) {
-	r := scheduler.RunningTask{Task: task, VM: vm, Resources: held, Started: now}
-	if job, ok := f.c.machine.Job(task.Job); ok {
+func (f *stateFeed) occupy(task api.TaskID, vm api.VMID, resources api.Resources, now time.Time) {
+	r := scheduler.RunningTask{Task: task, VM: vm, Resources: resources, Started: now}
+	if job, ok := f.controller.machine.Job(task.Job); ok {
 		r.Team = job.Spec.Team
 		r.Class = job.Spec.Class
 		r.Priority = job.Spec.Priority
@@ -115,94 +116,94 @@
 			r.ExpectedEnd = now.Add(job.Spec.RunTime)
 		}
 	}
-	f.world.Occupy(r)
+	f.state.Occupy(r)
 }
 
-// refuse takes back planned starts that won't be applied.
-func (f *feed) refuse(starts []cell.Start) {
+// releaseStarts releases planned starts that will not be applied.
+func (f *stateFeed) releaseStarts(starts []cell.Start) {
 	for _, s := range starts {
 		f.release(s.Task)
 	}
 }
 
-func (f *feed) release(task api.TaskID) {
+func (f *stateFeed) release(task api.TaskID) {
 	if !f.inFlight[task] {
 		return
 	}
 	delete(f.inFlight, task)
-	f.world.Release(task)
-	f.touch(task.Job)
+	f.state.Release(task)
+	f.markDirty(task.Job)
 }
 
-// refreshVMs puts the VMs that changed and reports whether any did.
-func (f *feed) refreshVMs(now time.Time) bool {
-	if !f.vmsAt.IsZero() && now.Sub(f.vmsAt) < f.c.cfg.VMRefreshInterval {
+// refreshVMs updates the VMs that changed and reports whether there were any.
+func (f *stateFeed) refreshVMs(now time.Time) bool {
+	if !f.vmsRefreshedAt.IsZero() && now.Sub(f.vmsRefreshedAt) < f.controller.cfg.VMRefreshInterval {
 		return false
 	}
 	changed := false
-	f.vmsAt = now
-	fleet := f.c.fleet.VMs()
+	f.vmsRefreshedAt = now
+	fleet := f.controller.vmSource.VMs()
 	present := make(map[api.VMID]bool, len(fleet))
 	for _, vm := range fleet {
 		present[vm.ID] = true
 		if f.vms[vm.ID] != vm {
 			f.vms[vm.ID] = vm
-			f.world.PutVM(vm)
+			f.state.PutVM(vm)
 			changed = true
 		}
 	}
 	for id := range f.vms {
 		if !present[id] {
 			delete(f.vms, id)
-			f.world.RemoveVM(id)
+			f.state.RemoveVM(id)
 			changed = true
 		}
 	}
 	return changed
 }
 
-// putDirtyJobs puts the jobs whose pending tasks changed, in the order in
-// which work is placed again, and reports whether there were any.
-func (f *feed) putDirtyJobs() bool {
-	var jobs []*ranked
+// putDirtyJobs updates the jobs whose pending tasks changed, in the order in which
+// lost work is placed again, and reports whether there were any.
+func (f *stateFeed) putDirtyJobs() bool {
+	var jobs []*orderedJob
 	for id := range f.dirty {
-		if view, ok := f.c.machine.Job(id); ok && !view.Ended && !view.Cancelled {
-			jobs = append(jobs, &ranked{order: recovery.OrderOf(view, api.TaskID{Job: id}), view: view})
+		if view, ok := f.controller.machine.Job(id); ok && !view.Ended && !view.Cancelled {
+			jobs = append(jobs, &orderedJob{order: recovery.OrderOf(view, api.TaskID{Job: id}), view: view})
 		}
 	}
 	clear(f.dirty)
-	recovery.Sort(jobs, func(r *ranked) recovery.Order { return r.order })
-	for _, r := range jobs {
-		f.putJob(r.view)
+	recovery.Sort(jobs, func(j *orderedJob) recovery.Order { return j.order })
+	for _, j := range jobs {
+		f.putJob(j.view)
 	}
 	return len(jobs) > 0
 }
 
-// ranked is a job with its place.
-type ranked struct {
+// orderedJob is a job with its position in the placement order.
+type orderedJob struct {
 	order recovery.Order
 	view  cell.JobView
 }
 
-func (f *feed) putJob(v cell.JobView) {
+func (f *stateFeed) putJob(v cell.JobView) {
 	id := v.Spec.ID
-	estimate, runTime := f.c.advisor.Estimate(v.Spec)
-	f.world.PutJob(scheduler.Job{
+	estimate, runTime := f.controller.advisor.Estimate(v.Spec)
+	f.state.PutJob(scheduler.Job{
 		Spec:      v.Spec,
 		Submitted: f.jobs[id],
-		Pending:   f.toPlace(id),
+		Pending:   f.pendingTasks(id),
 		Estimate:  estimate,
 		RunTime:   runTime,
-		Avoid:     f.c.advisor.VMsToAvoid(id),
+		Avoid:     f.controller.advisor.VMsToAvoid(id),
 	})
 }
 
-// toPlace lists the pending tasks of a job that are not planned already.
-func (f *feed) toPlace(id api.JobID) []uint32 {
-	if len(f.c.cfg.DataCentre) > 0 && !f.mayRunHere(id) {
+// pendingTasks returns the pending tasks of a job that are not planned yet.
+func (f *stateFeed) pendingTasks(id api.JobID) []uint32 {
+	if len(f.controller.cfg.DataCentre) > 0 && !f.mayRunHere(id) {
 		return nil
 	}
-	pending := f.c.machine.Pending(id)
+	pending := f.controller.machine.Pending(id)
 	list := pending[:0]
 	for _, index := range pending {
 		if !f.inFlight[api.TaskID{Job: id, Index: index}] {
@@ -212,30 +213,31 @@
 	return list
 }
 
-func (f *feed) mayRunHere(id api.JobID) bool {
-	job, ok := f.c.machine.Job(id)
+func (f *stateFeed) mayRunHere(id api.JobID) bool {
+	job, ok := f.controller.machine.Job(id)
 	if !ok || len(job.Spec.DataCentres) == 0 {
 		return ok
 	}
 	for _, dc := range job.Spec.DataCentres {
-		if dc == f.c.cfg.DataCentre {
+		if dc == f.controller.cfg.DataCentre {
 			return true
 		}
 	}
 	return false
 }
 
-// starts turns planned starts into batches; the starts of a gang stay in one.
-func (f *feed) starts(planned []scheduler.Start, maxBatch int) [][]cell.Start {
+// starts splits planned starts into batches. The starts of a gang stay in one
+// batch.
+func (f *stateFeed) starts(planned []scheduler.Start, maxBatch int) [][]cell.Start {
 	var batches [][]cell.Start
 	var batch []cell.Start
 	for i, p := range planned {
-		newGang := p.Gang && (i == 0 || planned[i-1].Task.Job != p.Task.Job)
-		if len(batch) >= maxBatch && (!p.Gang || newGang) {
+		isNewGang := p.Gang && (i == 0 || planned[i-1].Task.Job != p.Task.Job)
+		if len(batch) >= maxBatch && (!p.Gang || isNewGang) {
 			batches = append(batches, batch)
 			batch = nil
 		}
-		view, ok := f.c.machine.Task(p.Task)
+		view, ok := f.controller.machine.Task(p.Task)
 		f.inFlight[p.Task] = true
 		if !ok {
 			f.release(p.Task)
@@ -255,15 +257,16 @@
 	return batches
 }
 
-// preempts turns planned preemptions into stops, each task once.
-func (f *feed) preempts(planned []scheduler.Preemption) []cell.Stop {
+// preemptionStops returns the stops for planned preemptions. Each task is stopped only
+// once.
+func (f *stateFeed) preemptionStops(planned []scheduler.Preemption) []cell.Stop {
 	var stops []cell.Stop
 	for _, p := range planned {
-		view, ok := f.c.machine.Task(p.Task)
-		if !ok || !view.State.HoldsResources() || view.State == api.TaskStopping || f.moving[p.Task] {
+		view, ok := f.controller.machine.Task(p.Task)
+		if !ok || !view.State.HoldsResources() || view.State == api.TaskStopping || f.preempting[p.Task] {
 			continue
 		}
-		f.moving[p.Task] = true
+		f.preempting[p.Task] = true
 		stops = append(stops, cell.Stop{
 			Task:       p.Task,
 			Attempt:    view.Attempt,
@@ -275,8 +278,9 @@
 	return stops
 }
 
-// wholeRejected reports whether no event will tell of the entry's starts.
-func wholeRejected(err error) bool {
+// isEntryRejected reports whether an entry of starts failed as a whole, so that no
+// events will report the outcome of its starts.
+func isEntryRejected(err error) bool {
 	if errors.Is(err, journal.ErrNotWritten) {
 		return true
 	}
--- a/internal/controller/placement/placement.go
+++ b/internal/controller/placement/placement.go
@@ -1,9 +1,9 @@
-// Package placement is the controller that turns pending tasks into starts:
-// it feeds the scheduler's world from the machine's events, runs its cycles
-// and proposes what they planned.
+// Package placement is the controller that turns pending tasks into starts. It
+// updates the scheduler's state from the events of the state machine, runs
+// scheduling cycles and proposes the planned starts and preemptions.
 //
-// One goroutine owns the world. What became of a start is learned from the
-// machine's events, in log order, and never from the answer of an append.
+// One goroutine owns the scheduler's state. It learns the outcome of a start from
+// the events of the state machine, in log order, never from the answer to an append.
 package placement
 
 import (
@@ -20,31 +20,31 @@
 	"github.com/skylarklock/skylarklock/internal/scheduler"
 )
 
-// SchedulerState is the scheduler's state as this controller feeds it.
+// SchedulerState is the state of the scheduler that this controller updates.
 type SchedulerState interface {
 	PutVM(scheduler.VM)
 	RemoveVM(api.VMID)
 	PutJob(scheduler.Job)
 	RemoveJob(api.JobID)
-	// Occupy tells that a start was applied.
+	// Occupy records that a start was applied.
 	Occupy(scheduler.RunningTask)
-	// Vacate tells that a task holds its VM no longer.
+	// Vacate records that a task no longer holds its VM.
 	Vacate(api.TaskID)
-	// Release tells that a planned start was rejected or given up.
+	// Release records that a planned start was rejected or abandoned.
 	Release(api.TaskID)
-	// Cycle plans at most maxStarts starts and reserves them.
+	// Cycle plans at most maxStarts starts and reserves their capacity.
 	Cycle(now time.Time, maxStarts int) scheduler.Plan
 }
 
-// VMSource gives the VMs as the scheduler should see them.
+// VMSource provides the VMs for the scheduler.
 type VMSource interface {
 	VMs() []scheduler.VM
 }
 
-// Advisor gives what was learned about jobs.
+// Advisor provides what was learned about jobs.
 type Advisor interface {
-	// Estimate returns the resources and the run time to plan each task of a
-	// job with; a run time of zero is not known.
+	// Estimate returns the resources and run time with which to plan each task of
+	// a job. A run time of zero is unknown.
 	Estimate(spec api.JobSpec) (api.Resources, time.Duration)
 	// VMsToAvoid returns the VMs on which tasks of a job failed.
 	VMsToAvoid(job api.JobID) map[api.VMID]bool
@@ -53,15 +53,15 @@
 // Config holds the controller's settings.
 type Config struct {
 	DataCentre        api.DataCentre
-	MaxStarts         int           // in one cycle
-	MaxBatch          int           // starts in one entry
-	MaxInFlight       int           // entries of starts under way at once
-	CycleInterval     time.Duration // between two cycles while anything changes
-	IdleCycleInterval time.Duration // between two cycles while nothing does
-	VMRefreshInterval time.Duration // between two looks at the VMs
+	MaxStarts         int           // maximum number of starts in one cycle
+	MaxBatch          int           // maximum number of starts in one entry
+	MaxInFlight       int           // maximum number of entries of starts in progress
+	CycleInterval     time.Duration // between two cycles while the state changes
+	IdleCycleInterval time.Duration // between two cycles while nothing changes
+	VMRefreshInterval time.Duration // between two reads of the VMs
 }
 
-// DefaultConfig returns the settings used in production.
+// DefaultConfig returns the production settings.
 func DefaultConfig(dc api.DataCentre) Config {
 	return Config{
 		DataCentre:        dc,
@@ -74,60 +74,60 @@
 	}
 }
 
-// counterGroup is the group of this package's counters.
+// counterGroup is the counter group of this package.
 const counterGroup = "placement"
 
 // Controller places tasks while this entry VM holds the cell shard.
 type Controller struct {
 	cfg      Config
-	newWorld func() SchedulerState
+	newState func() SchedulerState
 	machine  *cell.StateMachine
 	proposer journal.Proposer
 	auth     controller.Authority
-	fleet    VMSource
+	vmSource VMSource
 	advisor  Advisor
 	counters cell.Counters
 	log      logrus.FieldLogger
 	clock    func() time.Time
 
-	mu       sync.Mutex
-	queue    []cell.Event // applied, not yet fed
-	refused  []cell.Start // of entries that were rejected whole or not written
-	overflow bool         // events were dropped: build the world anew
-	holding  bool         // events are wanted
+	mu              sync.Mutex
+	queuedEvents    []cell.Event // applied to the state machine, but not yet to the scheduler
+	rejectedStarts  []cell.Start // starts that will not be applied: their entry was rejected or not written
+	queueOverflowed bool         // events were dropped, so the scheduler's state must be rebuilt
+	acceptsEvents   bool         // true during a tenure
 
-	feed  *feed // nil outside a tenure
+	feed  *stateFeed // nil outside a tenure
 	slots chan struct{}
 }
 
-// maxQueue bounds the events waiting for the loop.
-const maxQueue = 500_000
+// maxQueuedEvents is the maximum number of events waiting for the loop.
+const maxQueuedEvents = 500_000
 
-// New returns a controller. newWorld returns an empty world for each tenure.
-// New subscribes to machine.
-func New(cfg Config, newWorld func() SchedulerState, machine *cell.StateMachine, proposer journal.Proposer, auth controller.Authority, fleet VMSource, advisor Advisor, counters cell.Counters, log logrus.FieldLogger, clock func() time.Time) *Controller {
+// New returns a controller that is subscribed to machine. newState returns an empty
+// scheduler state for each tenure.
+func New(cfg Config, newState func() SchedulerState, machine *cell.StateMachine, proposer journal.Proposer, auth controller.Authority, vmSource VMSource, advisor Advisor, counters cell.Counters, log logrus.FieldLogger, clock func() time.Time) *Controller {
 	c := &Controller{
-		cfg: cfg, newWorld: newWorld, machine: machine, proposer: proposer, auth: auth, fleet: fleet,
+		cfg: cfg, newState: newState, machine: machine, proposer: proposer, auth: auth, vmSource: vmSource,
 		advisor: advisor, counters: counters, log: log, clock: clock,
 		slots: make(chan struct{}, cfg.MaxInFlight),
 	}
-	machine.Subscribe(c.applied)
+	machine.Subscribe(c.queueEvents)
 	return c
 }
 
-// applied queues events for the loop.
-func (c *Controller) applied(events []cell.Event) {
+// queueEvents queues events for the loop.
+func (c *Controller) queueEvents(events []cell.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.holding {
+	if !c.acceptsEvents {
 		return
 	}
-	if len(c.queue)+len(events) > maxQueue {
-		c.queue = nil
-		c.overflow = true
+	if len(c.queuedEvents)+len(events) > maxQueuedEvents {
+		c.queuedEvents = nil
+		c.queueOverflowed = true
 		return
 	}
-	c.queue = append(c.queue, events...)
+	c.queuedEvents = append(c.queuedEvents, events...)
 }
 
 // Run places tasks until ctx ends.
@@ -137,28 +137,29 @@
 	return controller.RunPeriodically(ctx, c.cfg.CycleInterval, nil, func(ctx context.Context) { c.step(ctx, &running) })
 }
 
-// step does one round: authority, events, VMs, a cycle, proposals.
+// step checks the authority, applies queued events, refreshes the VMs and runs a
+// scheduling cycle if needed.
 func (c *Controller) step(ctx context.Context, running *sync.WaitGroup) {
 	now := c.clock()
 	epoch, ok, takeover := c.auth.Cell(now)
 	if !ok {
-		c.leave()
+		c.endTenure()
 		return
 	}
-	if c.feed == nil || c.feed.epoch != epoch || !c.feed.takeover.Equal(takeover) || c.overflowed() {
-		c.enter(epoch, takeover, now)
+	if c.feed == nil || c.feed.epoch != epoch || !c.feed.takeover.Equal(takeover) || c.hasOverflowed() {
+		c.startTenure(epoch, takeover, now)
 	}
-	events, refused := c.drain()
-	c.feed.refuse(refused)
+	events, rejected := c.drainQueue()
+	c.feed.releaseStarts(rejected)
 	for _, e := range events {
 		if e.Kind == cell.EventRestored {
-			c.enter(epoch, takeover, now)
+			c.startTenure(epoch, takeover, now)
 			break
 		}
-		c.feed.event(e, now)
+		c.feed.applyEvent(e, now)
 	}
 	changed := c.feed.refreshVMs(now)
-	changed = c.feed.putDirtyJobs() || changed || len(events)+len(refused) > 0
+	changed = c.feed.putDirtyJobs() || changed || len(events)+len(rejected) > 0
 	if !changed && now.Sub(c.feed.cycledAt) < c.cfg.IdleCycleInterval {
 		return
 	}
@@ -169,56 +170,57 @@
 	c.plan(ctx, running, now)
 }
 
-// leave ends a tenure.
-func (c *Controller) leave() {
+// endTenure drops the state of the tenure.
+func (c *Controller) endTenure() {
 	if c.feed == nil {
 		return
 	}
 	c.feed = nil
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.holding = false
-	c.queue = nil
-	c.refused = nil
+	c.acceptsEvents = false
+	c.queuedEvents = nil
+	c.rejectedStarts = nil
 }
 
-// enter builds the world from the machine, with no entry applied meanwhile.
-func (c *Controller) enter(epoch api.Epoch, takeover, now time.Time) {
+// startTenure builds the scheduler's state from the state machine while no entry is
+// applied.
+func (c *Controller) startTenure(epoch api.Epoch, takeover, now time.Time) {
 	c.machine.View(func() {
 		c.mu.Lock()
-		c.holding = true
-		c.overflow = false
-		c.queue = nil
-		c.refused = nil
+		c.acceptsEvents = true
+		c.queueOverflowed = false
+		c.queuedEvents = nil
+		c.rejectedStarts = nil
 		c.mu.Unlock()
-		c.feed = newFeed(c, epoch, takeover, now)
+		c.feed = newStateFeed(c, epoch, takeover, now)
 	})
 	c.log.WithFields(logrus.Fields{"epoch": epoch, "jobs": len(c.feed.jobs)}).Info("placement_tenure_began")
 }
 
-func (c *Controller) overflowed() bool {
+func (c *Controller) hasOverflowed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.overflow
+	return c.queueOverflowed
 }
 
-func (c *Controller) drain() ([]cell.Event, []cell.Start) {
+func (c *Controller) drainQueue() ([]cell.Event, []cell.Start) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	events, refused := c.queue, c.refused
-	c.queue, c.refused = nil, nil
-	return events, refused
+	events, rejected := c.queuedEvents, c.rejectedStarts
+	c.queuedEvents, c.rejectedStarts = nil, nil
+	return events, rejected
 }
 
-// plan runs one cycle and proposes its outcome.
+// plan runs one scheduling cycle and proposes its starts and preemptions.
 func (c *Controller) plan(ctx context.Context, running *sync.WaitGroup, now time.Time) {
 	c.feed.cycledAt = now
-	plan := c.feed.world.Cycle(now, c.cfg.MaxStarts)
-	c.feed.noteWaits(plan)
+	plan := c.feed.state.Cycle(now, c.cfg.MaxStarts)
+	c.feed.updateWaitReasons(plan)
 	for _, batch := range c.feed.starts(plan.Starts, c.cfg.MaxBatch) {
 		c.propose(ctx, running, c.feed.epoch, batch)
 	}
-	if stops := c.feed.preempts(plan.Preemptions); len(stops) > 0 {
+	if stops := c.feed.preemptionStops(plan.Preemptions); len(stops) > 0 {
 		entry := c.machine.StopEntry(c.feed.epoch, stops)
 		running.Go(func() {
 			if err := c.proposer.Propose(ctx, entry); err != nil {
@@ -231,7 +233,7 @@
 // propose journals one entry of starts in the background.
 func (c *Controller) propose(ctx context.Context, running *sync.WaitGroup, epoch api.Epoch, starts []cell.Start) {
 	entry, skipped := c.machine.StartEntry(epoch, starts)
-	c.giveUp(skipped)
+	c.rejectStarts(skipped)
 	if len(skipped) == len(starts) {
 		return
 	}
@@ -243,18 +245,18 @@
 		}
 		defer func() { <-c.slots }()
 		err := c.proposer.Propose(ctx, entry)
-		if wholeRejected(err) {
+		if isEntryRejected(err) {
 			c.counters.Inc(counterGroup, "entry_refused")
-			c.giveUp(starts)
+			c.rejectStarts(starts)
 		}
 	})
 }
 
-// giveUp hands starts that won't be applied to the loop.
-func (c *Controller) giveUp(starts []cell.Start) {
+// rejectStarts passes starts that will not be applied to the loop.
+func (c *Controller) rejectStarts(starts []cell.Start) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.holding {
-		c.refused = append(c.refused, starts...)
+	if c.acceptsEvents {
+		c.rejectedStarts = append(c.rejectedStarts, starts...)
 	}
 }
--- a/internal/controller/placement/placement_test.go
+++ b/internal/controller/placement/placement_test.go
@@ -13,12 +13,12 @@
 )
 
 func TestJobRunsToCompletion(t *testing.T) {
-	run(t, 3, func(b *bench) {
-		b.submit(batch("sweep", 20, 10*time.Second))
+	runCell(t, 3, func(b *testCell) {
+		b.submit(batchSpec("sweep", 20, 10*time.Second))
 		b.await("sweep", api.TaskRunning, 12, 5*time.Second)
 		b.await("sweep", api.TaskFinished, 20, 40*time.Second)
 		if job, _ := b.machine.Job("sweep"); !job.Ended {
-			t.Error("job not ended")
+			t.Error("the job has not ended")
 		}
 		for _, w := range b.workers {
 			for _, r := range w.Record().Runs {
@@ -30,20 +30,20 @@
 	})
 }
 
-// A VM that stops answering loses its work only when its lease has lapsed;
-// then it runs elsewhere, never at both places. checkTruth judges.
+// A VM that stops answering keeps its tasks until its lease has expired. Then they
+// run elsewhere, and checkRuns verifies that no task runs on two VMs at once.
 func TestFrozenVMLosesItsTasksAfterLeaseExpiry(t *testing.T) {
-	run(t, 3, func(b *bench) {
-		b.submit(batch("sweep", 8, time.Minute))
+	runCell(t, 3, func(b *testCell) {
+		b.submit(batchSpec("sweep", 8, time.Minute))
 		b.await("sweep", api.TaskRunning, 8, 5*time.Second)
 		b.workers["vm-0"].SetFaults(standin.Faults{Frozen: true})
 		time.Sleep(4 * time.Second)
 		if n := len(b.machine.TasksOnVM("vm-0")); n != 4 {
-			t.Errorf("%d attempts left before the lease can have lapsed", n)
+			t.Errorf("%d attempts left before the lease can have expired, want 4", n)
 		}
 		time.Sleep(6 * time.Second)
 		if n := len(b.machine.TasksOnVM("vm-0")); n != 0 {
-			t.Errorf("%d attempts left after the lease has certainly lapsed", n)
+			t.Errorf("%d attempts left after the lease has certainly expired", n)
 		}
 		b.await("sweep", api.TaskRunning, 8, 5*time.Second)
 		b.workers["vm-0"].SetFaults(standin.Faults{})
@@ -56,8 +56,8 @@
 }
 
 func TestRestartedVMLosesItsTasksImmediately(t *testing.T) {
-	run(t, 2, func(b *bench) {
-		b.submit(batch("sweep", 4, time.Minute))
+	runCell(t, 2, func(b *testCell) {
+		b.submit(batchSpec("sweep", 4, time.Minute))
 		b.await("sweep", api.TaskRunning, 4, 5*time.Second)
 		b.workers["vm-0"].Restart()
 		time.Sleep(3 * time.Second)
@@ -70,19 +70,19 @@
 	})
 }
 
-// The tasks of a service on a leaving VM are replaced before they stop.
+// The tasks of a service on a leaving VM stop only after their replacements run.
 func TestLeavingVMIsDrained(t *testing.T) {
-	run(t, 3, func(b *bench) {
-		svc := batch("bench", 3, 0)
+	runCell(t, 3, func(b *testCell) {
+		svc := batchSpec("bench", 3, 0)
 		svc.Class = api.ClassService
 		b.submit(svc)
-		b.submit(batch("sweep", 1, time.Minute))
+		b.submit(batchSpec("sweep", 1, time.Minute))
 		b.await("bench", api.TaskRunning, 3, 5*time.Second)
 		b.await("sweep", api.TaskRunning, 1, 5*time.Second)
-		b.list.leave(0)
+		b.list.markLeaving(0)
 		for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			if job, _ := b.machine.Job("bench"); job.Counts[api.TaskRunning] < 3 {
-				b.t.Fatalf("stopped before the replacement ran: %v", job.Counts)
+				b.t.Fatalf("task stopped before its replacement ran: %v", job.Counts)
 			}
 		}
 		if n := len(b.machine.TasksOnVM("vm-0")); n != 0 {
@@ -95,10 +95,10 @@
 	})
 }
 
-// When a part of a gang falls out, the rest stops and all start again.
+// When a VM with some tasks of a gang restarts, the other tasks stop and all start again.
 func TestBrokenGangRestartsAsAWhole(t *testing.T) {
-	run(t, 4, func(b *bench) {
-		gang := batch("gang", 6, time.Minute)
+	runCell(t, 4, func(b *testCell) {
+		gang := batchSpec("gang", 6, time.Minute)
 		gang.Class = api.ClassGang
 		b.submit(gang)
 		b.await("gang", api.TaskRunning, 6, 5*time.Second)
@@ -114,10 +114,10 @@
 	})
 }
 
-// A new holder adopts what runs and restarts nothing that answers.
+// A new holder adopts the running tasks of VMs that answer, without restarting them.
 func TestTakeoverAdoptsRunningTasks(t *testing.T) {
-	run(t, 2, func(b *bench) {
-		b.submit(batch("sweep", 6, 30*time.Second))
+	runCell(t, 2, func(b *testCell) {
+		b.submit(batchSpec("sweep", 6, 30*time.Second))
 		b.await("sweep", api.TaskRunning, 6, 5*time.Second)
 		b.mu.Lock()
 		b.epoch, b.takeover = 2, time.Now()
@@ -130,8 +130,8 @@
 }
 
 func TestCancelledJobStopsItsTasks(t *testing.T) {
-	run(t, 2, func(b *bench) {
-		b.submit(batch("sweep", 20, time.Minute))
+	runCell(t, 2, func(b *testCell) {
+		b.submit(batchSpec("sweep", 20, time.Minute))
 		b.await("sweep", api.TaskRunning, 8, 5*time.Second)
 		if err := b.Propose(t.Context(), cell.CancelEntry([]api.JobID{"sweep"}, 0)); err != nil {
 			b.t.Fatal(err)
@@ -140,28 +140,28 @@
 	})
 }
 
-// Whatever fails, every task ends and none runs at two places. While the VMs
-// themselves don't fail, none runs to its end twice.
+// Under random faults every task completes and none runs on two VMs at once. If the
+// VMs themselves do not fail, no task runs to completion twice.
 func TestNoTaskRunsTwiceUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(6) {
-		run(t, 4, func(b *bench) {
+		runCell(t, 4, func(b *testCell) {
 			b.vmFaults = seed%2 == 0
 			rng := rand.New(rand.NewPCG(seed, 3))
 			b.mu.Lock()
 			b.rng = rand.New(rand.NewPCG(seed, 4))
 			b.mu.Unlock()
-			for b.Propose(t.Context(), cell.SubmitEntry(batch("sweep", 40, 20*time.Second), 0)) != nil {
+			for b.Propose(t.Context(), cell.SubmitEntry(batchSpec("sweep", 40, 20*time.Second), 0)) != nil {
 				continue
 			}
 			for range 40 {
 				time.Sleep(time.Duration(rng.IntN(8)) * time.Second)
 				w := b.workers[api.VMID(fmt.Sprintf("vm-%d", rng.IntN(4)))]
-				switch what := rng.IntN(4); {
-				case what == 0 && b.vmFaults:
+				switch fault := rng.IntN(4); {
+				case fault == 0 && b.vmFaults:
 					w.Restart()
-				case what == 1 && b.vmFaults:
+				case fault == 1 && b.vmFaults:
 					w.SetFaults(standin.Faults{Frozen: true, IgnoreFences: true})
-				case what == 2:
+				case fault == 2:
 					w.SetFaults(standin.Faults{IgnoreFences: true})
 				default:
 					b.mu.Lock()
@@ -177,12 +177,12 @@
 	}
 }
 
-// A switch that swallows the messages to most VMs, noticed before and after
-// a takeover, must not cost the others their leases.
+// A network fault swallows the messages to most VMs before and after a takeover. The
+// other VMs must keep their leases.
 func TestUnresponsiveVMsDoNotStarveOthers(t *testing.T) {
 	const vms, healthy = 300, 50
-	run(t, vms, func(b *bench) {
-		b.submit(batch("sweep", 4*healthy, time.Hour))
+	runCell(t, vms, func(b *testCell) {
+		b.submit(batchSpec("sweep", 4*healthy, time.Hour))
 		b.await("sweep", api.TaskRunning, 4*healthy, 10*time.Second)
 		b.mu.Lock()
 		b.hanging = map[api.VMID]bool{}
@@ -203,16 +203,17 @@
 	})
 }
 
-// With the log down what runs goes on; its end is journaled afterwards.
+// Running tasks continue while the log is unavailable. Their ends are journaled
+// afterwards.
 func TestTasksKeepRunningWhileLogIsDown(t *testing.T) {
-	run(t, 2, func(b *bench) {
-		b.submit(batch("long", 2, time.Minute))
-		b.submit(batch("short", 2, 10*time.Second))
+	runCell(t, 2, func(b *testCell) {
+		b.submit(batchSpec("long", 2, time.Minute))
+		b.submit(batchSpec("short", 2, 10*time.Second))
 		b.await("long", api.TaskRunning, 2, 5*time.Second)
 		b.await("short", api.TaskRunning, 2, 5*time.Second)
-		b.setDown(true)
+		b.setLogDown(true)
 		time.Sleep(40 * time.Second)
-		b.setDown(false)
+		b.setLogDown(false)
 		b.await("short", api.TaskFinished, 2, 3*time.Second)
 		b.await("long", api.TaskFinished, 2, time.Minute)
 		for _, id := range []api.JobID{"long", "short"} {
@@ -223,18 +224,19 @@
 	})
 }
 
-// A list that suddenly shrinks, or can't be read, drops nothing.
+// An empty list removes no VM, because it is not trusted. A list that lacks a single
+// VM removes that VM.
 func TestUntrustedListRemovesNoVM(t *testing.T) {
-	run(t, 10, func(b *bench) {
+	runCell(t, 10, func(b *testCell) {
 		all := b.list.replace(nil)
 		time.Sleep(2 * time.Minute)
 		if n := len(b.machine.VMs()); n != 10 {
-			t.Errorf("an empty list left %d VMs", n)
+			t.Errorf("got %d VMs after an empty list, want 10", n)
 		}
 		b.list.replace(all[1:])
 		time.Sleep(time.Minute)
 		if n := len(b.machine.VMs()); n != 9 {
-			t.Errorf("a VM that went left %d VMs", n)
+			t.Errorf("got %d VMs after the removal of one, want 9", n)
 		}
 	})
 }
--- a/internal/controller/placement/urgent_test.go
+++ b/internal/controller/placement/urgent_test.go
@@ -10,40 +10,40 @@
 	"github.com/skylarklock/skylarklock/internal/scheduler"
 )
 
-// urgentWithin is the users' bound on the start of urgent work.
-const urgentWithin = 3800 * time.Millisecond
+// maxUrgentStartDelay is the users' requirement for the start of urgent tasks.
+const maxUrgentStartDelay = 3800 * time.Millisecond
 
-// scheduled is the real scheduler with its world.
-type scheduled struct {
+// realScheduler combines the real scheduler with its state.
+type realScheduler struct {
 	*scheduler.State
 	*scheduler.Scheduler
 }
 
-func (s scheduled) Cycle(now time.Time, maxStarts int) scheduler.Plan {
+func (s realScheduler) Cycle(now time.Time, maxStarts int) scheduler.Plan {
 	return s.Scheduler.Cycle(s.State, now, maxStarts)
 }
 
-func newScheduled() placement.SchedulerState {
-	return scheduled{scheduler.NewState(), scheduler.New(scheduler.Config{}, rand.New(rand.NewPCG(1, 1)))}
+func newRealScheduler() placement.SchedulerState {
+	return realScheduler{scheduler.NewState(), scheduler.New(scheduler.Config{}, rand.New(rand.NewPCG(1, 1)))}
 }
 
-// In a cell that is full of checkpointable batch work, urgent work is running
-// within its bound: plan, stop, checkpoint, report and start included. The
-// work that gave way runs to its end later.
+// In a cell full of checkpointable batch tasks, urgent tasks are running within the
+// required delay, which includes planning, stop, checkpoint, report and start. The
+// preempted tasks complete later.
 func TestUrgentTasksStartInFullCell(t *testing.T) {
-	runWith(t, 4, newScheduled, func(b *bench) {
-		wave := batch("wave", 16, time.Minute) // fills the four VMs
+	runCellWith(t, 4, newRealScheduler, func(b *testCell) {
+		wave := batchSpec("wave", 16, time.Minute) // fills the four VMs
 		wave.Checkpointable = true
 		b.submit(wave)
 		b.await("wave", api.TaskRunning, 16, 10*time.Second)
 		time.Sleep(10 * time.Second)
 
-		urgent := batch("urgent", 2, 5*time.Second)
+		urgent := batchSpec("urgent", 2, 5*time.Second)
 		urgent.Priority = api.PriorityUrgent
 		b.submit(urgent)
 		start := time.Now()
-		b.await("urgent", api.TaskRunning, 2, urgentWithin)
-		t.Logf("urgent work running after %v", time.Since(start))
+		b.await("urgent", api.TaskRunning, 2, maxUrgentStartDelay)
+		t.Logf("urgent tasks running after %v", time.Since(start))
 		b.await("urgent", api.TaskFinished, 2, 30*time.Second)
 		b.await("wave", api.TaskFinished, 16, 3*time.Minute)
 	})
--- a/internal/controller/recovery/drain.go
+++ b/internal/controller/recovery/drain.go
@@ -5,26 +5,27 @@
 	"github.com/skylarklock/skylarklock/internal/cell"
 )
 
-// DrainAction is what is done next with a task that must leave its VM.
+// DrainAction is the next action for a task on a leaving VM.
 type DrainAction uint8
 
-// Moves.
+// Drain actions.
 const (
-	ActionNone    DrainAction = iota // wait, or let it run to its end
+	ActionNone    DrainAction = iota // wait, or let the task run to completion
 	ActionReplace                    // start a replacement
-	ActionStop                       // save and stop, cutting nothing off
+	ActionStop                       // stop with a checkpoint, so that no work is cut off
 )
 
-// NextDrainAction decides the next move of a task on a leaving VM. Services are
-// replaced before they are stopped. Batch and gang tasks are checkpointed;
-// those that can't be run on until they end or the VM is gone.
-func NextDrainAction(spec api.JobSpec, task cell.AllocatedTask, replacement api.TaskState, replaced bool) DrainAction {
+// NextDrainAction returns the next action for a task on a leaving VM. Services and
+// interactive tasks are stopped only after their replacement runs. Batch and gang
+// tasks are stopped with a checkpoint; those that can't save one run until they end or
+// the VM is gone.
+func NextDrainAction(spec api.JobSpec, task cell.AllocatedTask, replacementState api.TaskState, hasReplacement bool) DrainAction {
 	if task.State == api.TaskStopping {
 		return ActionNone
 	}
 	switch spec.Class {
 	case api.ClassService, api.ClassInteractive:
-		return drainService(replacement, replaced)
+		return nextServiceAction(replacementState, hasReplacement)
 	}
 	if spec.Checkpointable && task.State == api.TaskRunning {
 		return ActionStop
@@ -32,22 +33,22 @@
 	return ActionNone
 }
 
-func drainService(replacement api.TaskState, replaced bool) DrainAction {
+func nextServiceAction(replacementState api.TaskState, hasReplacement bool) DrainAction {
 	switch {
-	case !replaced:
+	case !hasReplacement:
 		return ActionReplace
-	case replacement == api.TaskRunning:
+	case replacementState == api.TaskRunning:
 		return ActionStop
 	}
 	return ActionNone
 }
 
-// IsGangBroken tells whether the held tasks of a gang must be stopped, since
-// another part of it fell out and a gang runs whole or not at all.
+// IsGangBroken reports whether the started tasks of a gang must be stopped because
+// another task of it is pending again. A gang runs as a whole or not at all.
 func IsGangBroken(job cell.JobView) bool {
 	if job.Spec.Class != api.ClassGang || job.Cancelled || job.Ended {
 		return false
 	}
-	held := job.Counts[api.TaskStarting] + job.Counts[api.TaskRunning]
-	return held > 0 && job.Counts[api.TaskPending] > 0
+	started := job.Counts[api.TaskStarting] + job.Counts[api.TaskRunning]
+	return started > 0 && job.Counts[api.TaskPending] > 0
 }
--- a/internal/controller/recovery/evacuate.go
+++ b/internal/controller/recovery/evacuate.go
@@ -13,28 +13,28 @@
 	"github.com/skylarklock/skylarklock/internal/journal"
 )
 
-// Cell is one data centre's cell as an evacuation sees it.
+// Cell is the cell of one data centre in an evacuation.
 type Cell struct {
 	DataCentre api.DataCentre
 	Machine    *cell.StateMachine
 	Proposer   journal.Proposer
-	Authority  controller.Authority // of the lost cell; nil for the one that takes over
+	Authority  controller.Authority // needed only for the lost cell; nil for the target
 }
 
-// MaxMovedJobs bounds the jobs moved with one entry.
+// MaxMovedJobs is the maximum number of jobs moved with one entry.
 const MaxMovedJobs = 200
 
-// Evacuate moves at most MaxMoves jobs that wait in a lost data centre to
-// another: it ends them there, submits them here and confirms that, in this
-// order. Each step may be repeated by any later holder; a job arrives once.
-// What still holds a VM waits until its lease has certainly lapsed. It
-// returns how many jobs arrived.
+// Evacuate moves up to MaxMovedJobs waiting jobs from a lost data centre to another
+// one and returns how many arrived. It ends the jobs in the lost cell, submits them to
+// the target cell and confirms the moves, in this order. Any later holder may repeat
+// each step; a job arrives only once. Jobs with a task that holds a VM are not moved
+// until its lease has certainly expired.
 func Evacuate(ctx context.Context, lost, target Cell, now time.Time, log logrus.FieldLogger) (int, error) {
 	epoch, ok, _ := lost.Authority.Cell(now)
 	if !ok {
 		return 0, nil
 	}
-	if jobs := movable(lost.Machine, target.DataCentre); len(jobs) > 0 {
+	if jobs := movableJobs(lost.Machine, target.DataCentre); len(jobs) > 0 {
 		if err := lost.Proposer.Propose(ctx, lost.Machine.MoveJobsEntry(epoch, target.DataCentre, jobs)); err != nil {
 			return 0, err
 		}
@@ -50,13 +50,13 @@
 	return len(arrived), err
 }
 
-// movable lists the jobs to move next, in the order in which lost work is
+// movableJobs returns the jobs to move next, in the order in which lost tasks are
 // placed again.
-func movable(m *cell.StateMachine, to api.DataCentre) []api.JobID {
+func movableJobs(m *cell.StateMachine, to api.DataCentre) []api.JobID {
 	var views []cell.JobView
 	for _, id := range m.Jobs() {
 		view, ok := m.Job(id)
-		if ok && mayMove(view, to) {
+		if ok && isMovable(view, to) {
 			views = append(views, view)
 		}
 	}
@@ -68,9 +68,9 @@
 	return ids
 }
 
-func mayMove(v cell.JobView, to api.DataCentre) bool {
-	held := v.Counts[api.TaskStarting] + v.Counts[api.TaskRunning] + v.Counts[api.TaskStopping]
-	if v.Cancelled || v.Ended || held > 0 || v.Counts[api.TaskPending] == 0 {
+func isMovable(v cell.JobView, to api.DataCentre) bool {
+	allocated := v.Counts[api.TaskStarting] + v.Counts[api.TaskRunning] + v.Counts[api.TaskStopping]
+	if v.Cancelled || v.Ended || allocated > 0 || v.Counts[api.TaskPending] == 0 {
 		return false
 	}
 	for _, dc := range v.Spec.DataCentres {
@@ -81,24 +81,25 @@
 	return len(v.Spec.DataCentres) == 0
 }
 
-// submitMoved submits the moved jobs in order and stops at the first that
-// can't be.
+// submitMoved submits the moved jobs in order and stops at the first failure. It
+// returns the jobs that have arrived.
 func submitMoved(ctx context.Context, lost, target Cell, now time.Time) ([]api.JobID, error) {
 	var arrived []api.JobID
-	for _, moving := range lost.Machine.UnconfirmedMoves() {
-		if moving.To != target.DataCentre {
+	for _, moved := range lost.Machine.UnconfirmedMoves() {
+		if moved.To != target.DataCentre {
 			continue
 		}
-		err := target.Proposer.Propose(ctx, cell.SubmitMovedEntry(moving, lost.DataCentre, now.UnixMilli()))
-		if err != nil && !arrivedBefore(err) {
+		err := target.Proposer.Propose(ctx, cell.SubmitMovedEntry(moved, lost.DataCentre, now.UnixMilli()))
+		if err != nil && !isDuplicate(err) {
 			return arrived, err
 		}
-		arrived = append(arrived, moving.Spec.ID)
+		arrived = append(arrived, moved.Spec.ID)
 	}
 	return arrived, nil
 }
 
-func arrivedBefore(err error) bool {
+// isDuplicate reports whether a submission was rejected because the job arrived before.
+func isDuplicate(err error) bool {
 	var r *cell.Rejection
 	return errors.As(err, &r) && r.Reason == api.ReasonDuplicate
 }
--- a/internal/controller/recovery/order.go
+++ b/internal/controller/recovery/order.go
@@ -1,5 +1,6 @@
-// Package recovery holds the policies for work that must move: in which
-// order lost work is placed again, and how leaving VMs are drained.
+// Package recovery holds the policies for tasks that must move: in which order
+// lost tasks are placed again, how leaving VMs are drained, how broken gangs are
+// stopped and how jobs are evacuated from a lost data centre.
 package recovery
 
 import (
@@ -9,17 +10,18 @@
 	"github.com/skylarklock/skylarklock/internal/cell"
 )
 
-// Order is the place of a task among work to be placed again: by priority,
-// then class, then age, then name. It does not depend on when or on which VM
-// the loss was noticed.
+// Order is the position of a task among the tasks to place again: by priority, then
+// class, then age, then index. It does not depend on when or on which VM the loss
+// was detected.
 type Order struct {
-	Priority int // larger goes first
-	Class    int // smaller goes first
+	Priority int // higher goes first
+	Class    int // lower goes first
 	Age      uint32
 	Task     api.TaskID
 }
 
-// classRank puts what serves callers first and what packs the rest last.
+// classRank ranks classes that serve callers first and batch jobs, which fill the
+// remaining capacity, last.
 var classRank = map[api.Class]int{
 	api.ClassInteractive: 0,
 	api.ClassService:     1,
@@ -27,8 +29,8 @@
 	api.ClassBatch:       3,
 }
 
-// OrderOf returns the place of a task of a job. Jobs are numbered in log
-// order, which is their age on every entry VM.
+// OrderOf returns the order of a task of a job. The job number is its age, because
+// jobs are numbered in log order, which is the same on every entry VM.
 func OrderOf(job cell.JobView, task api.TaskID) Order {
 	return Order{
 		Priority: job.Spec.Priority,
@@ -51,7 +53,7 @@
 	return o.Task.Index < p.Task.Index
 }
 
-// Sort sorts list by the order that key gives.
+// Sort sorts list by the orders that key returns. The sort is stable.
 func Sort[T any](list []T, key func(T) Order) {
 	sort.SliceStable(list, func(i, j int) bool { return key(list[i]).Less(key(list[j])) })
 }
--- a/internal/controller/recovery/outage.go
+++ b/internal/controller/recovery/outage.go
@@ -7,30 +7,30 @@
 	"github.com/skylarklock/skylarklock/internal/cell"
 )
 
-// Outage sums up what was lost together.
+// Outage summarizes the losses found in one round.
 type Outage struct {
 	VMs             int
 	Attempts        int
-	Racks           []string // racks of which every VM lost work, with more than one VM
-	WholeDataCentre bool     // every VM of the data centre, with more than one
+	Racks           []string // racks with several VMs on which every VM lost attempts
+	WholeDataCentre bool     // every VM of a data centre with several VMs lost attempts
 }
 
-// SummarizeOutage sums up the attempts lost on each VM.
+// SummarizeOutage summarizes the number of attempts lost on each VM.
 func SummarizeOutage(vms []cell.VMView, lost map[api.VMID]int) Outage {
-	size := make(map[string]int)
-	hit := make(map[string]int)
+	vmsInRack := make(map[string]int)
+	affectedInRack := make(map[string]int)
 	o := Outage{VMs: len(lost)}
 	for _, vm := range vms {
-		size[vm.Rack]++
+		vmsInRack[vm.Rack]++
 		if lost[vm.ID] > 0 {
-			hit[vm.Rack]++
+			affectedInRack[vm.Rack]++
 		}
 	}
 	for _, n := range lost {
 		o.Attempts += n
 	}
-	for rack, n := range hit {
-		if n > 1 && n == size[rack] {
+	for rack, n := range affectedInRack {
+		if n > 1 && n == vmsInRack[rack] {
 			o.Racks = append(o.Racks, rack)
 		}
 	}
--- a/internal/controller/recovery/recovery.go
+++ b/internal/controller/recovery/recovery.go
@@ -14,116 +14,118 @@
 	"github.com/skylarklock/skylarklock/internal/journal"
 )
 
-// LeavingVMs tells which VMs leave.
+// LeavingVMs reports which VMs are leaving.
 type LeavingVMs interface {
 	Leaving(id api.VMID) bool
 }
 
 // Config holds the controller's settings.
 type Config struct {
-	Interval time.Duration // between two looks at the VMs and gangs
+	Interval time.Duration // between two rounds
 }
 
-// DefaultConfig returns the settings used in production.
+// DefaultConfig returns the production settings.
 func DefaultConfig() Config {
 	return Config{Interval: 250 * time.Millisecond}
 }
 
-// counterGroup is the group of this package's counters.
+// counterGroup is the counter group of this package.
 const counterGroup = "recovery"
 
-// Controller moves work off leaving VMs, keeps gangs whole and reports what
-// was lost together.
+// Controller drains leaving VMs, stops the remaining tasks of broken gangs and logs
+// attempts that were lost together.
 type Controller struct {
-	cfg      Config
-	machine  *cell.StateMachine
-	proposer journal.Proposer
-	auth     controller.Authority
-	leavers  LeavingVMs
-	counters cell.Counters
-	log      logrus.FieldLogger
-	clock    func() time.Time
-
-	mu    sync.Mutex
-	gangs map[api.JobID]bool // jobs of which a task fell out; nil: look at all
-	lost  map[api.VMID]int   // attempts lost on each VM since the last round
-}
-
-// New returns a controller. It subscribes to machine.
-func New(cfg Config, machine *cell.StateMachine, proposer journal.Proposer, auth controller.Authority, leavers LeavingVMs, counters cell.Counters, log logrus.FieldLogger, clock func() time.Time) *Controller {
+	cfg        Config
+	machine    *cell.StateMachine
+	proposer   journal.Proposer
+	auth       controller.Authority
+	leavingVMs LeavingVMs
+	counters   cell.Counters
+	log        logrus.FieldLogger
+	clock      func() time.Time
+
+	mu             sync.Mutex
+	gangCandidates map[api.JobID]bool // jobs that may be broken gangs; nil if all jobs must be checked
+	lostAttempts   map[api.VMID]int   // attempts lost on each VM since the previous round
+}
+
+// New returns a controller that is subscribed to machine.
+func New(cfg Config, machine *cell.StateMachine, proposer journal.Proposer, auth controller.Authority, leavingVMs LeavingVMs, counters cell.Counters, log logrus.FieldLogger, clock func() time.Time) *Controller {
 	c := &Controller{
-		cfg: cfg, machine: machine, proposer: proposer, auth: auth, leavers: leavers,
+		cfg: cfg, machine: machine, proposer: proposer, auth: auth, leavingVMs: leavingVMs,
 		counters: counters, log: log, clock: clock,
-		lost: make(map[api.VMID]int),
+		lostAttempts: make(map[api.VMID]int),
 	}
-	machine.Subscribe(c.applied)
+	machine.Subscribe(c.handleEvents)
 	return c
 }
 
-func (c *Controller) applied(events []cell.Event) {
+func (c *Controller) handleEvents(events []cell.Event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, e := range events {
 		switch e.Kind {
 		case cell.EventTaskFreed:
-			c.freed(e)
+			c.recordFreed(e)
 		case cell.EventRestored:
-			clear(c.lost)
-			c.gangs = nil
+			clear(c.lostAttempts)
+			c.gangCandidates = nil
 		}
 	}
 }
 
-func (c *Controller) freed(e cell.Event) {
-	if e.State == api.TaskPending && c.gangs != nil {
-		c.gangs[e.Task.Job] = true // whether it is a gang is looked up in the round
+func (c *Controller) recordFreed(e cell.Event) {
+	if e.State == api.TaskPending && c.gangCandidates != nil {
+		c.gangCandidates[e.Task.Job] = true // the next round checks whether the job is a gang
 	}
 	switch e.Reason {
 	case api.ReasonLeaseExpired, api.ReasonWorkerLost, api.ReasonWorkerRestart:
-		c.lost[e.VM]++
+		c.lostAttempts[e.VM]++
 	}
 }
 
-// Run recovers until ctx ends.
+// Run performs recovery rounds until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
 	return controller.RunPeriodically(ctx, c.cfg.Interval, nil, c.Step)
 }
 
-// Step does one round.
+// Step performs one recovery round.
 func (c *Controller) Step(ctx context.Context) {
-	c.tell(c.takeLost())
+	c.logLosses(c.takeLostAttempts())
 	epoch, ok, _ := c.auth.Cell(c.clock())
 	if !ok {
-		c.forgetGangs()
+		c.resetGangCandidates()
 		return
 	}
-	stops := c.regroup(c.candidates())
-	more, replace := c.drain()
-	c.proposeStops(ctx, epoch, append(stops, more...))
-	c.proposeReplacements(ctx, epoch, replace)
+	stops := c.stopBrokenGangs(c.candidates())
+	drainStops, replacements := c.drainLeavingVMs()
+	c.proposeStops(ctx, epoch, append(stops, drainStops...))
+	c.proposeReplacements(ctx, epoch, replacements)
 }
 
-func (c *Controller) takeLost() map[api.VMID]int {
+func (c *Controller) takeLostAttempts() map[api.VMID]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	lost := c.lost
-	c.lost = make(map[api.VMID]int)
-	return lost
+	lostAttempts := c.lostAttempts
+	c.lostAttempts = make(map[api.VMID]int)
+	return lostAttempts
 }
 
-// forgetGangs keeps an entry VM that does not act from collecting names.
-func (c *Controller) forgetGangs() {
+// resetGangCandidates drops the candidates, so that they don't accumulate on an entry VM
+// that does not act for the cell.
+func (c *Controller) resetGangCandidates() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.gangs = nil
+	c.gangCandidates = nil
 }
 
-// candidates lists the jobs to look at: all of them at first.
+// candidates returns the jobs that may be broken gangs. After a reset these are all
+// jobs.
 func (c *Controller) candidates() []api.JobID {
 	c.mu.Lock()
-	all := c.gangs == nil
+	all := c.gangCandidates == nil
 	if all {
-		c.gangs = make(map[api.JobID]bool)
+		c.gangCandidates = make(map[api.JobID]bool)
 	}
 	c.mu.Unlock()
 	var jobs []api.JobID
@@ -133,75 +135,75 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range jobs {
-		c.gangs[id] = true
+		c.gangCandidates[id] = true
 	}
-	list := make([]api.JobID, 0, len(c.gangs))
-	for id := range c.gangs {
+	list := make([]api.JobID, 0, len(c.gangCandidates))
+	for id := range c.gangCandidates {
 		list = append(list, id)
 	}
 	slices.Sort(list)
 	return list
 }
 
-// settled drops a job from the gangs to look at.
-func (c *Controller) settled(id api.JobID) {
+// removeGangCandidate removes a job from the candidates.
+func (c *Controller) removeGangCandidate(id api.JobID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.gangs, id)
+	delete(c.gangCandidates, id)
 }
 
-// regroup stops the rest of each gang of which a part fell out.
-func (c *Controller) regroup(candidates []api.JobID) []cell.Stop {
+// stopBrokenGangs returns the stops of the remaining tasks of broken gangs.
+func (c *Controller) stopBrokenGangs(candidates []api.JobID) []cell.Stop {
 	var stops []cell.Stop
 	for _, id := range candidates {
 		job, ok := c.machine.Job(id)
 		if !ok || !IsGangBroken(job) {
-			c.settled(id)
+			c.removeGangCandidate(id)
 			continue
 		}
-		for _, h := range c.machine.AllocatedTasks(id) {
-			if h.State != api.TaskStopping {
-				stops = append(stops, stopOf(h, job.Spec.Checkpointable, api.ReasonGangWaiting))
+		for _, task := range c.machine.AllocatedTasks(id) {
+			if task.State != api.TaskStopping {
+				stops = append(stops, stopOf(task, job.Spec.Checkpointable, api.ReasonGangWaiting))
 			}
 		}
 	}
 	return stops
 }
 
-func stopOf(h cell.AllocatedTask, checkpoint bool, reason api.Reason) cell.Stop {
-	return cell.Stop{Task: h.Task, Attempt: h.Attempt, Checkpoint: checkpoint, Reason: reason}
+func stopOf(task cell.AllocatedTask, checkpoint bool, reason api.Reason) cell.Stop {
+	return cell.Stop{Task: task.Task, Attempt: task.Attempt, Checkpoint: checkpoint, Reason: reason}
 }
 
-// drain decides the next moves on all leaving VMs.
-func (c *Controller) drain() ([]cell.Stop, map[api.JobID][]cell.AllocatedTask) {
+// drainLeavingVMs returns the stops and the tasks to replace on all leaving VMs.
+func (c *Controller) drainLeavingVMs() ([]cell.Stop, map[api.JobID][]cell.AllocatedTask) {
 	var stops []cell.Stop
-	replace := make(map[api.JobID][]cell.AllocatedTask)
+	replacements := make(map[api.JobID][]cell.AllocatedTask)
 	for _, vm := range c.machine.VMs() {
-		if !c.leavers.Leaving(vm.ID) {
+		if !c.leavingVMs.Leaving(vm.ID) {
 			continue
 		}
-		for _, h := range c.machine.TasksOnVM(vm.ID) {
-			job, ok := c.machine.Job(h.Task.Job)
+		for _, task := range c.machine.TasksOnVM(vm.ID) {
+			job, ok := c.machine.Job(task.Task.Job)
 			if !ok {
 				continue
 			}
-			switch c.next(job, h) {
+			switch c.nextAction(job, task) {
 			case ActionReplace:
-				replace[h.Task.Job] = append(replace[h.Task.Job], h)
+				replacements[task.Task.Job] = append(replacements[task.Task.Job], task)
 			case ActionStop:
-				stops = append(stops, stopOf(h, true, api.ReasonDrained))
+				stops = append(stops, stopOf(task, true, api.ReasonDrained))
 			}
 		}
 	}
-	return stops, replace
+	return stops, replacements
 }
 
-func (c *Controller) next(job cell.JobView, h cell.AllocatedTask) DrainAction {
-	if !h.HasReplacement {
-		return NextDrainAction(job.Spec, h, api.TaskPending, false)
+func (c *Controller) nextAction(job cell.JobView, task cell.AllocatedTask) DrainAction {
+	if !task.HasReplacement {
+		return NextDrainAction(job.Spec, task, api.TaskPending, false)
 	}
-	replacement, ok := c.machine.Replacement(h.Task)
-	return NextDrainAction(job.Spec, h, replacement.State, ok)
+	replacement, ok := c.machine.Replacement(task.Task)
+	return NextDrainAction(job.Spec, task, replacement.State, ok)
 }
 
 func (c *Controller) proposeStops(ctx context.Context, epoch api.Epoch, stops []cell.Stop) {
@@ -213,8 +215,8 @@
 	}
 }
 
-func (c *Controller) proposeReplacements(ctx context.Context, epoch api.Epoch, replace map[api.JobID][]cell.AllocatedTask) {
-	for id, tasks := range replace {
+func (c *Controller) proposeReplacements(ctx context.Context, epoch api.Epoch, replacements map[api.JobID][]cell.AllocatedTask) {
+	for id, tasks := range replacements {
 		entry, ok := c.machine.ReplaceEntry(epoch, id, tasks)
 		if !ok {
 			continue
@@ -225,8 +227,9 @@
 	}
 }
 
-// tell logs what was lost since the last round, whole racks by name.
-func (c *Controller) tell(lost map[api.VMID]int) {
+// logLosses logs the attempts lost since the previous round, with the names of racks
+// that were lost as a whole.
+func (c *Controller) logLosses(lost map[api.VMID]int) {
 	if len(lost) == 0 {
 		return
 	}
--- a/internal/controller/vms/vms.go
+++ b/internal/controller/vms/vms.go
@@ -1,8 +1,9 @@
-// Package vms is the controller of the directory of worker VMs: it follows
-// the platform's lagging list and passes on what the ledger must know.
+// Package vms is the controller that keeps the directory of worker VMs. It
+// polls the platform's VM list, which lags behind, and journals added, changed
+// and removed VMs for the ledger.
 //
-// A list that can't be read, or that shrinks too much at once, changes
-// nothing: what still answers keeps its work.
+// A list that can't be read, or that shrinks too much at once, changes nothing,
+// so that VMs that still answer keep their tasks.
 package vms
 
 import (
@@ -25,32 +26,32 @@
 // Config holds the controller's settings.
 type Config struct {
 	DataCentre   api.DataCentre
-	PollInterval time.Duration // between two reads of the list
-	Timeout      time.Duration // of a read and of a proposal
+	PollInterval time.Duration // time between two reads of the list
+	Timeout      time.Duration // limit for reading the list and proposing the changes
 	Directory    directory.Config
 }
 
-// goneAfter is how long a VM is absent from a list that is believed until it
-// is dropped; the list lags.
-const goneAfter = 30 * time.Second
+// removalGracePeriod is how long a VM is missing from trusted lists before it is
+// removed. It covers the lag of the list.
+const removalGracePeriod = 30 * time.Second
 
-// departedFor is how long a dropped VM is remembered as absent.
-const departedFor = time.Hour
+// removedRetention is how long a removed VM is remembered as missing.
+const removedRetention = time.Hour
 
-// DefaultConfig returns the settings used in production.
+// DefaultConfig returns the production settings.
 func DefaultConfig(dc api.DataCentre) Config {
 	return Config{
 		DataCentre:   dc,
 		PollInterval: time.Second,
 		Timeout:      3 * time.Second,
-		Directory:    directory.Config{GracePeriod: goneAfter},
+		Directory:    directory.Config{GracePeriod: removalGracePeriod},
 	}
 }
 
-// Contacts tells which VMs answered lately; it may be nil.
+// Contacts returns which VMs have answered recently. It may be nil.
 type Contacts func() []directory.Contact
 
-// Controller follows the list. Its methods are safe for concurrent use.
+// Controller tracks the VM list. Its methods are safe for concurrent use.
 type Controller struct {
 	cfg      Config
 	list     platform.VMList
@@ -62,9 +63,9 @@
 	log      logrus.FieldLogger
 	clock    func() time.Time
 
-	mu       sync.RWMutex
-	view     directory.View
-	departed map[api.VMID]time.Time // dropped from the view, absent since
+	mu           sync.RWMutex
+	view         directory.View
+	removedSince map[api.VMID]time.Time // VMs removed from the view, with the time since when they were missing
 }
 
 // New returns a controller that has not read the list yet.
@@ -74,16 +75,16 @@
 	}
 	return &Controller{
 		cfg: cfg, list: list, contacts: contacts, machine: machine, proposer: proposer, auth: auth,
-		counters: counters, log: log, clock: clock, departed: make(map[api.VMID]time.Time),
+		counters: counters, log: log, clock: clock, removedSince: make(map[api.VMID]time.Time),
 	}
 }
 
-// Run follows the list until ctx ends.
+// Run reads the list periodically until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
 	return controller.RunPeriodically(ctx, c.cfg.PollInterval, nil, c.Step)
 }
 
-// Step reads the list once and proposes what changed.
+// Step reads the list once and proposes the changes.
 func (c *Controller) Step(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.Timeout)
 	defer cancel()
@@ -93,60 +94,61 @@
 		return
 	}
 	now := c.clock()
-	journaled := c.journaled()
-	c.take(now, vms, journaled)
+	journaledVMs := c.journaledVMs()
+	c.mergeList(now, vms, journaledVMs)
 	epoch, ok, _ := c.auth.Cell(now)
 	if !ok {
 		return
 	}
-	seen, gone := c.changes(journaled)
-	if len(seen)+len(gone) == 0 {
+	observed, removed := c.changes(journaledVMs)
+	if len(observed)+len(removed) == 0 {
 		return
 	}
-	if err := c.proposer.Propose(ctx, cell.VMUpdateEntry(epoch, seen, gone)); err != nil {
+	if err := c.proposer.Propose(ctx, cell.VMUpdateEntry(epoch, observed, removed)); err != nil {
 		c.counters.Inc("vm_list", "not_journaled")
 		return
 	}
-	c.log.WithFields(logrus.Fields{"seen": len(seen), "gone": len(gone), "epoch": epoch}).Info("vms_changed")
+	c.log.WithFields(logrus.Fields{"seen": len(observed), "gone": len(removed), "epoch": epoch}).Info("vms_changed")
 }
 
-// journaled returns the VMs that the log holds.
-func (c *Controller) journaled() map[api.VMID]cell.VMView {
-	journaled := make(map[api.VMID]cell.VMView)
+// journaledVMs returns the VMs in the state machine of the log.
+func (c *Controller) journaledVMs() map[api.VMID]cell.VMView {
+	journaledVMs := make(map[api.VMID]cell.VMView)
 	for _, v := range c.machine.VMs() {
-		journaled[v.ID] = v
+		journaledVMs[v.ID] = v
 	}
-	return journaled
+	return journaledVMs
 }
 
-// take merges a fresh list into what is believed.
-func (c *Controller) take(now time.Time, vms []api.VM, journaled map[api.VMID]cell.VMView) {
+// mergeList merges a newly read list into the view.
+func (c *Controller) mergeList(now time.Time, vms []api.VM, journaled map[api.VMID]cell.VMView) {
 	contacts := c.contacts()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known := adopt(c.view.ApplyContacts(contacts), journaled, now)
+	known := addJournaled(c.view.ApplyContacts(contacts), journaled, now)
 	next, events := directory.Merge(c.cfg.Directory, known, vms, true, now)
 	for _, e := range events {
-		c.note(e, known)
+		c.recordEvent(e, known)
 	}
-	maps.DeleteFunc(c.departed, func(_ api.VMID, since time.Time) bool { return now.Sub(since) > departedFor })
+	maps.DeleteFunc(c.removedSince, func(_ api.VMID, since time.Time) bool { return now.Sub(since) > removedRetention })
 	c.view = next
 }
 
-// note counts an event and remembers what was dropped. c.mu is held.
-func (c *Controller) note(e directory.Event, known directory.View) {
+// recordEvent counts an event and remembers removed VMs. c.mu must be held.
+func (c *Controller) recordEvent(e directory.Event, known directory.View) {
 	c.counters.Inc("vm_list", api.Reason(e.Type))
 	switch e.Type {
 	case directory.EventDropped:
-		c.departed[e.VM] = known.Entries[e.VM].MissingSince
+		c.removedSince[e.VM] = known.Entries[e.VM].MissingSince
 	case directory.EventAdded:
-		delete(c.departed, e.VM)
+		delete(c.removedSince, e.VM)
 	}
 }
 
-// adopt adds what an earlier holder journaled and this process has not seen:
-// it counts as missing from now on, and is given the time to show.
-func adopt(view directory.View, journaled map[api.VMID]cell.VMView, now time.Time) directory.View {
+// addJournaled adds VMs that an earlier holder journaled and this process has not
+// seen in a list. They count as missing from now on and get the full grace period
+// to appear.
+func addJournaled(view directory.View, journaled map[api.VMID]cell.VMView, now time.Time) directory.View {
 	for id, v := range journaled {
 		if _, known := view.Entries[id]; known || v.Removed {
 			continue
@@ -160,33 +162,33 @@
 	return view
 }
 
-// changes compares what is believed with what the log holds.
-func (c *Controller) changes(journaled map[api.VMID]cell.VMView) (seen []cell.ObservedVM, gone []api.VMID) {
+// changes compares the view with the VMs in the log.
+func (c *Controller) changes(journaled map[api.VMID]cell.VMView) (observed []cell.ObservedVM, removed []api.VMID) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	for _, id := range slices.Sorted(maps.Keys(c.view.Entries)) {
 		entry := c.view.Entries[id]
-		if !entry.IsMissing() && isWorker(entry.VM) && differs(entry.VM, journaled[id]) {
-			seen = append(seen, cell.ObservedVM{ID: id, Rack: entry.VM.Rack, Capacity: entry.VM.Capacity})
+		if !entry.IsMissing() && isWorker(entry.VM) && isChanged(entry.VM, journaled[id]) {
+			observed = append(observed, cell.ObservedVM{ID: id, Rack: entry.VM.Rack, Capacity: entry.VM.Capacity})
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(journaled)) {
-		if _, believed := c.view.Entries[id]; !believed && !journaled[id].Removed {
-			gone = append(gone, id)
+		if _, known := c.view.Entries[id]; !known && !journaled[id].Removed {
+			removed = append(removed, id)
 		}
 	}
-	return seen, gone
+	return observed, removed
 }
 
-// isWorker tells a worker VM from an entry VM, which runs no tasks.
+// isWorker tells worker VMs from entry VMs, which have no capacity for tasks.
 func isWorker(vm api.VM) bool { return !vm.Capacity.IsZero() }
 
-func differs(vm api.VM, v cell.VMView) bool {
+func isChanged(vm api.VM, v cell.VMView) bool {
 	return v.ID == "" || v.Removed || v.Rack != vm.Rack || v.Capacity != vm.Capacity
 }
 
-// VMs returns the VMs as believed: those listed, and those missing from the
-// list that are not given up.
+// VMs returns the listed VMs and those missing from the list that are not removed
+// yet.
 func (c *Controller) VMs() []api.VM {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -197,26 +199,26 @@
 	return vms
 }
 
-// Leaving reports whether the list says that a VM is leaving.
+// Leaving reports whether the list marks a VM as leaving.
 func (c *Controller) Leaving(id api.VMID) bool {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.view.Entries[id].VM.State == api.VMLeaving
 }
 
-// MissingDurations returns for how long the list, while it could be read, has lacked
-// each VM that it once held.
+// MissingDurations returns for how long each formerly listed VM has been missing
+// from the lists that could be read.
 func (c *Controller) MissingDurations(now time.Time) map[api.VMID]time.Duration {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	absent := make(map[api.VMID]time.Duration)
-	for id, since := range c.departed {
-		absent[id] = now.Sub(since)
+	missing := make(map[api.VMID]time.Duration)
+	for id, since := range c.removedSince {
+		missing[id] = now.Sub(since)
 	}
 	for id, entry := range c.view.Entries {
 		if entry.IsMissing() {
-			absent[id] = now.Sub(entry.MissingSince)
+			missing[id] = now.Sub(entry.MissingSince)
 		}
 	}
-	return absent
+	return missing
 }
--- a/internal/controller/worker/batcher.go
+++ b/internal/controller/worker/batcher.go
@@ -13,55 +13,56 @@
 	"github.com/skylarklock/skylarklock/internal/lease"
 )
 
-// batcher collects reports and journals many in one entry. A report that
-// could not be journaled is dropped: the next exchange brings it again.
+// batcher collects reports and journals many in one entry. A report that could not
+// be journaled is dropped, because the next exchange reports it again.
 type batcher struct {
-	cfg      Config
-	machine  *cell.StateMachine
-	proposer journal.Proposer
-	auth     controller.Authority
-	counters cell.Counters
-	clock    func() time.Time
-	full     chan struct{} // a batch is full
+	cfg        Config
+	machine    *cell.StateMachine
+	proposer   journal.Proposer
+	auth       controller.Authority
+	counters   cell.Counters
+	clock      func() time.Time
+	batchReady chan struct{} // receives when a full batch is pending
 
 	mu      sync.Mutex
-	waiting []waiting
-	known   map[lease.Attempt]cell.AttemptStatus // waiting or under way
+	pending []pendingReport
+	queued  map[lease.Attempt]cell.AttemptStatus // status of the reports that are pending or being journaled
 }
 
-type waiting struct {
+// pendingReport is a report with the order in which its task is placed again.
+type pendingReport struct {
 	report cell.Report
 	order  recovery.Order
 }
 
-// maxBatches bounds the entries under way at once.
+// maxBatches is the maximum number of entries being journaled at the same time.
 const maxBatches = 4
 
 func newBatcher(cfg Config, machine *cell.StateMachine, proposer journal.Proposer, auth controller.Authority, counters cell.Counters, clock func() time.Time) *batcher {
 	return &batcher{
 		cfg: cfg, machine: machine, proposer: proposer, auth: auth, counters: counters, clock: clock,
-		full:  make(chan struct{}, 1),
-		known: make(map[lease.Attempt]cell.AttemptStatus),
+		batchReady: make(chan struct{}, 1),
+		queued:     make(map[lease.Attempt]cell.AttemptStatus),
 	}
 }
 
-// add takes a report unless the same one is on its way already.
-func (b *batcher) add(r cell.Report, h cell.AllocatedTask) {
+// add queues a report unless the same one is pending or being journaled.
+func (b *batcher) add(r cell.Report, task cell.AllocatedTask) {
 	a := lease.Attempt{Task: r.Task, Attempt: r.Attempt}
-	order := recovery.Order{Task: h.Task}
-	if job, ok := b.machine.Job(h.Task.Job); ok {
-		order = recovery.OrderOf(job, h.Task)
+	order := recovery.Order{Task: task.Task}
+	if job, ok := b.machine.Job(task.Task.Job); ok {
+		order = recovery.OrderOf(job, task.Task)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.known[a] == r.Status {
+	if b.queued[a] == r.Status {
 		return
 	}
-	b.known[a] = r.Status
-	b.waiting = append(b.waiting, waiting{report: r, order: order})
-	if len(b.waiting) >= b.cfg.MaxBatch {
+	b.queued[a] = r.Status
+	b.pending = append(b.pending, pendingReport{report: r, order: order})
+	if len(b.pending) >= b.cfg.MaxBatch {
 		select {
-		case b.full <- struct{}{}:
+		case b.batchReady <- struct{}{}:
 		default:
 		}
 	}
@@ -79,9 +80,9 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-b.full:
+		case <-b.batchReady:
 		}
-		batch := b.take()
+		batch := b.takeBatch()
 		if len(batch) == 0 {
 			continue
 		}
@@ -97,17 +98,18 @@
 	}
 }
 
-// take removes a batch, in the order in which lost work is placed again.
-func (b *batcher) take() []cell.Report {
+// takeBatch removes and returns a batch. Reports come in the order in which their
+// tasks would be placed again.
+func (b *batcher) takeBatch() []cell.Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	recovery.Sort(b.waiting, func(w waiting) recovery.Order { return w.order })
-	n := min(len(b.waiting), b.cfg.MaxBatch)
+	recovery.Sort(b.pending, func(p pendingReport) recovery.Order { return p.order })
+	n := min(len(b.pending), b.cfg.MaxBatch)
 	batch := make([]cell.Report, n)
-	for i, w := range b.waiting[:n] {
-		batch[i] = w.report
+	for i, p := range b.pending[:n] {
+		batch[i] = p.report
 	}
-	b.waiting = append([]waiting(nil), b.waiting[n:]...)
+	b.pending = append([]pendingReport(nil), b.pending[n:]...)
 	return batch
 }
 
@@ -129,8 +131,8 @@
 	defer b.mu.Unlock()
 	for _, r := range batch {
 		a := lease.Attempt{Task: r.Task, Attempt: r.Attempt}
-		if b.known[a] == r.Status {
-			delete(b.known, a)
+		if b.queued[a] == r.Status {
+			delete(b.queued, a)
 		}
 	}
 }
--- a/internal/controller/worker/exchange.go
+++ b/internal/controller/worker/exchange.go
@@ -13,14 +13,14 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// exchange does one exchange with a VM and journals what it brought.
+// exchange performs one exchange with a VM and journals the changes it reports.
 func (c *Controller) exchange(ctx context.Context, v *vm, timeout time.Duration) {
-	defer v.done()
+	defer v.endExchange()
 	v.changed.Store(false)
-	held := c.machine.TasksOnVM(v.id)
+	allocated := c.machine.TasksOnVM(v.id)
 	v.mu.Lock()
 	address := v.address
-	msg, out, ok := c.compose(v, held)
+	msg, sent, ok := c.buildSync(v, allocated)
 	v.mu.Unlock()
 	if !ok {
 		return
@@ -30,104 +30,105 @@
 	report, err := c.send(ctx, v, address, msg)
 	now := c.clock()
 	if err != nil {
-		c.failed(v, out, err)
-		c.lapse(v, now, held)
+		c.handleFailure(v, sent, err)
+		c.expireLease(v, now, allocated)
 		return
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	restarted := out.grant.Incarnation != 0 && report.Incarnation != out.grant.Incarnation
-	if !v.tracker.ApplyReport(now, out.grant.ExchangeID, report) {
+	restarted := sent.grant.Incarnation != 0 && report.Incarnation != sent.grant.Incarnation
+	if !v.tracker.ApplyReport(now, sent.grant.ExchangeID, report) {
 		c.counters.Inc(counterGroup, "report_out_of_order")
 		return
 	}
-	v.answered(now, report)
-	c.judge(v, held, report, restarted)
-	if out.grant.Expiry == 0 {
-		v.changed.Store(true) // the first contact renewed and told nothing
+	v.recordReport(now, report)
+	c.compareReport(v, allocated, report, restarted)
+	if sent.grant.Expiry == 0 {
+		v.changed.Store(true) // the first exchange renewed no lease and carried no orders
 	}
 }
 
-// outgoing is what an exchange was built from.
-type outgoing struct {
+// sentSync holds the lease grant and the starts of an exchange.
+type sentSync struct {
 	grant  lease.Grant
 	starts []lease.Attempt
 }
 
-// compose builds the message. It needs the VM locked.
-func (c *Controller) compose(v *vm, held []cell.AllocatedTask) (platform.WorkerSync, outgoing, bool) {
+// buildSync builds the message of an exchange. The VM must be locked.
+func (c *Controller) buildSync(v *vm, allocated []cell.AllocatedTask) (platform.WorkerSync, sentSync, bool) {
 	msg := platform.WorkerSync{Epoch: v.tenure.epoch}
-	var out outgoing
+	var sent sentSync
 	if v.tracker.Incarnation() != 0 {
-		for _, h := range held {
-			a := attemptOf(h)
-			if h.State == api.TaskStarting && !v.tracker.Known(a) {
-				msg.Starts = append(msg.Starts, c.startOf(h))
-				out.starts = append(out.starts, a)
+		for _, task := range allocated {
+			a := attemptOf(task)
+			if task.State == api.TaskStarting && !v.tracker.Known(a) {
+				msg.Starts = append(msg.Starts, c.taskStart(task))
+				sent.starts = append(sent.starts, a)
 			}
 		}
-		msg.Stops = c.stops(v, held)
+		msg.Stops = c.buildStops(v, allocated)
 	}
-	grant, ok := v.tracker.BuildGrant(out.starts)
-	out.grant = grant
+	grant, ok := v.tracker.BuildGrant(sent.starts)
+	sent.grant = grant
 	msg.Incarnation = grant.Incarnation
 	msg.LeaseExpiry = grant.Expiry
-	return msg, out, ok
+	return msg, sent, ok
 }
 
-func attemptOf(h cell.AllocatedTask) lease.Attempt {
-	return lease.Attempt{Task: h.Task, Attempt: h.Attempt}
+func attemptOf(task cell.AllocatedTask) lease.Attempt {
+	return lease.Attempt{Task: task.Task, Attempt: task.Attempt}
 }
 
-func (c *Controller) startOf(h cell.AllocatedTask) platform.TaskStart {
-	job, _ := c.machine.Job(h.Task.Job)
+func (c *Controller) taskStart(task cell.AllocatedTask) platform.TaskStart {
+	job, _ := c.machine.Job(task.Task.Job)
 	return platform.TaskStart{
-		Task:      h.Task,
-		Attempt:   h.Attempt,
-		Resources: h.Resources,
+		Task:      task.Task,
+		Attempt:   task.Attempt,
+		Resources: task.Resources,
 		RunTime:   job.Spec.RunTime,
-		Restore:   h.HasCheckpoint,
+		Restore:   task.HasCheckpoint,
 		Payload:   job.Spec.Payload,
 	}
 }
 
-// stops orders what the log wants stopped, and lets the VM forget the
-// attempts that, by the log, it no longer holds: a StopKill for an attempt
-// that ended acknowledges its end.
-func (c *Controller) stops(v *vm, held []cell.AllocatedTask) []platform.TaskStop {
+// buildStops returns the throttles and stops for a VM: the stops ordered by the log,
+// and a StopKill for each reported attempt that no longer holds the VM in the log.
+// For an attempt that has ended, the StopKill acknowledges the end and lets the VM
+// forget the attempt.
+func (c *Controller) buildStops(v *vm, allocated []cell.AllocatedTask) []platform.TaskStop {
 	stops := c.observer.TakeThrottles(v.id)
-	holds := make(map[lease.Attempt]bool, len(held))
-	for _, h := range held {
-		a := attemptOf(h)
-		holds[a] = true
-		if h.State == api.TaskStopping && v.tracker.Known(a) {
-			stops = append(stops, platform.TaskStop{Task: h.Task, Attempt: h.Attempt, Mode: stopMode(h)})
+	isAllocated := make(map[lease.Attempt]bool, len(allocated))
+	for _, task := range allocated {
+		a := attemptOf(task)
+		isAllocated[a] = true
+		if task.State == api.TaskStopping && v.tracker.Known(a) {
+			stops = append(stops, platform.TaskStop{Task: task.Task, Attempt: task.Attempt, Mode: stopMode(task)})
 		}
 	}
 	if v.report != nil {
 		for _, r := range v.report.Tasks {
-			if !holds[lease.Attempt{Task: r.Task, Attempt: r.Attempt}] {
+			if !isAllocated[lease.Attempt{Task: r.Task, Attempt: r.Attempt}] {
 				stops = append(stops, platform.TaskStop{Task: r.Task, Attempt: r.Attempt, Mode: platform.StopKill})
 			}
 		}
 	}
-	v.tracker.Prune(func(a lease.Attempt) bool { return holds[a] })
+	v.tracker.Prune(func(a lease.Attempt) bool { return isAllocated[a] })
 	return stops
 }
 
-func stopMode(h cell.AllocatedTask) platform.StopMode {
-	if h.CheckpointOnStop {
+func stopMode(task cell.AllocatedTask) platform.StopMode {
+	if task.CheckpointOnStop {
 		return platform.StopCheckpoint
 	}
 	return platform.StopKill
 }
 
-// errSuperseded: the message was built, but may not be sent any more.
+// errSuperseded is returned for a message that was built but must not be sent any more.
 var errSuperseded = errors.New("worker: hold not confirmed at the time of sending")
 
-// send checks the hold after the message was built, so that a pause before
-// the check costs the message and a pause after it is covered by the expiry
-// in the message.
+// send confirms the hold on the cell shard after the message was built. A pause
+// before this check cancels the message; for a pause after it, the message carries
+// its own lease expiry.
 func (c *Controller) send(ctx context.Context, v *vm, address api.VM, msg platform.WorkerSync) (platform.WorkerReport, error) {
 	if address.Address == "" {
 		return platform.WorkerReport{}, platform.ErrWorkerUnreachable
@@ -139,9 +140,9 @@
 	return c.workers.Sync(ctx, address, msg)
 }
 
-// failed counts a failed exchange and takes back starts that were certainly
-// not delivered.
-func (c *Controller) failed(v *vm, out outgoing, err error) {
+// handleFailure counts a failed exchange and reverts starts that were certainly not
+// delivered.
+func (c *Controller) handleFailure(v *vm, sent sentSync, err error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.failures++
@@ -149,12 +150,12 @@
 	switch {
 	case errors.Is(err, errSuperseded):
 		reason = "superseded"
-		v.tracker.RevertStarts(out.starts)
+		v.tracker.RevertStarts(sent.starts)
 	case errors.Is(err, platform.ErrWorkerUnreachable):
 		reason = "unreachable"
-		v.tracker.RevertStarts(out.starts)
+		v.tracker.RevertStarts(sent.starts)
 	case errors.Is(err, platform.ErrWorkerFenced):
-		reason = "fenced" // a newer holder is about: nothing is told again
+		reason = "fenced" // a newer holder exists, so the starts are not sent again
 	}
 	c.counters.Inc(counterGroup, reason)
 	if v.failures == 1 {
@@ -162,69 +163,69 @@
 	}
 }
 
-// lapse gives up what a VM held when its lease has certainly lapsed.
-func (c *Controller) lapse(v *vm, now time.Time, held []cell.AllocatedTask) {
+// expireLease reports all tasks of a VM as lost if its lease has certainly expired.
+func (c *Controller) expireLease(v *vm, now time.Time, allocated []cell.AllocatedTask) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !v.tracker.Expired(now) {
 		return
 	}
-	v.lapsed = true
-	for _, h := range held {
-		v.tracker.MarkEnded(attemptOf(h))
-		c.journal.add(cell.Report{Task: h.Task, Attempt: h.Attempt, Status: cell.AttemptLost, Reason: api.ReasonLeaseExpired}, h)
+	v.leaseExpired = true
+	for _, task := range allocated {
+		v.tracker.MarkEnded(attemptOf(task))
+		c.batcher.add(cell.Report{Task: task.Task, Attempt: task.Attempt, Status: cell.AttemptLost, Reason: api.ReasonLeaseExpired}, task)
 	}
 }
 
-// answered notes a report. It needs the VM locked.
-func (v *vm) answered(now time.Time, report platform.WorkerReport) {
+// recordReport records that the VM has answered with report. The VM must be locked.
+func (v *vm) recordReport(now time.Time, report platform.WorkerReport) {
 	v.answeredAt = now
 	v.failures = 0
-	v.lapsed = false
+	v.leaseExpired = false
 	v.leaving = report.Leaving
 	v.report = &report
 }
 
-// judge compares a report with what the log said before the exchange. It
-// needs the VM locked.
-func (c *Controller) judge(v *vm, held []cell.AllocatedTask, report platform.WorkerReport, restarted bool) {
+// compareReport compares a report with the state of the log before the exchange and
+// journals the differences. The VM must be locked.
+func (c *Controller) compareReport(v *vm, allocated []cell.AllocatedTask, report platform.WorkerReport, restarted bool) {
 	reported := make(map[lease.Attempt]platform.TaskReport, len(report.Tasks))
 	for _, r := range report.Tasks {
 		reported[lease.Attempt{Task: r.Task, Attempt: r.Attempt}] = r
 		c.observer.ObserveReport(v.id, r)
 	}
-	c.expectEnds(v, v.answeredAt, held, reported)
-	for _, h := range held {
-		a := attemptOf(h)
+	c.scheduleNextCheck(v, v.answeredAt, allocated, reported)
+	for _, task := range allocated {
+		a := attemptOf(task)
 		if r, ok := reported[a]; ok {
-			c.present(h, r)
+			c.reportChange(task, r)
 			continue
 		}
-		if h.State == api.TaskStarting && !v.tracker.Known(a) {
-			continue // to be told with the next exchange
+		if task.State == api.TaskStarting && !v.tracker.Known(a) {
+			continue // the next exchange will send the start
 		}
 		if v.tracker.ConfirmMissing(a) {
-			c.journal.add(cell.Report{Task: h.Task, Attempt: h.Attempt, Status: cell.AttemptLost, Reason: missingReason(h, restarted)}, h)
+			c.batcher.add(cell.Report{Task: task.Task, Attempt: task.Attempt, Status: cell.AttemptLost, Reason: missingReason(task, restarted)}, task)
 		}
 	}
 }
 
-func missingReason(h cell.AllocatedTask, restarted bool) api.Reason {
+func missingReason(task cell.AllocatedTask, restarted bool) api.Reason {
 	switch {
-	case h.State == api.TaskStopping:
-		return h.Reason
+	case task.State == api.TaskStopping:
+		return task.Reason
 	case restarted:
 		return api.ReasonWorkerRestart
 	}
 	return api.ReasonWorkerLost
 }
 
-// present journals the change that a report of an attempt makes.
-func (c *Controller) present(h cell.AllocatedTask, r platform.TaskReport) {
-	report := cell.Report{Task: h.Task, Attempt: h.Attempt}
+// reportChange journals the change of status in the report of an attempt, if any.
+func (c *Controller) reportChange(task cell.AllocatedTask, r platform.TaskReport) {
+	report := cell.Report{Task: task.Task, Attempt: task.Attempt}
 	switch r.State {
 	case platform.RunRunning:
-		if h.State != api.TaskStarting {
+		if task.State != api.TaskStarting {
 			return
 		}
 		report.Status = cell.AttemptRunning
@@ -237,18 +238,19 @@
 		report.Status = cell.AttemptCheckpointed
 	case platform.RunKilled:
 		report.Status = cell.AttemptKilled
-		if h.State != api.TaskStopping {
+		if task.State != api.TaskStopping {
 			report.Reason = api.ReasonLeaseExpired
 		}
 	default:
 		c.counters.Inc(counterGroup, "unknown_run_state")
 		return
 	}
-	c.journal.add(report, h)
+	c.batcher.add(report, task)
 }
 
-// endingOf gives the ending that led to an event, as far as it shows.
-func endingOf(e cell.Event) cell.AttemptStatus {
+// endedStatus returns the final status of the attempt of an EventTaskFreed, as far as
+// the event shows it.
+func endedStatus(e cell.Event) cell.AttemptStatus {
 	switch {
 	case e.State == api.TaskFinished:
 		return cell.AttemptSucceeded
--- a/internal/controller/worker/vm.go
+++ b/internal/controller/worker/vm.go
@@ -10,25 +10,25 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// vm is one VM during one tenure.
+// vm is the state of one VM during one tenure.
 type vm struct {
 	id      api.VMID
 	tenure  tenure
 	cfg     Config
-	changed atomic.Bool // something to tell
+	changed atomic.Bool // the next exchange has something to send
 
-	mu         sync.Mutex
-	address    api.VM
-	busy       bool // an exchange is under way
-	tracker    *lease.Tracker
-	last       time.Time // start of the latest exchange
-	answeredAt time.Time // latest report
-	lapsed     bool      // its lease has, since the latest report
-	failures   int       // exchanges without an answer in a row
-	leaving    bool
-	report     *platform.WorkerReport // latest
-	look       time.Time              // when a task may have ended; from the latest report
-	stopGap    time.Duration          // from one look at stops under way to the next; zero: none are
+	mu                sync.Mutex
+	address           api.VM
+	busy              bool // an exchange is in progress
+	tracker           *lease.Tracker
+	lastExchange      time.Time // start of the latest exchange
+	answeredAt        time.Time // time of the latest report
+	leaseExpired      bool      // the lease has expired since the latest report
+	failures          int       // consecutive exchanges without an answer
+	leaving           bool
+	report            *platform.WorkerReport // latest report
+	nextCheck         time.Time              // when a task may have ended, according to the latest report
+	stopCheckInterval time.Duration          // between checks of pending stops; zero if there are none
 }
 
 func newVM(address api.VM, t tenure, cfg Config) *vm {
@@ -47,58 +47,58 @@
 	v.address = address
 }
 
-// dueVM is a VM to sync, as seen when it was found due.
+// dueVM is a VM to exchange with, in the state in which it was found due.
 type dueVM struct {
-	vm      *vm
-	last    time.Time
-	probe   bool // it did not answer the last exchange, or had none yet
-	lapsing bool // silent, and its lease has lapsed by now
+	vm           *vm
+	lastExchange time.Time
+	isProbe      bool // the VM did not answer the latest exchange, or had none yet
+	leaseExpired bool // the VM is unresponsive and its lease has just expired
 }
 
-// before puts what waits longest first.
+// before orders VMs by the time since their latest exchange, longest first.
 func (d dueVM) before(o dueVM) bool {
-	if !d.last.Equal(o.last) {
-		return d.last.Before(o.last)
+	if !d.lastExchange.Equal(o.lastExchange) {
+		return d.lastExchange.Before(o.lastExchange)
 	}
 	return d.vm.id < o.vm.id
 }
 
-// due reports whether the VM is to be synced now.
-func (v *vm) due(now time.Time) (dueVM, bool) {
+// checkDue reports whether an exchange with the VM is due.
+func (v *vm) checkDue(now time.Time) (dueVM, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	d := dueVM{vm: v, last: v.last, probe: v.failures > 0 || v.report == nil}
-	d.lapsing = v.failures > 0 && !v.lapsed && !now.Before(v.tracker.ExpiresAt())
+	d := dueVM{vm: v, lastExchange: v.lastExchange, isProbe: v.failures > 0 || v.report == nil}
+	d.leaseExpired = v.failures > 0 && !v.leaseExpired && !now.Before(v.tracker.ExpiresAt())
 	if v.busy {
 		return d, false
 	}
-	return d, d.lapsing || !now.Before(v.next())
+	return d, d.leaseExpired || !now.Before(v.nextExchange())
 }
 
-// next is when the next exchange is due: when a task may have ended, if that
-// comes first.
-func (v *vm) next() time.Time {
-	at := v.last.Add(v.pause())
-	if v.failures > 0 || v.look.IsZero() || !v.look.Before(at) {
+// nextExchange returns when the next exchange is due: after the regular interval, or
+// earlier if a task may have ended by then.
+func (v *vm) nextExchange() time.Time {
+	at := v.lastExchange.Add(v.exchangeInterval())
+	if v.failures > 0 || v.nextCheck.IsZero() || !v.nextCheck.Before(at) {
 		return at
 	}
-	if earliest := v.last.Add(v.cfg.MinInterval); v.look.Before(earliest) {
+	if earliest := v.lastExchange.Add(v.cfg.MinInterval); v.nextCheck.Before(earliest) {
 		return earliest
 	}
-	return v.look
+	return v.nextCheck
 }
 
-// begin marks the VM as busy. Only the loop calls it.
-func (v *vm) begin(now time.Time) {
+// beginExchange marks the VM as busy. It is called only by the loop of the controller.
+func (v *vm) beginExchange(now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.busy = true
-	v.last = now
+	v.lastExchange = now
 }
 
-// pause is the time from one exchange to the next.
-func (v *vm) pause() time.Duration {
-	if v.failures > 0 && !v.lapsed {
+// exchangeInterval returns the regular interval between two exchanges.
+func (v *vm) exchangeInterval() time.Duration {
+	if v.failures > 0 && !v.leaseExpired {
 		return v.cfg.RetryInterval
 	}
 	if v.failures > 0 {
@@ -110,7 +110,7 @@
 	return v.cfg.Interval
 }
 
-func (v *vm) done() {
+func (v *vm) endExchange() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.busy = false
--- a/internal/controller/worker/worker.go
+++ b/internal/controller/worker/worker.go
@@ -1,10 +1,10 @@
-// Package worker is the controller that keeps worker VMs in step with the
-// log: one exchange per VM renews the lease, passes on starts and stops and
-// brings back what the VM runs.
+// Package worker is the controller that synchronizes worker VMs with the log. One
+// exchange with a VM renews its lease, sends starts and stops and returns the
+// status of its tasks.
 //
-// It is level-triggered. Each exchange compares what the log says the VM
-// holds with what the VM reports; no change is lost with a message, and a
-// new holder of the cell begins from the same two states.
+// The controller is level-triggered: each exchange compares the tasks of the VM in
+// the log with those that the VM reports. A lost message therefore loses no change,
+// and a new holder of the cell starts from the same two states.
 package worker
 
 import (
@@ -23,41 +23,42 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// Directory gives the addresses of the VMs.
+// Directory returns the VMs with their addresses.
 type Directory interface {
 	VMs() []api.VM
 }
 
-// Observer learns from reports: estimates of use and time, and VMs that fail
-// what they start. Its methods are called concurrently and must return soon.
+// Observer learns from reports, to estimate resource use and run time and to detect
+// VMs on which tasks fail. Its methods are called concurrently and must return
+// quickly.
 type Observer interface {
-	// ObserveReport tells of each attempt in each report.
+	// ObserveReport is called for each attempt in each report.
 	ObserveReport(vm api.VMID, r platform.TaskReport)
-	// ObserveEnd tells once of each attempt whose end was journaled.
+	// ObserveEnd is called once for each attempt whose end was journaled.
 	ObserveEnd(vm api.VMID, task api.TaskID, ending cell.AttemptStatus)
-	// TakeThrottles returns the attempts on vm to be held to their declared use.
+	// TakeThrottles returns the attempts on vm to limit to their declared use.
 	TakeThrottles(vm api.VMID) []platform.TaskStop
 }
 
 // Config holds the controller's settings.
 type Config struct {
 	Lease         lease.Params
-	Interval      time.Duration // between exchanges with a VM that has no changes
-	MinInterval   time.Duration // between exchanges with a VM that has changes
-	RetryInterval time.Duration // after an exchange without an answer, while the lease may hold
-	TickInterval  time.Duration // between two looks for VMs that are due
-	Timeout       time.Duration // of an exchange with a VM that answered the last
-	Concurrency   int           // such exchanges under way at once
-	FlushInterval time.Duration // longest wait of a report for its entry
-	MaxBatch      int           // reports in one entry
-	MaxBackoff    time.Duration // longest pause between exchanges with a VM whose lease has lapsed
+	Interval      time.Duration // between exchanges with a VM without changes
+	MinInterval   time.Duration // between exchanges with a VM with changes
+	RetryInterval time.Duration // after an exchange without an answer, until the lease has expired
+	TickInterval  time.Duration // between checks for VMs that are due
+	Timeout       time.Duration // of an exchange with a VM that answered the previous one
+	Concurrency   int           // maximum number of such exchanges in progress
+	FlushInterval time.Duration // maximum delay of a report before it is journaled
+	MaxBatch      int           // maximum number of reports in one entry
+	MaxBackoff    time.Duration // maximum interval between exchanges with a VM whose lease has expired
 
-	ProbeTimeout     time.Duration // of an exchange with any other VM
-	ProbeConcurrency int           // such exchanges under way at once
-	RefreshInterval  time.Duration // between two looks at the directory
+	ProbeTimeout     time.Duration // of an exchange with a VM that did not answer the previous one
+	ProbeConcurrency int           // maximum number of such exchanges in progress
+	RefreshInterval  time.Duration // between two reads of the directory
 }
 
-// DefaultConfig returns the settings used in production.
+// DefaultConfig returns the production settings.
 func DefaultConfig(p lease.Params) Config {
 	return Config{
 		Lease:         p,
@@ -77,53 +78,53 @@
 	}
 }
 
-// tenure is one time of holding the cell shard.
+// tenure is a period during which this entry VM holds the cell shard.
 type tenure struct {
 	epoch    api.Epoch
 	takeover time.Time
 }
 
-// Controller syncs the VMs. Its methods are safe for concurrent use.
+// Controller exchanges with the VMs. Its methods are safe for concurrent use.
 type Controller struct {
-	cfg      Config
-	machine  *cell.StateMachine
-	workers  platform.Worker
-	dir      Directory
-	auth     controller.Authority
-	observer Observer
-	counters cell.Counters
-	log      logrus.FieldLogger
-	clock    func() time.Time
-	journal  *batcher
-	slots    chan struct{} // bounds the exchanges under way
-	probes   chan struct{} // bounds those with VMs that may not answer
+	cfg       Config
+	machine   *cell.StateMachine
+	workers   platform.Worker
+	directory Directory
+	auth      controller.Authority
+	observer  Observer
+	counters  cell.Counters
+	log       logrus.FieldLogger
+	clock     func() time.Time
+	batcher   *batcher
+	slots     chan struct{} // limits concurrent exchanges
+	probes    chan struct{} // limits concurrent exchanges with VMs that may not answer
 
 	mu          sync.RWMutex
 	tenure      tenure
 	vms         map[api.VMID]*vm
-	refreshedAt time.Time // zero: the VMs have changed
+	refreshedAt time.Time // zero if a refresh is due
 }
 
-// counterGroup is the group of this package's counters.
+// counterGroup is the counter group of this package.
 const counterGroup = "worker_sync"
 
-// New returns a controller. It subscribes to machine.
-func New(cfg Config, machine *cell.StateMachine, proposer journal.Proposer, workers platform.Worker, dir Directory, auth controller.Authority, observer Observer, counters cell.Counters, log logrus.FieldLogger, clock func() time.Time) *Controller {
+// New returns a controller that is subscribed to machine.
+func New(cfg Config, machine *cell.StateMachine, proposer journal.Proposer, workers platform.Worker, directory Directory, auth controller.Authority, observer Observer, counters cell.Counters, log logrus.FieldLogger, clock func() time.Time) *Controller {
 	c := &Controller{
-		cfg: cfg, machine: machine, workers: workers, dir: dir, auth: auth, observer: observer,
+		cfg: cfg, machine: machine, workers: workers, directory: directory, auth: auth, observer: observer,
 		counters: counters, log: log, clock: clock,
 		slots:  make(chan struct{}, cfg.Concurrency),
 		probes: make(chan struct{}, cfg.ProbeConcurrency),
 		vms:    make(map[api.VMID]*vm),
 	}
-	c.journal = newBatcher(cfg, machine, proposer, auth, counters, clock)
-	machine.Subscribe(c.applied)
+	c.batcher = newBatcher(cfg, machine, proposer, auth, counters, clock)
+	machine.Subscribe(c.handleEvents)
 	return c
 }
 
-// applied marks the VMs that have something to be told. After a restore the
-// tenure begins anew: what was applied in between is not known.
-func (c *Controller) applied(events []cell.Event) {
+// handleEvents marks the VMs for which there are new orders. After a restore it
+// restarts the tenure, because the entries applied in between are unknown.
+func (c *Controller) handleEvents(events []cell.Event) {
 	if events[0].Kind == cell.EventRestored {
 		c.mu.Lock()
 		c.tenure = tenure{}
@@ -140,16 +141,16 @@
 			}
 		}
 		if e.Kind == cell.EventTaskFreed {
-			c.observer.ObserveEnd(e.VM, e.Task, endingOf(e))
+			c.observer.ObserveEnd(e.VM, e.Task, endedStatus(e))
 		}
 	}
 }
 
-// Run syncs the VMs until ctx ends.
+// Run exchanges with the VMs until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
 	var running sync.WaitGroup
 	defer running.Wait()
-	running.Go(func() { c.journal.run(ctx) })
+	running.Go(func() { c.batcher.run(ctx) })
 	return controller.RunPeriodically(ctx, c.cfg.TickInterval, nil, func(ctx context.Context) { c.step(ctx, &running) })
 }
 
@@ -160,40 +161,40 @@
 	if !ok {
 		return
 	}
-	c.enter(tenure{epoch: epoch, takeover: takeover})
-	c.refresh(now)
-	for _, d := range c.due(now) {
-		if d.lapsing {
-			c.lapse(d.vm, now, c.machine.TasksOnVM(d.vm.id))
+	c.startTenure(tenure{epoch: epoch, takeover: takeover})
+	c.refreshVMs(now)
+	for _, d := range c.dueVMs(now) {
+		if d.leaseExpired {
+			c.expireLease(d.vm, now, c.machine.TasksOnVM(d.vm.id))
 		}
-		c.launch(ctx, running, d, now)
+		c.startExchange(ctx, running, d, now)
 	}
 }
 
-// launch starts an exchange if there is room for it. VMs that may not answer
-// have room of their own, so that they can't keep the others from their
-// leases.
-func (c *Controller) launch(ctx context.Context, running *sync.WaitGroup, d dueVM, now time.Time) {
-	room, timeout := c.slots, c.cfg.Timeout
-	if d.probe {
-		room, timeout = c.probes, c.cfg.ProbeTimeout
+// startExchange starts an exchange if the number in progress is below its limit. VMs
+// that may not answer have a separate limit, so that they can't delay the lease
+// renewals of the others.
+func (c *Controller) startExchange(ctx context.Context, running *sync.WaitGroup, d dueVM, now time.Time) {
+	slots, timeout := c.slots, c.cfg.Timeout
+	if d.isProbe {
+		slots, timeout = c.probes, c.cfg.ProbeTimeout
 	}
 	select {
-	case room <- struct{}{}:
+	case slots <- struct{}{}:
 	default:
 		c.counters.Inc(counterGroup, "no_room")
 		return
 	}
-	d.vm.begin(now)
+	d.vm.beginExchange(now)
 	running.Go(func() {
-		defer func() { <-room }()
+		defer func() { <-slots }()
 		c.exchange(ctx, d.vm, timeout)
 	})
 }
 
-// enter begins a tenure: whatever the log says the VMs hold may have been
-// told to them by an earlier holder.
-func (c *Controller) enter(t tenure) {
+// startTenure starts a tenure. All tasks that hold VMs in the log may have been sent
+// to the VMs by an earlier holder.
+func (c *Controller) startTenure(t tenure) {
 	c.mu.RLock()
 	same := c.tenure == t
 	c.mu.RUnlock()
@@ -201,7 +202,7 @@
 		return
 	}
 	vms := 0
-	// No entry is applied meanwhile, so that no start falls between.
+	// No entry is applied during View, so no start is missed.
 	c.machine.View(func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -210,8 +211,8 @@
 		c.vms = make(map[api.VMID]*vm)
 		for _, view := range c.machine.VMs() {
 			v := newVM(api.VM{ID: view.ID}, t, c.cfg)
-			for _, held := range c.machine.TasksOnVM(view.ID) {
-				v.tracker.Inherit(lease.Attempt{Task: held.Task, Attempt: held.Attempt})
+			for _, task := range c.machine.TasksOnVM(view.ID) {
+				v.tracker.Inherit(lease.Attempt{Task: task.Task, Attempt: task.Attempt})
 			}
 			c.vms[view.ID] = v
 		}
@@ -220,20 +221,20 @@
 	c.log.WithFields(logrus.Fields{"epoch": t.epoch, "vms": vms}).Info("worker_tenure_began")
 }
 
-// refresh takes over addresses, adds VMs and drops those that the log has
-// forgotten.
-func (c *Controller) refresh(now time.Time) {
+// refreshVMs updates the addresses, adds new VMs and drops those that are no longer
+// in the log.
+func (c *Controller) refreshVMs(now time.Time) {
 	c.mu.Lock()
-	fresh := now.Sub(c.refreshedAt) < c.cfg.RefreshInterval
-	if !fresh {
+	isFresh := now.Sub(c.refreshedAt) < c.cfg.RefreshInterval
+	if !isFresh {
 		c.refreshedAt = now
 	}
 	c.mu.Unlock()
-	if fresh {
+	if isFresh {
 		return
 	}
 	listed := make(map[api.VMID]api.VM)
-	for _, vm := range c.dir.VMs() {
+	for _, vm := range c.directory.VMs() {
 		listed[vm.ID] = vm
 	}
 	journaled := c.machine.VMs()
@@ -258,13 +259,13 @@
 	}
 }
 
-// due returns the VMs to sync now, those waiting longest first.
-func (c *Controller) due(now time.Time) []dueVM {
+// dueVMs returns the VMs whose exchange is due, longest waiting first.
+func (c *Controller) dueVMs(now time.Time) []dueVM {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	var due []dueVM
 	for _, v := range c.vms {
-		if d, ok := v.due(now); ok {
+		if d, ok := v.checkDue(now); ok {
 			due = append(due, d)
 		}
 	}
@@ -272,15 +273,15 @@
 	return due
 }
 
-// Status is how a VM stands with this controller.
+// Status is the status of the exchanges with a VM.
 type Status struct {
-	IsResponsive bool // reported in this tenure, not longer than half a lease ago
-	Leaving      bool // says so in its reports
-	// LeaseExpiresAt is when every lease given to it has certainly lapsed.
+	IsResponsive bool // reported in this tenure, less than half a lease ago
+	Leaving      bool // the VM reports that it is leaving
+	// LeaseExpiresAt is when every lease granted to the VM has certainly expired.
 	LeaseExpiresAt time.Time
 }
 
-// Status returns how a VM stands; false when it is not known here.
+// Status returns the status of a VM, or false if it is unknown.
 func (c *Controller) Status(id api.VMID) (Status, bool) {
 	c.mu.RLock()
 	v := c.vms[id]
