--- a/internal/plan/backlog_test.go
+++ b/internal/plan/backlog_test.go
@@ -18,7 +18,7 @@
 		So(env.runCycle(), ShouldHaveLength, 1)
 		env.submitJob(2, testQueue, work.Step{TaskCount: 10, TaskResources: cpus(32), Estimate: time.Second})
 		env.runCycle()
-		q := env.cell.queueTable.QueueNamed(testQueue)
+		q := env.cell.queueConfig.QueueNamed(testQueue)
 		backlog := env.cell.Backlog(env.now)
 		So(backlog.ProcessingTime(), ShouldEqual, 10*time.Second)
 
@@ -31,11 +31,11 @@
 		})
 	})
 	Convey("A job may wait as long as it can end within three times its objective, at most 8 s", t, func() {
-		table := testQueueConfig()
+		config := testQueueConfig()
 		short := &work.Job{Steps: []work.Step{{TaskCount: 1, Estimate: 500 * time.Millisecond}}}
-		So(MaxUsefulWait(short, table.QueueNamed(testQueue)), ShouldEqual, 5500*time.Millisecond)
+		So(MaxUsefulWait(short, config.QueueNamed(testQueue)), ShouldEqual, 5500*time.Millisecond)
 		long := &work.Job{Steps: []work.Step{{TaskCount: 1, Estimate: 10 * time.Second}}}
-		So(MaxUsefulWait(long, table.QueueNamed(testQueue)), ShouldEqual, admission.BacklogThreshold)
+		So(MaxUsefulWait(long, config.QueueNamed(testQueue)), ShouldEqual, admission.BacklogThreshold)
 	})
 	Convey("Withdrawing a job that could not be made durable releases everything", t, func() {
 		env := newTestEnv(t, 1)
--- a/internal/plan/canary_test.go
+++ b/internal/plan/canary_test.go
@@ -95,7 +95,7 @@
 		env.reportAll()
 		env.cell.HandleExecutorLoss(env.executorRef(task.incarnation.ID), OtherIncarnation, env.now)
 	}
-	if state := env.cell.jobs[j.ID]; state == nil {
+	if planned := env.cell.jobs[j.ID]; planned == nil {
 		t.Error("the job has failed")
 	}
 }
--- a/internal/plan/cell.go
+++ b/internal/plan/cell.go
@@ -16,7 +16,7 @@
 	cfg                 Config
 	logger              *logrus.Entry
 	lookupJob           func(work.ID) *work.Job // returns any stored job, also one that has ended; nil if unknown
-	queueTable          *queue.Configuration
+	queueConfig         *queue.Configuration
 	registeredByService map[string]int    // number of registered executors by service
 	ledSince            time.Time         // when this leader took over
 	vms                 map[string]*vm    // by ID
@@ -60,7 +60,7 @@
 		cfg:                cfg,
 		logger:             logger,
 		lookupJob:          lookupJob,
-		queueTable:         &queue.Configuration{},
+		queueConfig:        &queue.Configuration{},
 		ledSince:           now,
 		vms:                make(map[string]*vm),
 		formerIncarnations: make(map[string]uint64),
@@ -73,13 +73,13 @@
 }
 
 // Configure replaces the configuration of queues and services.
-func (c *Cell) Configure(table *queue.Configuration) { c.queueTable = table }
+func (c *Cell) Configure(config *queue.Configuration) { c.queueConfig = config }
 
 // queueOf returns the queue of a job as configured now, or nil if the queue was removed.
 func (c *Cell) queueOf(j *job) *queue.Queue {
-	if j.table != c.queueTable {
-		j.table = c.queueTable
-		j.queue = c.queueTable.QueueNamed(j.spec.Queue)
+	if j.queueConfig != c.queueConfig {
+		j.queueConfig = c.queueConfig
+		j.queue = c.queueConfig.QueueNamed(j.spec.Queue)
 		if j.queue != nil {
 			j.maxAttempts = j.queue.MaxAttempts
 		}
--- a/internal/plan/executors.go
+++ b/internal/plan/executors.go
@@ -147,4 +147,4 @@
 
 // inService reports whether an executor is registered for a service of the current
 // configuration.
-func (c *Cell) inService(v *vm) bool { return v.registered && c.queueTable.HasService(v.Service) }
+func (c *Cell) inService(v *vm) bool { return v.registered && c.queueConfig.HasService(v.Service) }
--- a/internal/plan/incarnation.go
+++ b/internal/plan/incarnation.go
@@ -35,19 +35,19 @@
 	if v.registryRecord == nil || v.registryRecord.Ref.Incarnation().Matches(v.Ref.Incarnation()) {
 		return v.Ref.Address
 	}
-	v.useRegisteredAddress = !v.useRegisteredAddress
-	if v.useRegisteredAddress {
+	v.usedRegisteredAddress = !v.usedRegisteredAddress
+	if v.usedRegisteredAddress {
 		return v.registeredAddress
 	}
 	return v.Ref.Address
 }
 
 // setIncarnation records which incarnation has answered, if the answer says so.
-func (v *vm) setIncarnation(startedMillis int64) {
-	if startedMillis == 0 || startedMillis == v.Ref.StartTimeMs {
+func (v *vm) setIncarnation(startTimeMs int64) {
+	if startTimeMs == 0 || startTimeMs == v.Ref.StartTimeMs {
 		return
 	}
-	v.Ref.StartTimeMs = startedMillis
+	v.Ref.StartTimeMs = startTimeMs
 	v.hasOwnRecord = v.registryRecord != nil && v.registryRecord.Ref.Incarnation().Matches(v.Ref.Incarnation())
 }
 
--- a/internal/plan/incarnation_test.go
+++ b/internal/plan/incarnation_test.go
@@ -13,8 +13,9 @@
 // it counts as unresponsive.
 const shortRestartDelay = 600 * time.Millisecond
 
-// checkAcknowledgedEnds fails the test if a task was started again although the end of a run
-// of it as done was acknowledged, or the failed ends of as many runs as its queue allows.
+// checkAcknowledgedEnds fails the test if a task was started again after one of its runs had
+// ended as done, or after as many had failed as its queue allows. Only ends that were
+// acknowledged count, at whatever time they were.
 func (sim *crashSimulation) checkAcknowledgedEnds() {
 	sim.t.Helper()
 	lastRun := make(map[work.TaskKey]uint32)
--- a/internal/plan/job.go
+++ b/internal/plan/job.go
@@ -10,8 +10,8 @@
 
 // job is the leader's state of one job that has not ended.
 type job struct {
-	queue             *queue.Queue         // as configured in table; nil if the queue was removed
-	table             *queue.Configuration // the table that queue was looked up in
+	queue             *queue.Queue         // as configured in queueConfig; nil if the queue was removed
+	queueConfig       *queue.Configuration // the configuration that queue was looked up in
 	maxAttempts       int                  // attempts for each task, as last configured; 0 if never known here
 	latencyObjective  time.Duration        // latency objective of an occurrence, according to queue
 	spec              *work.Job
--- a/internal/plan/move.go
+++ b/internal/plan/move.go
@@ -6,9 +6,9 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Runs are moved away from executors that have become slow or stalled. Executors have been
-// seen to drop to a sixth of their pace in the middle of the run of a short task. If the task
-// stayed there, it would end when its result is no longer useful.
+// Runs are moved away from executors that have become slow or stalled. This is needed for
+// short tasks whose executor drops to a sixth of its pace in the middle of their run. If such
+// a task stayed there, it would end when its result is no longer useful.
 
 const (
 	// minSlowdown is how many times slower than before a run has to be for its executor to
--- a/internal/plan/place.go
+++ b/internal/plan/place.go
@@ -159,7 +159,7 @@
 	service := s.job.spec.Service
 	if q != nil {
 		service = q.Service // as named by the current configuration
-	} else if !c.queueTable.HasService(service) {
+	} else if !c.queueConfig.HasService(service) {
 		return false
 	}
 	if v.Service != service || !v.usable(now, &c.cfg) || v.closedTo(s, now) {
--- a/internal/plan/registration_test.go
+++ b/internal/plan/registration_test.go
@@ -61,20 +61,20 @@
 			So(env.holdContinues("f"), ShouldBeFalse)
 		})
 		Convey("it isn't counted in the size of advice calls", func() {
-			table := testQueueConfig()
-			So(env.cell.FirstAdviceCall(table.QueueNamed(testAdvisedQueue)), ShouldResemble, table.QueueNamed(testAdvisedQueue).Advice.CallTime(1))
+			config := testQueueConfig()
+			So(env.cell.FirstAdviceCall(config.QueueNamed(testAdvisedQueue)), ShouldResemble, config.QueueNamed(testAdvisedQueue).Advice.CallTime(1))
 		})
 		Convey("it is called once its service is configured", func() {
-			table := testQueueConfig()
-			table.Services[unconfiguredService] = queue.Service{Name: unconfiguredService}
-			env.cell.Configure(table)
+			config := testQueueConfig()
+			config.Services[unconfiguredService] = queue.Service{Name: unconfiguredService}
+			env.cell.Configure(config)
 			So(env.callableIDs(), ShouldResemble, []string{"e0", "f"})
 			So(env.holdContinues("f"), ShouldBeTrue)
 		})
 		Convey("it is called once a queue of its service is configured", func() {
-			table := testQueueConfig()
-			table.Queues = append(table.Queues, queue.Queue{Name: "q2", Service: unconfiguredService, MaxAttempts: 1})
-			env.cell.Configure(table)
+			config := testQueueConfig()
+			config.Queues = append(config.Queues, queue.Queue{Name: "q2", Service: unconfiguredService, MaxAttempts: 1})
+			env.cell.Configure(config)
 			So(env.callableIDs(), ShouldResemble, []string{"e0", "f"})
 		})
 		Convey("it is used once its record names a configured service", func() {
--- a/internal/plan/removed_queue_test.go
+++ b/internal/plan/removed_queue_test.go
@@ -14,7 +14,7 @@
 func TestAttemptsOfARemovedQueue(t *testing.T) {
 	Convey("A job whose queue is removed keeps its number of attempts", t, func() {
 		env := newTestEnv(t, 1)
-		q := env.cell.queueTable.QueueNamed(testQueue)
+		q := env.cell.queueConfig.QueueNamed(testQueue)
 		So(q.MaxAttempts, ShouldBeGreaterThan, 1)
 		j := env.submitJob(1, testQueue, work.Step{TaskCount: 1, TaskResources: cpus(1), Estimate: time.Second})
 		orders := env.runCycle()
--- a/internal/plan/report.go
+++ b/internal/plan/report.go
@@ -72,8 +72,9 @@
 	firstReport := !v.hasReported
 	v.setIncarnation(r.StartTimeMs)
 	if firstReport {
-		// A former leader may have extended the lease until this report, when the executor
-		// saw this leader's fencing token, and by the clock of a former incarnation.
+		// A former leader may have extended the lease until the executor saw this leader's
+		// fencing token, which this report shows. It may have done so by the clock of a
+		// former incarnation.
 		v.hasReported = true
 		maxLease := c.cfg.Lease
 		if v.Ref.StartTimeMs != 0 {
--- a/internal/plan/reserve.go
+++ b/internal/plan/reserve.go
@@ -14,8 +14,9 @@
 	gangs int
 }
 
-// backfillMaxRunTime is the run time up to which work, which may have a tight objective,
-// can use a reserved executor: it ends before it delays the gang noticeably.
+// backfillMaxRunTime is the run time up to which a task may use a reserved executor in any
+// case. Such a task may have a tight objective, and it ends before it delays the gang
+// noticeably.
 const backfillMaxRunTime = time.Second
 
 // admits reports whether a task of the step may start on the executor now: the executor
--- a/internal/plan/vm.go
+++ b/internal/plan/vm.go
@@ -49,20 +49,20 @@
 // vm is one incarnation of an executor as the leader sees it.
 type vm struct {
 	fleet.Executor
-	registered           bool               // in the registry, under its ID
-	registryRecord       *fleet.Executor    // newest record under its ID, which may be of another incarnation; nil if none was read
-	hasOwnRecord         bool               // the record of this incarnation was read: capacity, kind and service are known
-	useRegisteredAddress bool               // the newest hold that opened a connection went to registeredAddress
-	formerIncarnations   uint64             // number of earlier incarnations that this leader knew
-	former               *formerIncarnation // former incarnation, until the outcome of its runs is settled
-	historyRequested     bool               // the registry's history was queried for its address
-	registeredAddress    string             // address in the registry; Ref has the one to call
-	used                 api.Resources
-	nominated            api.Resources // capacity nominated to gangs by preemption (preempt.go)
-	tentative            api.Resources // capacity that steps with advice calls in flight are expected to take (tentative.go)
-	allocations          map[platform.Run]*allocation
-	drainingSince        time.Time // when it was first read as leaving; zero if it wasn't
-	readySince           time.Time // since when its records say that it is ready after all
+	registered            bool               // in the registry, under its ID
+	registryRecord        *fleet.Executor    // newest record under its ID, which may be of another incarnation; nil if none was read
+	hasOwnRecord          bool               // the record of this incarnation was read: capacity, kind and service are known
+	usedRegisteredAddress bool               // the newest hold that opened a connection went to registeredAddress
+	formerIncarnations    uint64             // number of earlier incarnations that this leader knew
+	former                *formerIncarnation // former incarnation, until the outcome of its runs is settled
+	historyRequested      bool               // the registry's history was queried for its address
+	registeredAddress     string             // address in the registry; Ref has the one to call
+	used                  api.Resources
+	nominated             api.Resources // capacity nominated to gangs by preemption (preempt.go)
+	tentative             api.Resources // capacity that steps with advice calls in flight are expected to take (tentative.go)
+	allocations           map[platform.Run]*allocation
+	drainingSince         time.Time // when it was first read as leaving; zero if it wasn't
+	readySince            time.Time // since when its records say that it is ready after all
 
 	hasReported          bool                   // it has reported to this leader
 	clock                platform.ExecutorClock // executor's clock at its newest report
