--- a/internal/scheduler/blocked.go
+++ b/internal/scheduler/blocked.go
@@ -32,14 +32,14 @@
 		return
 	}
 	at := bucketOf(s.key.need)
-	cell := b.buckets[at]
-	last := len(cell) - 1
-	cell[s.blockedPos] = cell[last]
-	cell[s.blockedPos].blockedPos = s.blockedPos
-	cell[last] = nil
+	bucket := b.buckets[at]
+	last := len(bucket) - 1
+	bucket[s.blockedPos] = bucket[last]
+	bucket[s.blockedPos].blockedPos = s.blockedPos
+	bucket[last] = nil
 	s.blocked = false
 	if last > 0 {
-		b.buckets[at] = cell[:last]
+		b.buckets[at] = bucket[:last]
 		return
 	}
 	delete(b.buckets, at)
--- a/internal/scheduler/feasibility.go
+++ b/internal/scheduler/feasibility.go
@@ -50,8 +50,8 @@
 // wake them.
 func (st *State) retryOversizedShapes() {
 	var oversized []*shape
-	for _, cell := range st.queue.blocked.buckets {
-		for _, s := range cell {
+	for _, bucket := range st.queue.blocked.buckets {
+		for _, s := range bucket {
 			if !st.fleet.fitsIdleVM(s.key.need) {
 				oversized = append(oversized, s)
 			}
--- a/internal/scheduler/fleet.go
+++ b/internal/scheduler/fleet.go
@@ -6,7 +6,7 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// vmKind is the properties of a VM that decide whether a job can ever run on it.
+// vmKind holds the properties of a VM that decide whether a job can ever run on it.
 type vmKind struct {
 	dc       api.DataCentre
 	capacity api.Resources
--- a/internal/scheduler/gangpreempt.go
+++ b/internal/scheduler/gangpreempt.go
@@ -33,8 +33,8 @@
 	return c.cheapestVictims(j, remaining)
 }
 
-// undoPreemptions removes the nominations of j and truncates the planned
-// preemptions to the first planned ones.
+// undoPreemptions removes the nominations of j and the preemptions that were added
+// since the plan contained the given number of them.
 func (c *cycle) undoPreemptions(j *jobState, planned int) {
 	for len(j.nominations) > 0 {
 		c.state.undoNomination(j.nominations[0])
--- a/internal/scheduler/hold.go
+++ b/internal/scheduler/hold.go
@@ -29,8 +29,8 @@
 	expectedStart time.Time
 }
 
-// isStarving reports whether j has waited long enough to get a hold and is larger
-// than the average started task, so that ending tasks rarely free enough
+// isStarving reports whether j has waited long enough to get a hold and is clearly
+// larger than the average started task, so that ending tasks rarely free enough
 // capacity for it.
 func (c *cycle) isStarving(j *jobState) bool {
 	return c.now.Sub(j.waitingSince) >= c.cfg.StarveAfter && c.state.averageStarted.exceededBy(j.need())
--- a/internal/scheduler/index.go
+++ b/internal/scheduler/index.go
@@ -101,8 +101,8 @@
 }
 
 // walk visits VMs that may fit need, the lowest levels first, until visit returns
-// false. It visits at most perBucket VMs of a bucket, starting at offset start;
-// zero means all. It reports whether visit never returned false.
+// false. It visits at most perBucket VMs of a bucket, starting at offset start; a
+// perBucket of zero means all. It reports whether visit never returned false.
 func (p *partition) walk(need api.Resources, perBucket int, start uint32, visit func(*vmState) bool) bool {
 	at := bucketOf(need)
 	for a := at.accelerators; a <= topAccelerators; a++ {
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -236,11 +236,11 @@
 	if j == nil || len(j.pending) == 0 {
 		return WaitingJob{}, false
 	}
-	v := j.status
-	if v.reason == "" && j.queue != nil {
-		v = j.queue.status
+	s := j.status
+	if s.reason == "" && j.queue != nil {
+		s = j.queue.status
 	}
-	return WaitingJob{Job: id, Reason: v.reason, Detail: v.detail}, true
+	return WaitingJob{Job: id, Reason: s.reason, Detail: s.detail}, true
 }
 
 // dataCentreKey returns a key for the data centres that a job is limited to.
--- a/internal/scheduler/model_test.go
+++ b/internal/scheduler/model_test.go
@@ -326,9 +326,9 @@
 	return running
 }
 
-// TestPlantedFaultsAreCaught modifies correct plans and expects the model to reject each
+// TestInjectedFaultsAreDetected modifies correct plans and expects the model to reject each
 // of them.
-func TestPlantedFaultsAreCaught(t *testing.T) {
+func TestInjectedFaultsAreDetected(t *testing.T) {
 	faults := map[string]func(*Plan){
 		"half a gang":   func(p *Plan) { p.Starts = p.Starts[1:] },
 		"gang unmarked": func(p *Plan) { p.Starts[0].Gang = false },
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -82,14 +82,14 @@
 	load     int64 // processors and memory of the victims, in thousandths of the VM
 }
 
-func (b preemptionCandidate) cheaper(o preemptionCandidate) bool {
-	if b.priority != o.priority {
-		return b.priority < o.priority
+func (p preemptionCandidate) cheaper(o preemptionCandidate) bool {
+	if p.priority != o.priority {
+		return p.priority < o.priority
 	}
-	if len(b.victims) != len(o.victims) {
-		return len(b.victims) < len(o.victims)
+	if len(p.victims) != len(o.victims) {
+		return len(p.victims) < len(o.victims)
 	}
-	return b.load < o.load
+	return p.load < o.load
 }
 
 // cheapestVictims returns the VM of a sample on which the cheapest set of at most
@@ -103,13 +103,13 @@
 		if !v.evictableByBand.anyBelow(int(below)) || !c.canPreemptOn(j, v) {
 			return true
 		}
-		b, ok := candidateOn(v, j.need(), below)
-		if !ok || len(b.victims) > maxVictims {
+		candidate, ok := candidateOn(v, j.need(), below)
+		if !ok || len(candidate.victims) > maxVictims {
 			return true
 		}
 		compared++
-		if best.vm == nil || b.cheaper(best) {
-			best = b
+		if best.vm == nil || candidate.cheaper(best) {
+			best = candidate
 		}
 		return compared < maxPreemptionCandidates
 	}
@@ -186,13 +186,13 @@
 
 func newPreemptionCandidate(v *vmState, victims []*allocation) preemptionCandidate {
 	const thousandths = 1000
-	b := preemptionCandidate{vm: v, victims: victims}
+	candidate := preemptionCandidate{vm: v, victims: victims}
 	for _, alloc := range victims {
-		b.priority = max(b.priority, alloc.priority)
-		b.load += int64(thousandths * fraction(alloc.resources.MilliCPU, v.Capacity.MilliCPU))
-		b.load += int64(thousandths * fraction(alloc.resources.MemoryMB, v.Capacity.MemoryMB))
+		candidate.priority = max(candidate.priority, alloc.priority)
+		candidate.load += int64(thousandths * fraction(alloc.resources.MilliCPU, v.Capacity.MilliCPU))
+		candidate.load += int64(thousandths * fraction(alloc.resources.MemoryMB, v.Capacity.MemoryMB))
 	}
-	return b
+	return candidate
 }
 
 // bandCounts counts tasks by the priority band they were started in.
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -176,7 +176,7 @@
 		h.submit(spec)
 		So(len(h.cycle().Starts), ShouldEqual, 2)
 	})
-	Convey("A quarantined VM gets one probe at a time, and no task without a further attempt", t, func() {
+	Convey("A quarantined VM gets one probe at a time, and no task of a job with only one attempt", t, func() {
 		h := newHarness(0, small, Config{})
 		h.PutVM(VM{ID: "bad", DataCentre: "dc", Capacity: small, Schedulable: true, Quarantined: true})
 		once := job("b1", api.ClassBatch, 1, 1000)
--- a/internal/scheduler/types.go
+++ b/internal/scheduler/types.go
@@ -31,8 +31,8 @@
 	Spec      api.JobSpec
 	Submitted time.Time // local time at which this scheduler received the job
 	Pending   []uint32  // indexes of tasks to place, in order
-	// Estimate is the resources to plan each task with, declared or learned
-	// from reports.
+	// Estimate holds the resources that each task is planned with, as learned
+	// from reports or else as declared; zero means to use Spec.Resources.
 	Estimate api.Resources
 	// RunTime is the learned run time of a task; zero means to use the
 	// declared one.
