--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -60,7 +60,7 @@
 	IdleTimeout    time.Duration
 }
 
-// Configuration is one version of the configuration.
+// Configuration is one version of the operators' configuration.
 type Configuration struct {
 	Version  uint64
 	Queues   []Queue
--- a/internal/queue/watch.go
+++ b/internal/queue/watch.go
@@ -12,7 +12,7 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// Timing of the watcher. A configuration must be in force 2 s after its
+// Timing of the watcher. A configuration must be in force within 2 s of its
 // confirmation, even if one read times out because its connection hangs.
 const (
 	pollWait    = 800 * time.Millisecond
