--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -31,10 +31,11 @@
 	Detail      string // for operators
 }
 
-// FailingTask is a task that must be stopped because it fails on every VM.
+// FailingTask is a task that must be stopped because it has failed on several healthy
+// VMs and would presumably fail on any other.
 type FailingTask struct {
 	Task   api.TaskID
-	Reason api.Reason // ReasonFailsAnywhere
+	Reason api.Reason // always ReasonFailsEverywhere
 	Detail string
 }
 
