--- a/internal/estimate/config.go
+++ b/internal/estimate/config.go
@@ -24,13 +24,13 @@
 type Config struct {
 	// Policy provides OveruseFactor and OverrunFactor.
 	Policy api.PolicySpec
-	// MinShare is the minimum share of the declared amounts that an estimate may
+	// MinShare is the smallest share of the declared amounts that an estimate may
 	// fall to, 0 to 1.
 	MinShare float64
 	// Quantile of the observed processor usage and run times that an estimate uses,
 	// 0 to 1.
 	Quantile float64
-	// MinReports and FewestRuns are the numbers of samples required before an
+	// MinReports and MinRuns are the numbers of samples required before an
 	// estimate may fall below the declared amounts.
 	MinReports int
 	MinRuns    int
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -36,7 +36,7 @@
 	StartedAt  time.Time
 }
 
-// Estimate is the resources and run time to plan a task with.
+// Estimate holds the resources and the run time that a task is planned with.
 type Estimate struct {
 	Resources api.Resources
 	RunTime   time.Duration // zero if unbounded or unknown
@@ -56,7 +56,7 @@
 type Estimator struct {
 	cfg        Config
 	stats      map[Signature]*signatureStats
-	useCount   uint64 // counts uses
+	useCount   uint64 // number of uses of all signatures, the clock of lastUsed
 	violations map[api.TaskID]violation
 }
 
@@ -76,12 +76,12 @@
 
 // Observe adds the samples of a report and returns what to do about the task.
 func (e *Estimator) Observe(spec api.JobSpec, r Report) Decision {
-	l := e.statsFor(SignatureOf(spec))
+	samples := e.statsFor(SignatureOf(spec))
 	if spec.Resources.MilliCPU > 0 {
-		l.milliCPU.add(ratio(r.Usage.MilliCPU, spec.Resources.MilliCPU))
+		samples.milliCPU.add(ratio(r.Usage.MilliCPU, spec.Resources.MilliCPU))
 	}
 	if spec.Resources.MemoryMB > 0 {
-		l.memory.add(ratio(r.Usage.MemoryMB, spec.Resources.MemoryMB))
+		samples.memory.add(ratio(r.Usage.MemoryMB, spec.Resources.MemoryMB))
 	}
 	return e.nextAction(spec, r)
 }
@@ -107,17 +107,17 @@
 // estimate for processors is a quantile.
 func (e *Estimator) Estimate(spec api.JobSpec) Estimate {
 	out := Estimate{Resources: spec.Resources, RunTime: spec.RunTime}
-	l := e.stats[SignatureOf(spec)]
-	if l == nil {
+	samples := e.stats[SignatureOf(spec)]
+	if samples == nil {
 		return out
 	}
-	enough := l.memory.total >= uint32(e.cfg.MinReports)
-	out.Reports = l.memory.total
-	out.Runs = l.runTime.total
-	out.Resources.MilliCPU = e.adjust(spec.Resources.MilliCPU, l.milliCPU.quantile(e.cfg.Quantile), enough)
-	out.Resources.MemoryMB = e.adjust(spec.Resources.MemoryMB, l.memory.quantile(1), enough)
-	enough = l.runTime.total >= uint32(e.cfg.MinRuns)
-	out.RunTime = time.Duration(e.adjust(int64(spec.RunTime), l.runTime.quantile(e.cfg.Quantile), enough))
+	enough := samples.memory.total >= uint32(e.cfg.MinReports)
+	out.Reports = samples.memory.total
+	out.Runs = samples.runTime.total
+	out.Resources.MilliCPU = e.adjust(spec.Resources.MilliCPU, samples.milliCPU.quantile(e.cfg.Quantile), enough)
+	out.Resources.MemoryMB = e.adjust(spec.Resources.MemoryMB, samples.memory.quantile(1), enough)
+	enough = samples.runTime.total >= uint32(e.cfg.MinRuns)
+	out.RunTime = time.Duration(e.adjust(int64(spec.RunTime), samples.runTime.quantile(e.cfg.Quantile), enough))
 	return out
 }
 
@@ -144,15 +144,15 @@
 }
 
 func (e *Estimator) statsFor(s Signature) *signatureStats {
-	l := e.stats[s]
-	if l == nil {
+	samples := e.stats[s]
+	if samples == nil {
 		e.evict()
-		l = &signatureStats{}
-		e.stats[s] = l
+		samples = &signatureStats{}
+		e.stats[s] = samples
 	}
 	e.useCount++
-	l.lastUsed = e.useCount
-	return l
+	samples.lastUsed = e.useCount
+	return samples
 }
 
 // evict removes the least recently used half of the signatures when there are
@@ -162,13 +162,13 @@
 		return
 	}
 	uses := make([]uint64, 0, len(e.stats))
-	for _, l := range e.stats {
-		uses = append(uses, l.lastUsed)
+	for _, samples := range e.stats {
+		uses = append(uses, samples.lastUsed)
 	}
 	slices.SortFunc(uses, cmp.Compare[uint64])
 	median := uses[len(uses)/2]
-	for s, l := range e.stats {
-		if l.lastUsed <= median {
+	for s, samples := range e.stats {
+		if samples.lastUsed <= median {
 			delete(e.stats, s)
 		}
 	}
