--- a/internal/work/packed.go
+++ b/internal/work/packed.go
@@ -54,13 +54,13 @@
 		Failures:        make([]byte, 3*len(tasks)),
 		Checkpoints:     make([]string, len(tasks)),
 	}
-	var runs, vms, failures, lost, checkpoints bool
+	var runs, executors, failures, lost, checkpoints bool
 	crashes, losses := s.Failures[len(tasks):2*len(tasks)], s.Failures[2*len(tasks):]
 	for i, t := range tasks {
 		s.Phases[i], s.Runs[i], s.ExecutorIndexes[i], s.Failures[i], s.Checkpoints[i] = byte(t.Phase), t.Run, t.ExecutorIndex, t.Failures, t.Checkpoint
 		crashes[i], losses[i] = t.Crashes, t.Losses
 		runs = runs || t.Run != 0
-		vms = vms || t.ExecutorIndex != 0
+		executors = executors || t.ExecutorIndex != 0
 		failures = failures || t.Failures != 0
 		lost = lost || t.Crashes != 0 || t.Losses != 0
 		checkpoints = checkpoints || t.Checkpoint != ""
@@ -68,7 +68,7 @@
 	if !runs {
 		s.Runs = nil
 	}
-	if !vms {
+	if !executors {
 		s.ExecutorIndexes = nil
 	}
 	switch {
--- a/internal/work/summary.go
+++ b/internal/work/summary.go
@@ -10,7 +10,7 @@
 	Deleted   bool // its records were deleted
 }
 
-// Bits of packedSummary.Flags.
+// Bits of packedSummary.Flags: the state and two flags.
 const (
 	summaryStateMask = 0x07
 	summaryCancelled = 0x08
