--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -127,16 +127,16 @@
 // the log.
 func (t *Tracker) ConfirmMissing(a Attempt) bool {
 	state := t.attempts[a]
-	if state.ended || !t.isOver(a) {
+	if state.ended || !t.hasEnded(a) {
 		return state.ended
 	}
 	t.MarkEnded(a)
 	return true
 }
 
-// isOver reports whether an attempt that is missing in the latest report certainly isn't
+// hasEnded reports whether an attempt that is missing in the latest report certainly isn't
 // running and never will.
-func (t *Tracker) isOver(a Attempt) bool {
+func (t *Tracker) hasEnded(a Attempt) bool {
 	state, ok := t.attempts[a]
 	if !ok {
 		return true // its start was never sent
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -33,16 +33,16 @@
 // reordered and lost, holders pause and take over from each other, VMs restart, and
 // all clocks run at different rates.
 type sim struct {
-	rng      *rand.Rand
-	injected fault
-	now      time.Duration
-	queue    events
-	vms      [2]*standin.VM
-	rates    [2]float64
-	attempt  uint32 // latest in the log
-	vm       int    // index of the VM that holds it, -1 for none
-	epoch    api.Epoch
-	restart  int // number of lost attempts
+	rng          *rand.Rand
+	injected     fault
+	now          time.Duration
+	queue        events
+	vms          [2]*standin.VM
+	rates        [2]float64
+	attempt      uint32 // latest in the log
+	vm           int    // index of the VM that holds it, -1 for none
+	epoch        api.Epoch
+	lostAttempts int // attempts whose loss the log accepted
 }
 
 type event struct {
@@ -203,7 +203,7 @@
 	h.s.after(h.s.upTo(500*time.Millisecond), func() {
 		if h.epoch == h.s.epoch && h.s.vm == i && h.s.current() == a {
 			h.s.vm = -1
-			h.s.restart++
+			h.s.lostAttempts++
 		}
 	})
 }
@@ -252,18 +252,18 @@
 
 // A task never runs twice at the same time.
 func TestRunsNeverOverlap(t *testing.T) {
-	restarts := 0
+	totalLost := 0
 	for seed := range uint64(seeds) {
 		s := newSim(seed, noFault)
 		if n := s.countOverlaps(); n > 0 {
 			t.Errorf("seed %d: %d overlapping runs", seed, n)
 		}
-		restarts += s.restart
+		totalLost += s.lostAttempts
 	}
-	if restarts < 10*seeds {
-		t.Errorf("only %d restarts: the simulation causes too few losses", restarts)
+	if totalLost < 10*seeds {
+		t.Errorf("only %d lost attempts: the simulation causes too few", totalLost)
 	}
-	t.Logf("%d restarts in %d runs of %v", restarts, seeds, simTime)
+	t.Logf("%d lost attempts in %d runs of %v", totalLost, seeds, simTime)
 }
 
 // Each rule is necessary: the simulation detects a holder that violates one of them.
