--- a/internal/member/liveness.go
+++ b/internal/member/liveness.go
@@ -214,9 +214,9 @@
 
 // RecordGrant records that a member gave a grant in an exchange that started at the given
 // time.
-func (l *Liveness) RecordGrant(who ownership.Identity, started time.Time) {
-	p := l.peers[who.Node]
-	if p != nil && p.member.Process == who && started.After(p.lastGranted) {
+func (l *Liveness) RecordGrant(process ownership.Identity, started time.Time) {
+	p := l.peers[process.Node]
+	if p != nil && p.member.Process == process && started.After(p.lastGranted) {
 		p.lastGranted = started
 	}
 }
--- a/internal/member/service.go
+++ b/internal/member/service.go
@@ -254,8 +254,8 @@
 }
 
 // EntryAddresses returns the known peer addresses in a data centre, the most recently
-// seen first. For this process's data centre they include entry VMs that may not be in
-// the roster yet.
+// seen first. For this process's data centre they include entry VMs that may be
+// missing from the roster.
 func (s *Service) EntryAddresses(dc api.DataCentre) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
