--- a/internal/storehealth/health.go
+++ b/internal/storehealth/health.go
@@ -27,8 +27,8 @@
 	now func() time.Time
 
 	mu           sync.Mutex
-	failingSince time.Time // start of the current series of failures; zero: the last call succeeded
-	lastSuccess  time.Time // time of the last successful call
+	failingSince time.Time // start of the current series of failures; zero: the store answered the last call
+	lastSuccess  time.Time // time of the last call that the store answered
 }
 
 // Watch returns a Log that forwards all calls to log.
@@ -81,7 +81,8 @@
 }
 
 // recordResult records the result of a call that began at the given time. A series of
-// failures starts when its first call began, but not before the last success.
+// failures starts when its first call began, but not before the last success. Any answer of the
+// store counts as a success, also a refusal.
 func (h *health) recordResult(began time.Time, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
