--- a/internal/platform/endpoint.go
+++ b/internal/platform/endpoint.go
@@ -45,7 +45,7 @@
 // Endpoint runs requests at executors.
 type Endpoint interface {
 	// Attempt sends req to ep at most once, without retries, and returns the
-	// whole answer, whose body may have at most maxAnswer bytes. The context
+	// complete answer, whose body may have at most maxAnswer bytes. The context
 	// carries the deadline. Errors are of type *AttemptError.
 	Attempt(ctx context.Context, ep api.Endpoint, epoch api.Epoch, req *api.Request, maxAnswer int64) (*api.Answer, Feedback, error)
 }
--- a/internal/platform/httpendpoint/attempt.go
+++ b/internal/platform/httpendpoint/attempt.go
@@ -117,11 +117,11 @@
 	return feedback
 }
 
-// readAnswer reads the whole answer. It returns errTooLarge if the body has more than
+// readAnswer reads the complete answer. It returns errTooLarge if the body has more than
 // maxAnswer bytes, and another error if the answer is incomplete.
 func readAnswer(resp *http.Response, maxAnswer int64) (*api.Answer, error) {
 	if resp.StatusCode == http.StatusSwitchingProtocols {
-		return nil, errors.New("httpendpoint: endpoint switched protocols unasked")
+		return nil, errors.New("httpendpoint: endpoint switched protocols without a request to do so")
 	}
 	hasBody := resp.Request.Method != http.MethodHead
 	if hasBody && resp.ContentLength > maxAnswer {
--- a/internal/platform/httpendpoint/attempt_test.go
+++ b/internal/platform/httpendpoint/attempt_test.go
@@ -181,10 +181,10 @@
 	return standin, api.Endpoint{ID: "e1", Address: l.Addr().String(), Connections: 2}
 }
 
-// Answers are returned whole for each kind of framing, with trailers. A request that got
+// Answers are returned complete for each kind of framing, with trailers. A request that got
 // no connection, because the dial was refused or none became free, certainly did not
 // run.
-func TestWholeAnswersAndConnections(t *testing.T) {
+func TestCompleteAnswersAndConnections(t *testing.T) {
 	standin, ep := serveStandin(t)
 	client := New(Config{})
 	defer client.Close()
--- a/internal/platform/httpendpoint/config.go
+++ b/internal/platform/httpendpoint/config.go
@@ -29,7 +29,8 @@
 	return c
 }
 
-// Validate adds the faults of c to findings. Their paths start with path.
+// Validate adds the invalid fields of c to findings. The paths of the fields start with
+// path.
 func (c Config) Validate(path string, findings *finding.List) {
 	findings.Check(c.DialTimeout >= 0, path+".dial_timeout", c.DialTimeout, "a duration that is not negative")
 	findings.Check(c.IdleTimeout >= 0, path+".idle_timeout", c.IdleTimeout, "a duration that is not negative")
--- a/internal/platform/httpendpoint/outcomes_test.go
+++ b/internal/platform/httpendpoint/outcomes_test.go
@@ -95,7 +95,7 @@
 		}
 		record := standin.Record()
 		if record.MaxRequests > 8 || record.MaxConnections > 60 || record.RejectedConnections > 0 {
-			t.Errorf("%s: requests %d, connections %d, turned away %d", id, record.MaxRequests, record.MaxConnections, record.RejectedConnections)
+			t.Errorf("%s: requests %d, connections %d, rejected connections %d", id, record.MaxRequests, record.MaxConnections, record.RejectedConnections)
 		}
 	}
 }
--- a/internal/platform/httplog/doc.go
+++ b/internal/platform/httplog/doc.go
@@ -12,7 +12,8 @@
 	ParamFrom = "from"
 	// ParamMax is the maximum number of records in a read.
 	ParamMax = "max"
-	// ParamMaxBytes is the maximum size of the records in a read, without the first.
+	// ParamMaxBytes is the maximum total size of the records in a read in bytes. The
+	// first record is returned even if it is larger.
 	ParamMaxBytes = "max_bytes"
 	// ParamWaitMs is the maximum wait of a read, in milliseconds.
 	ParamWaitMs = "wait_ms"
