--- a/internal/drain/server_test.go
+++ b/internal/drain/server_test.go
@@ -110,7 +110,7 @@
 // outcome is the result of a drain.
 type outcome struct {
 	err   error
-	after time.Duration // the drain's start
+	after time.Duration // time since the start of the drain
 }
 
 const (
