--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	budgetShards = 16
-	// budgetCap is the maximum number of retries that a caller can accumulate.
-	budgetCap = 10
-	// budgetCallers is the maximum number of callers in one shard.
-	budgetCallers = 4096
+	shardCount = 16
+	// maxRetriesPerCaller is the maximum number of retries that a caller can accumulate.
+	maxRetriesPerCaller = 10
+	// maxCallersPerShard is the maximum number of callers in one shard.
+	maxCallersPerShard = 4096
 )
 
 // Budget holds the number of retries that each caller has earned by its requests. A new
-// caller starts with budgetCap retries.
+// caller starts with maxRetriesPerCaller retries.
 type Budget struct {
 	seed   maphash.Seed
-	shards [budgetShards]budgetShard
+	shards [shardCount]budgetShard
 }
 
 type budgetShard struct {
@@ -35,7 +35,7 @@
 }
 
 func (b *Budget) shard(caller string) *budgetShard {
-	return &b.shards[maphash.String(b.seed, caller)%budgetShards]
+	return &b.shards[maphash.String(b.seed, caller)%shardCount]
 }
 
 // Deposit credits caller with ratio retries for one request.
@@ -43,7 +43,7 @@
 	s := b.shard(caller)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tokens[caller] = min(s.balance(caller)+ratio, budgetCap)
+	s.tokens[caller] = min(s.balance(caller)+ratio, maxRetriesPerCaller)
 }
 
 // Withdraw takes one retry from the balance of caller. It returns false if there is none.
@@ -66,11 +66,11 @@
 	if ok {
 		return available
 	}
-	if len(s.tokens) >= budgetCallers {
+	if len(s.tokens) >= maxCallersPerShard {
 		for other := range s.tokens {
 			delete(s.tokens, other)
 			break
 		}
 	}
-	return budgetCap
+	return maxRetriesPerCaller
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -51,7 +51,7 @@
 			retries++
 		}
 	}
-	if want := budgetCap + 124; retries < want || retries > want+1 || !b.Withdraw("other") {
+	if want := maxRetriesPerCaller + 124; retries < want || retries > want+1 || !b.Withdraw("other") {
 		t.Errorf("%d retries for 1000 requests, or another caller has no retries left", retries)
 	}
 }
