--- a/api/config.go
+++ b/api/config.go
@@ -2,7 +2,7 @@
 
 // RecordState is the state of one configuration key as shown to operators.
 type RecordState struct {
-	Revision Revision `json:"revision"` // of the newest accepted record, understood or not
+	Revision Revision `json:"revision"` // of the newest accepted record, even if this binary cannot decode it
 	Record   Record   `json:"record"`   // the newest accepted record
 	// InForce is the revision that decisions use. It is smaller than
 	// Revision while this binary cannot decode the newest record, and zero
--- a/api/outcome.go
+++ b/api/outcome.go
@@ -15,14 +15,14 @@
 	// complete answer.
 	OutcomeRan Outcome = "ran"
 	// OutcomeNotRun means that certainly no endpoint ran the request or will
-	// run it. For a non-idempotent request this holds for the request id: no
+	// run it. For a non-idempotent request this holds for the request ID: no
 	// copy sent through any entry VM has run or ever will. For an idempotent
-	// request it holds for this copy only; other copies with the same id may
+	// request it holds for this copy only; other copies with the same ID may
 	// have run.
 	OutcomeNotRun Outcome = "not-run"
 	// OutcomeUnknown means that the request, or a copy of it, may have run or
 	// may still run, and that no complete answer is known. Retrying with the
-	// same id is safe.
+	// same ID is safe.
 	OutcomeUnknown Outcome = "unknown"
 )
 
@@ -92,7 +92,7 @@
 }
 
 // UnknownWithRetry returns a Refusal for a request of which a copy may have run
-// or may still run. Retrying with the same id after retryAfter is safe and may
+// or may still run. Retrying with the same ID after retryAfter is safe and may
 // give a definite outcome.
 func UnknownWithRetry(reason Reason, retryAfter time.Duration, detail string) *Refusal {
 	return &Refusal{Outcome: OutcomeUnknown, Reason: reason, RetryAfter: retryAfter, Detail: detail}
