--- a/internal/config/entry.go
+++ b/internal/config/entry.go
@@ -49,7 +49,7 @@
 }
 
 // PublicationID identifies a publication, so that repeats are recognised. It is
-// a hash of the publisher's id and the whole record.
+// a hash of the publisher's ID and the whole record.
 type PublicationID [16]byte
 
 // publication is the body of a journal entry of TypePublish.
--- a/internal/config/machine.go
+++ b/internal/config/machine.go
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// jobKinds are the kinds that share one namespace, since a job's id is unique in
+// jobKinds are the kinds that share one namespace, since a job's ID is unique in
 // the cell. The list is part of the stored format.
 var jobKinds = []api.Kind{api.KindService, api.KindBatchJob, api.KindGangJob}
 
--- a/internal/config/machine_test.go
+++ b/internal/config/machine_test.go
@@ -91,8 +91,8 @@
 	})
 }
 
-// applyAgain applies an accepted publication again: with the same id it must be
-// accepted without effect, with another id it must conflict.
+// applyAgain applies an accepted publication again: with the same ID it must be
+// accepted without effect, with another ID it must conflict.
 func applyAgain(t *rapid.T, m *StateMachine, p publication) {
 	entry := journal.Entry{Type: TypePublish, Body: journal.Encode(p)}
 	if err := m.Apply(journal.Position{}, entry); err != nil {
--- a/internal/config/publisher.go
+++ b/internal/config/publisher.go
@@ -25,7 +25,7 @@
 	return &Publisher{machine: m, proposer: p}
 }
 
-// Publish calls PublishWithID with an empty id, so that an identical record
+// Publish calls PublishWithID with an empty ID, so that an identical record
 // counts as a repeat whoever publishes it.
 func (p *Publisher) Publish(ctx context.Context, rec api.Record) (api.Revision, error) {
 	return p.PublishWithID(ctx, "", rec)
@@ -40,7 +40,7 @@
 //   - journal.ErrUnsettled if the record may still be accepted.
 //
 // To resolve journal.ErrUnsettled, publish the identical record again with the
-// same id, through any entry VM: if a copy was accepted, its revision is returned.
+// same ID, through any entry VM: if a copy was accepted, its revision is returned.
 func (p *Publisher) PublishWithID(ctx context.Context, id string, rec api.Record) (api.Revision, error) {
 	l := &finding.List{}
 	schema.CheckRecord(rec, schema.AllowUnknownSchema, "", l)
--- a/internal/config/view.go
+++ b/internal/config/view.go
@@ -70,7 +70,7 @@
 	return schema.DefaultLimits()
 }
 
-// Job returns the job in force with the given id, of any kind.
+// Job returns the job in force with the given ID, of any kind.
 func (m *StateMachine) Job(id api.JobID) (Job, bool) {
 	for _, kind := range jobKinds {
 		if j, ok := jobOf(m.tables.get(Key{Kind: kind, Name: string(id)})); ok {
