--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -64,7 +64,7 @@
 	// ReadinessDelay is how long an entry VM that shuts down keeps accepting
 	// requests after it has reported itself not ready to the load balancer.
 	ReadinessDelay Duration `json:"readiness_delay"`
-	// RequestRetention is how long the id of a non-idempotent request is
+	// RequestRetention is how long the ID of a non-idempotent request is
 	// remembered to recognise repeats.
 	RequestRetention Duration `json:"request_retention"`
 }
