--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -19,7 +19,7 @@
 // then repeats the last one.
 type scriptedEntry struct {
 	answers  []string // each is a status code, a space and a body
-	requests []string // method, path and publish id of each request
+	requests []string // method, path and publish ID of each request
 }
 
 func (s *scriptedEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
