--- a/internal/operator/publish.go
+++ b/internal/operator/publish.go
@@ -22,8 +22,8 @@
 // outcome is unsettled.
 const retryAfter = 2 * time.Second
 
-// maxPublishID is the maximum length of api.HeaderPublishID in bytes.
-const maxPublishID = 128
+// maxPublishIDBytes is the maximum length of api.HeaderPublishID in bytes.
+const maxPublishIDBytes = 128
 
 func (s *service) publish(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.options.MaxBodyBytes))
@@ -33,7 +33,7 @@
 	}
 	rec, l := decodeSingleRecord(body)
 	id := r.Header.Get(api.HeaderPublishID)
-	l.Check(len(id) <= maxPublishID, api.HeaderPublishID, len(id), fmt.Sprintf("at most %d bytes", maxPublishID))
+	l.Check(len(id) <= maxPublishIDBytes, api.HeaderPublishID, len(id), fmt.Sprintf("at most %d bytes", maxPublishIDBytes))
 	if err := l.Err(); err != nil {
 		s.writePublishOutcome(w, rec, 0, err)
 		return
