--- a/internal/logread/order.go
+++ b/internal/logread/order.go
@@ -9,9 +9,9 @@
 // Event is a line with its position in the common order of all lines.
 type Event struct {
 	*Line
-	// Time is the line's time on a clock common to all machines, as far as the lines allow
-	// to reconstruct it: it never decreases over the lines of a machine, and the lines of a
-	// leader come after the first lines of all leaders with lower epochs.
+	// Time is the line's time on a clock common to all machines, as far as that can be
+	// reconstructed from the lines: it never decreases over the lines of a machine, and the
+	// lines of a leader come after the first lines of all leaders with lower epochs.
 	Time time.Time
 }
 
