--- a/internal/dispatch/runner.go
+++ b/internal/dispatch/runner.go
@@ -75,17 +75,17 @@
 	executorWake chan struct{} // signals that there may be stops to send or executors to call
 	adviceWake   chan struct{} // signals that advice calls may be due
 
-	mu                 sync.Mutex // guards the fields below
-	cell               *plan.Cell
-	cycleDone          chan struct{} // closed when the next complete cycle has ended
-	admissionGate      admission.Controller
-	pendingSubmissions []*submission // to be stored by the next cycle
-	appendWaitLimit    time.Duration // how long an append may go unanswered before submissions are refused
-	appendPendingSince time.Time     // start of the unanswered append; zero if none is in flight
-	storeRefusedAt     time.Time     // when the store last refused an append
-	holdLoops          map[string]context.CancelFunc
-	stopped            bool
-	goroutines         sync.WaitGroup
+	mu                  sync.Mutex // guards the fields below
+	cell                *plan.Cell
+	cycleDone           chan struct{} // closed when the next complete cycle has ended
+	admissionController admission.Controller
+	pendingSubmissions  []*submission // to be stored by the next cycle
+	appendWaitLimit     time.Duration // how long an append may go unanswered before submissions are refused
+	appendPendingSince  time.Time     // start of the unanswered append; zero if none is in flight
+	storeRefusedAt      time.Time     // when the store last refused an append
+	holdLoops           map[string]context.CancelFunc
+	stopped             bool
+	goroutines          sync.WaitGroup
 }
 
 // New returns a Runner that has not been started.
--- a/internal/dispatch/store.go
+++ b/internal/dispatch/store.go
@@ -180,8 +180,8 @@
 		r.cfg.Logger.WithField("job", job.ID).Info("job refused: this machine's link is full")
 		return
 	}
-	if verdict := r.admit(job, backlog, now); verdict.Reason != "" {
-		s.results[i] = assist.StoreResult{Outcome: assist.TooBusy, RetryAfter: verdict.RetryAfter}
+	if decision := r.admit(job, backlog, now); decision.Reason != "" {
+		s.results[i] = assist.StoreResult{Outcome: assist.TooBusy, RetryAfter: decision.RetryAfter}
 		return
 	}
 	if r.cell.AddJob(job, nil, now.UnixMilli(), now) {
@@ -208,26 +208,26 @@
 			Added:    r.cfg.Peers.EstimateWait(firstCall, slices.Repeat([]queue.CallTime{firstCall}, len(j.Steps)), now),
 		}},
 	}
-	verdict := r.admissionGate.Decide(request, now)
-	if verdict.Reason != "" {
-		r.logRefusal(j, request, verdict, beforeAdvice, backlog.Processors())
+	decision := r.admissionController.Decide(request, now)
+	if decision.Reason != "" {
+		r.logRefusal(j, request, decision, beforeAdvice, backlog.Processors())
 	}
-	return verdict
+	return decision
 }
 
-func (r *Runner) logRefusal(j *work.Job, request admission.Request, verdict admission.Decision, beforeAdvice time.Duration, processors int) {
+func (r *Runner) logRefusal(j *work.Job, request admission.Request, decision admission.Decision, beforeAdvice time.Duration, processors int) {
 	fields := logrus.Fields{
 		"job": j.ID, "queue": j.Queue, "wait_ms": request.ExpectedWait.Milliseconds(), "wait_advice_ms": beforeAdvice.Milliseconds(),
-		"useful_ms": request.MaxUsefulWait.Milliseconds(), "processors": processors, "retry_ms": verdict.RetryAfter.Milliseconds(),
+		"useful_ms": request.MaxUsefulWait.Milliseconds(), "processors": processors, "retry_ms": decision.RetryAfter.Milliseconds(),
 	}
 	for i, name := range []string{"room", "advice"} {
 		fields["backlog_"+name+"_ms"] = request.Demands[i].Backlog.Milliseconds()
 		fields["adds_"+name+"_ms"] = request.Demands[i].Added.Milliseconds()
 	}
-	if verdict.Resource != "" {
-		fields["short_of"] = verdict.Resource
+	if decision.Resource != "" {
+		fields["short_of"] = decision.Resource
 	}
-	r.cfg.Logger.WithFields(fields).Info("job refused: " + string(verdict.Reason))
+	r.cfg.Logger.WithFields(fields).Info("job refused: " + string(decision.Reason))
 }
 
 // store makes submitted records and the jobs' progress durable and answers the submissions. If
--- a/internal/dispatch/testcell_test.go
+++ b/internal/dispatch/testcell_test.go
@@ -289,7 +289,7 @@
 func (p *testCell) takeOver() {
 	p.stop()
 	p.epoch++
-	table := &queue.Configuration{Queues: []queue.Queue{{Name: "q", Service: "svc", MaxAttempts: 1, Stretch: 2, TargetLatency: time.Second, Advice: p.advice}}}
+	configuration := &queue.Configuration{Queues: []queue.Queue{{Name: "q", Service: "svc", MaxAttempts: 1, Stretch: 2, TargetLatency: time.Second, Advice: p.advice}}}
 	peers := p.peers
 	if peers == nil {
 		peers = assist.NewPeers("a", nil, nil)
@@ -305,7 +305,7 @@
 		Replica:        p.replica,
 		Reader:         p.reader,
 		Peers:          peers,
-		Configuration:  func() *queue.Configuration { return table },
+		Configuration:  func() *queue.Configuration { return configuration },
 		CanRenewLeases: func() bool { return true },
 		OnFenced:       func() {},
 		LastRenewal:    func() leader.Renewal { return leader.Renewal{} },
