--- a/internal/leader/elector.go
+++ b/internal/leader/elector.go
@@ -203,15 +203,15 @@
 
 // claimDue reports whether this process should claim the cell now.
 func (e *Elector) claimDue() bool {
-	left, may := e.timeUntilClaim()
-	return may && left <= 0
+	remaining, mayClaim := e.timeUntilClaim()
+	return mayClaim && remaining <= 0
 }
 
 // timeUntilClaim returns for how much longer the leader must be silent until this
 // process should claim the cell, and whether it may claim at all.
 func (e *Elector) timeUntilClaim() (time.Duration, bool) {
-	claimDelay, may := e.claimDelay()
-	if !may {
+	claimDelay, mayClaim := e.claimDelay()
+	if !mayClaim {
 		return 0, false
 	}
 	e.mu.Lock()
@@ -291,8 +291,8 @@
 	e.cancelWatch = cancel
 	e.mu.Unlock()
 	wait := e.cfg.Timing.WatchTimeout
-	if left, may := e.timeUntilClaim(); may && left > 0 {
-		wait = min(wait, left.Truncate(time.Millisecond)+time.Millisecond)
+	if remaining, mayClaim := e.timeUntilClaim(); mayClaim && remaining > 0 {
+		wait = min(wait, remaining.Truncate(time.Millisecond)+time.Millisecond)
 	}
 	err := e.watchOnce(ctx, wait)
 	e.mu.Lock()
