--- a/internal/assist/assist.go
+++ b/internal/assist/assist.go
@@ -168,9 +168,10 @@
 	// DeliverContent applies the content of the records of a span.
 	DeliverContent(span replica.Span, records []platform.Record)
 	// ContentPosition returns the position up to which the content of records is kept, and whether
-	// it is kept at all.
+	// all of it is kept up to there.
 	ContentPosition() (platform.Offset, bool)
-	// KeepContent makes the receiver keep the content of records, Shed makes it drop the content.
+	// KeepContent makes the receiver keep the content of records, DropContent makes it drop
+	// the content.
 	KeepContent()
 	DropContent()
 	Sync(ctx context.Context) error
--- a/internal/assist/peers.go
+++ b/internal/assist/peers.go
@@ -22,7 +22,7 @@
 	// further calls, because the leader may be busy when one ends.
 	maxQueuedTime = 60 * time.Millisecond
 	// attachmentTTL is how long an attachment is valid; machines repeat it every second
-	// (node.attachEvery).
+	// (node.attachInterval).
 	attachmentTTL = 2500 * time.Millisecond
 	// adviserSilenceLimit is how long a machine may be silent before advice calls at it are
 	// abandoned and it gets no further ones. Otherwise a data centre that is cut off would
--- a/internal/assist/publisher.go
+++ b/internal/assist/publisher.go
@@ -286,13 +286,13 @@
 func latestPerJob(updates []replica.SummaryUpdate) []work.Summary {
 	indexes := make(map[work.ID]int, len(updates))
 	out := make([]work.Summary, 0, len(updates))
-	for _, n := range updates {
-		if i, found := indexes[n.Summary.ID]; found {
-			out[i] = n.Summary
+	for _, u := range updates {
+		if i, found := indexes[u.Summary.ID]; found {
+			out[i] = u.Summary
 			continue
 		}
-		indexes[n.Summary.ID] = len(out)
-		out = append(out, n.Summary)
+		indexes[u.Summary.ID] = len(out)
+		out = append(out, u.Summary)
 	}
 	return out
 }
