--- a/internal/replica/content_test.go
+++ b/internal/replica/content_test.go
@@ -98,9 +98,9 @@
 		})
 		Convey("content may lag behind the states and doesn't revert them", func() {
 			r.ApplySummaries(Span{From: 1, To: 5}, []work.Summary{{ID: id, Queue: "q", State: work.Completed}}, now)
-			at, whole := r.ContentPosition()
+			at, hasContent := r.ContentPosition()
 			So(at, ShouldEqual, 1)
-			So(whole, ShouldBeTrue)
+			So(hasContent, ShouldBeTrue)
 			So(r.SetListener(func([]Change) {}), ShouldBeFalse) // the content between 1 and 5 is missing
 			r.ApplyContent(Span{From: 1, To: 3}, []platform.Record{progressRecord(2, id, work.Running)}, now)
 			e, _ := r.Get(id)
@@ -165,13 +165,13 @@
 		go func() { _ = f.Run(ctx) }()
 		time.Sleep(2 * time.Second)
 		f.DropContent()
-		if _, whole := f.ContentPosition(); whole {
+		if _, hasContent := f.ContentPosition(); hasContent {
 			t.Error("content is kept after it was dropped")
 		}
 		f.KeepContent()
 		time.Sleep(10 * time.Second)
-		if at, whole := f.ContentPosition(); !whole || at < 3*pageKeys {
-			t.Errorf("content kept: %v, up to %d of %d", whole, at, 3*pageKeys)
+		if at, hasContent := f.ContentPosition(); !hasContent || at < 3*pageKeys {
+			t.Errorf("content kept: %v, up to %d of %d", hasContent, at, 3*pageKeys)
 		}
 	})
 }
--- a/internal/replica/reader.go
+++ b/internal/replica/reader.go
@@ -139,11 +139,11 @@
 func (f *Reader) waitForNextRead(ctx context.Context, started time.Time) {
 	for ctx.Err() == nil {
 		now := time.Now()
-		left := f.readInterval(now) - now.Sub(started)
-		if left <= 0 {
+		remaining := f.readInterval(now) - now.Sub(started)
+		if remaining <= 0 {
 			return
 		}
-		pause.For(ctx, min(left, readIntervalPoll))
+		pause.For(ctx, min(remaining, readIntervalPoll))
 	}
 }
 
