--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -333,7 +333,7 @@
 	}
 }
 
-// requeueAfterDelay queues requests again after a delay; nothing of them is stored.
+// requeueAfterDelay queues requests again after a delay; none of them is stored.
 func (in *Intake) requeueAfterDelay(batch []*request) {
 	in.mu.Lock()
 	for _, r := range batch {
@@ -357,15 +357,15 @@
 	if uncertain {
 		outcome = ErrUnknown
 	}
-	var left []*request
+	var remaining []*request
 	for _, r := range batch {
 		if r.ctx.Err() != nil {
 			r.done <- errors.Mark(r.ctx.Err(), outcome)
 			continue
 		}
-		left = append(left, r)
+		remaining = append(remaining, r)
 	}
-	return left
+	return remaining
 }
 
 func (in *Intake) append(batch []*request) error {
--- a/internal/intake/relay.go
+++ b/internal/intake/relay.go
@@ -27,7 +27,7 @@
 // storeViaLeader passes a batch to the leader, waits at most until the last deadline of its clients,
 // and answers the requests that have a final result. It returns the others and whether some of them may
 // be stored.
-func (in *Intake) storeViaLeader(batch []*request) (uncertain bool, left []*request) {
+func (in *Intake) storeViaLeader(batch []*request) (uncertain bool, remaining []*request) {
 	ctx, cancel := context.WithDeadline(context.Background(), lastDeadline(batch))
 	defer cancel()
 	var refused []*request
@@ -42,13 +42,13 @@
 			go in.awaitDelivery(r)
 		default:
 			uncertain = uncertain || errors.Is(err, ErrUnknown)
-			left = append(left, r)
+			remaining = append(remaining, r)
 		}
 	}
 	if len(refused) > 0 {
 		in.handleRefusal(refused, ErrStoreRefused, false)
 	}
-	return uncertain, left
+	return uncertain, remaining
 }
 
 // awaitDelivery answers a request whose record the leader is storing, once the record is known to be
