--- a/internal/node/leading.go
+++ b/internal/node/leading.go
@@ -66,7 +66,7 @@
 		Reader:             n.reader,
 		Peers:              n.peers,
 		Caller:             n.caller,
-		BulkCaller:         n.contentCaller,
+		BulkCaller:         n.bulkCaller,
 		LocalDataCentre:    n.settings.DataCentre,
 		LinkBytesPerSecond: n.settings.LinkBytesPerSecond,
 		LinkFull:           n.linkFull.Load,
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -53,7 +53,7 @@
 	elector        *leader.Elector
 	peers          *assist.Peers
 	caller         assist.Caller
-	contentCaller  assist.Caller // for the content of records, on separate connections
+	bulkCaller     assist.Caller // for the content of records, on separate connections
 	adviser        platformapi.Adviser
 	relayExecutors *platform.ExecutorClient // for the leader's orders that this machine relays
 	wonEpochs      chan api.Epoch           // won in the election, to be led by lead
@@ -75,7 +75,7 @@
 		traffic:        account,
 		store:          storehealth.Watch(platform.NewStoreClient(s.StoreAddress, account)),
 		caller:         newCaller(account),
-		contentCaller:  newCaller(account),
+		bulkCaller:     newCaller(account),
 		relayExecutors: platform.NewExecutorClient(account),
 		wonEpochs:      make(chan api.Epoch, 1),
 		shutdown:       shutdown{gracePeriod: s.Grace},
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -27,8 +27,9 @@
 	maxHeaderBytes    = 16 << 10
 )
 
-// maxSinceContact is how long this machine may go without new data from the store or
-// the leader before it reports that it is not ready. It could accept no jobs then.
+// maxSinceContact is how long this machine may go without an answer from the store or a
+// delivery from the leader before it reports that it is not ready. It could accept no
+// jobs then.
 const maxSinceContact = 2 * time.Second
 
 // adviceTimeout bounds a call to the advice service, which answers the calls
--- a/internal/node/suitability_test.go
+++ b/internal/node/suitability_test.go
@@ -33,8 +33,8 @@
 			t.Fatal(err)
 		}
 		time.Sleep(30 * time.Second)
-		if behind := n.replica.Lag(time.Now()); behind < 30*time.Second {
-			t.Fatalf("the replica lags by %v, want 30s at least", behind)
+		if lag := n.replica.Lag(time.Now()); lag < 30*time.Second {
+			t.Fatalf("the replica lags by %v, want 30s at least", lag)
 		}
 		defer func() {
 			if recover() != nil {
