--- a/internal/jobapi/api.go
+++ b/internal/jobapi/api.go
@@ -51,7 +51,7 @@
 	// responseMargin is the part of the client's time that is reserved for sending the
 	// answer.
 	responseMargin = 50 * time.Millisecond
-	// defaultRetryAfter is the Retry-After of requests that the store didn't take.
+	// defaultRetryAfter is the Retry-After of requests that the store didn't accept.
 	// Outages of the store last seconds, and the load balancer sends a retry to another
 	// machine.
 	defaultRetryAfter = time.Second
--- a/internal/jobapi/jobs.go
+++ b/internal/jobapi/jobs.go
@@ -35,9 +35,9 @@
 	job.Queue = r.queue.Name
 	job.Service = r.queue.Service
 	job.AcceptedMs = time.Now().UnixMilli()
-	faults := &finding.List{}
-	job.Validate(faults)
-	if err := faults.Err(); err != nil {
+	findings := &finding.List{}
+	job.Validate(findings)
+	if err := findings.Err(); err != nil {
 		return a.refuse(http.StatusBadRequest, err.Error(), 0)
 	}
 	if feature := unsupportedFeature(job); feature != "" {
@@ -51,7 +51,7 @@
 }
 
 // retryAfter returns the time after which the client should retry a job that the store
-// didn't take.
+// didn't accept.
 func retryAfter(r *request, j *work.Job) time.Duration {
 	return min(max(defaultRetryAfter, time.Duration(retryObjectiveShare*float64(r.queue.LatencyObjective(j.CriticalPath())))), maxRetryAfter)
 }
@@ -97,7 +97,7 @@
 }
 
 // storeRecord makes a record durable and returns the answer. maxWait bounds the wait for
-// an unavailable store. If the store took nothing, the client is asked to retry after
+// an unavailable store. If the store accepted nothing, the client is asked to retry after
 // retryAfter.
 func (a *API) storeRecord(r *request, record platform.Record, maxWait, retryAfter time.Duration) *response {
 	if a.CutOff != nil && a.CutOff() {
--- a/internal/jobapi/retry_test.go
+++ b/internal/jobapi/retry_test.go
@@ -16,7 +16,7 @@
 	"github.com/skylarklock/skylarklock/internal/work"
 )
 
-// refusingStore is a store that takes no records.
+// refusingStore is a store that accepts no records.
 type refusingStore struct{}
 
 // Store implements Store.
@@ -108,7 +108,7 @@
 	}
 }
 
-// countingStore is a store that takes all records and counts them.
+// countingStore is a store that accepts all records and counts them.
 type countingStore struct{ calls int }
 
 // Store implements Store.
