--- a/internal/platform/httpendpoint/attempt.go
+++ b/internal/platform/httpendpoint/attempt.go
@@ -121,7 +121,7 @@
 // maxAnswer bytes, and another error if the answer is incomplete.
 func readAnswer(resp *http.Response, maxAnswer int64) (*api.Answer, error) {
 	if resp.StatusCode == http.StatusSwitchingProtocols {
-		return nil, errors.New("httpendpoint: endpoint switched protocols without a request to do so")
+		return nil, errors.New("httpendpoint: endpoint switched protocols unasked")
 	}
 	hasBody := resp.Request.Method != http.MethodHead
 	if hasBody && resp.ContentLength > maxAnswer {
--- a/internal/platform/httpendpoint/conn.go
+++ b/internal/platform/httpendpoint/conn.go
@@ -9,10 +9,10 @@
 
 // errNotOwned is returned by a write on a connection that no attempt owns, such as
 // the write of a retry by the transport.
-var errNotOwned = errors.New("httpendpoint: connection does not belong to this request")
+var errNotOwned = errors.New("httpendpoint: connection is not armed for this request")
 
 // errRetrySuppressed is the cause with which a retry by the transport is cancelled.
-var errRetrySuppressed = errors.New("httpendpoint: connection broke, retry suppressed")
+var errRetrySuppressed = errors.New("httpendpoint: connection broke, repeat suppressed")
 
 // attempt tracks the connection and the written bytes of one request.
 type attempt struct {
