--- a/internal/router/endpoint.go
+++ b/internal/router/endpoint.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// reset drops the health data when the endpoint's address changes, because
-// another process runs there. Requests in flight still count.
+// reset drops everything learned about the process at the former address when
+// the endpoint's address changes. Requests in flight still count.
 func (e *endpoint) reset() {
 	*e = endpoint{inFlight: e.inFlight, peakInFlight: e.peakInFlight, idle: e.idle}
 }
--- a/internal/router/fairqueue.go
+++ b/internal/router/fairqueue.go
@@ -117,8 +117,9 @@
 	}
 }
 
-// next returns the first oldest waiter of a caller that accept returns true
-// for, and moves its caller to the back.
+// next looks at the oldest waiter of each caller, in round-robin order. It
+// returns the first one that accept returns true for, and moves its caller to
+// the back.
 func (r *classQueue) next(accept func(*waiter) bool) *waiter {
 	for turn := r.callers.Front(); turn != nil; turn = turn.Next() {
 		f := turn.Value.(*flow)
--- a/internal/router/health.go
+++ b/internal/router/health.go
@@ -131,14 +131,14 @@
 // shouldEject decides after a failure whether an endpoint is an outlier
 // compared with the others and may be ejected, given that ejected of total
 // endpoints already are.
-func (o ejectionPolicy) shouldEject(h *health, others resultCounts, ejected, total int) bool {
+func (p ejectionPolicy) shouldEject(h *health, others resultCounts, ejected, total int) bool {
 	if h.state != stateActive {
 		return false
 	}
-	if ejected+1 > int(o.maxEjectedShare*float64(total)+roundingSlack) {
+	if ejected+1 > int(p.maxEjectedShare*float64(total)+roundingSlack) {
 		return false
 	}
-	return o.failsMoreThanOthers(h.counts, others.failureRate()) || o.failsInARow(h.failureStreak, others.failureRate())
+	return p.failsMoreThanOthers(h.counts, others.failureRate()) || p.failsInARow(h.failureStreak, others.failureRate())
 }
 
 const (
@@ -151,21 +151,21 @@
 )
 
 // failsMoreThanOthers reports whether an endpoint's results are worse than
-// those of the others by more than chance explains. It does not eject for
-// requests that fail on all endpoints.
-func (o ejectionPolicy) failsMoreThanOthers(own resultCounts, others float64) bool {
+// those of the others by more than chance explains. When some requests fail on
+// all endpoints, no endpoint stands out and the result is false.
+func (p ejectionPolicy) failsMoreThanOthers(own resultCounts, others float64) bool {
 	// The counts decay from the first result on, hence the tolerance of 0.5.
-	if own.count() < o.minSamples-0.5 {
+	if own.count() < p.minSamples-0.5 {
 		return false
 	}
-	return own.failureRate() >= others+o.margin && chernoffBound(own.count(), own.failureRate(), others) <= maxChanceProbability
+	return own.failureRate() >= others+p.margin && chernoffBound(own.count(), own.failureRate(), others) <= maxChanceProbability
 }
 
 // failsInARow reports whether a streak of failures is longer than chance
 // explains. It detects a sudden fault that earlier successes would hide in the
 // failure rate.
-func (o ejectionPolicy) failsInARow(streak int, others float64) bool {
-	return float64(streak) >= o.minSamples && chernoffBound(float64(streak), 1, others) <= maxChanceProbability
+func (p ejectionPolicy) failsInARow(streak int, others float64) bool {
+	return float64(streak) >= p.minSamples && chernoffBound(float64(streak), 1, others) <= maxChanceProbability
 }
 
 // chernoffBound returns an upper bound on the probability that at least the
@@ -195,26 +195,26 @@
 }
 
 // eject stops requests to the endpoint until the next probe.
-func (o ejectionPolicy) eject(now time.Duration, h *health) {
+func (p ejectionPolicy) eject(now time.Duration, h *health) {
 	h.state = stateEjected
-	h.probeInterval = o.nextProbeInterval(h.probeInterval)
+	h.probeInterval = p.nextProbeInterval(h.probeInterval)
 	h.probeAt = now + h.probeInterval
 }
 
 // nextProbeInterval doubles the interval before the next probe.
-func (o ejectionPolicy) nextProbeInterval(last time.Duration) time.Duration {
+func (p ejectionPolicy) nextProbeInterval(last time.Duration) time.Duration {
 	if last == 0 {
-		return o.probeInterval
+		return p.probeInterval
 	}
-	return min(2*last, o.maxProbeInterval)
+	return min(2*last, p.maxProbeInterval)
 }
 
 // handleProbeResult ejects the endpoint again or restores it. A restored
 // endpoint keeps its counts: its cost stays higher than that of others until
 // new successes outweigh them, and it is ejected at the first relapse.
-func (o ejectionPolicy) handleProbeResult(now time.Duration, h *health, ok bool) {
+func (p ejectionPolicy) handleProbeResult(now time.Duration, h *health, ok bool) {
 	if !ok {
-		o.eject(now, h)
+		p.eject(now, h)
 		return
 	}
 	h.state = stateActive
@@ -229,8 +229,8 @@
 
 // resetProbeInterval resets the doubled interval when the endpoint has been
 // active for longer than maxProbeInterval.
-func (o ejectionPolicy) resetProbeInterval(now time.Duration, h *health) {
-	if h.state == stateActive && now-h.restoredAt > o.maxProbeInterval {
+func (p ejectionPolicy) resetProbeInterval(now time.Duration, h *health) {
+	if h.state == stateActive && now-h.restoredAt > p.maxProbeInterval {
 		h.probeInterval = 0
 	}
 }
@@ -251,16 +251,16 @@
 const upperBoundDeviations = 2
 
 // with returns t with one more sample.
-func (t latencyEstimate) with(sample float64) latencyEstimate {
-	if t.mean == 0 {
+func (l latencyEstimate) with(sample float64) latencyEstimate {
+	if l.mean == 0 {
 		return latencyEstimate{mean: sample, deviation: sample / upperBoundDeviations}
 	}
-	t.deviation += serviceLatencyWeight * (math.Abs(sample-t.mean) - t.deviation)
-	t.mean += serviceLatencyWeight * (sample - t.mean)
-	return t
+	l.deviation += serviceLatencyWeight * (math.Abs(sample-l.mean) - l.deviation)
+	l.mean += serviceLatencyWeight * (sample - l.mean)
+	return l
 }
 
 // upperBound returns the time within which most requests are answered.
-func (t latencyEstimate) upperBound() time.Duration {
-	return seconds(t.mean + upperBoundDeviations*t.deviation)
+func (l latencyEstimate) upperBound() time.Duration {
+	return seconds(l.mean + upperBoundDeviations*l.deviation)
 }
--- a/internal/router/simulation_test.go
+++ b/internal/router/simulation_test.go
@@ -97,7 +97,7 @@
 	fault     func([]*modelEndpoint) // applied after a warm-up of one second
 }
 
-type tally struct {
+type simulationResult struct {
 	sent, good, failed, late, refused, retries int
 	maxRunning                                 int
 	ranOnFaulty                                int             // runs on the first endpoint, after the fault
@@ -106,7 +106,7 @@
 
 // p99 returns the 99th percentile of the latency of successful requests, 0
 // when there are none.
-func (s tally) p99() time.Duration {
+func (s simulationResult) p99() time.Duration {
 	if len(s.latencies) == 0 {
 		return 0
 	}
@@ -115,13 +115,13 @@
 }
 
 // run runs the simulation in virtual time.
-func (x simulation) run(t *testing.T) tally {
-	var result tally
+func (x simulation) run(t *testing.T) simulationResult {
+	var result simulationResult
 	synctest.Test(t, func(t *testing.T) { result = x.simulate() })
 	return result
 }
 
-func (x simulation) simulate() tally {
+func (x simulation) simulate() simulationResult {
 	source := rand.New(rand.NewPCG(7, 7))
 	router := New(Config{Rand: rand.NewPCG(1, 2)})
 	router.SetService("s", api.ServiceSpec{RoutingPolicy: x.policy, QueueTimeoutMs: 500, QueueLength: 2000})
@@ -137,7 +137,7 @@
 	router.SetEndpoints(time.Now(), held)
 
 	var mu sync.Mutex
-	var counts tally
+	var counts simulationResult
 	budget := 10.0
 	mayRetry := func() bool { // the baseline retries without a budget
 		mu.Lock()
--- a/internal/router/wait.go
+++ b/internal/router/wait.go
@@ -173,8 +173,8 @@
 	if class == api.ClassBatch || now-s.lastInteractiveIdle <= full {
 		return full
 	}
-	standing := s.expectedWait(now, congestedMinWaiters)
-	return min(max(full/congestedTimeDivisor, standing), full)
+	congestedWait := s.expectedWait(now, congestedMinWaiters)
+	return min(max(full/congestedTimeDivisor, congestedWait), full)
 }
 
 // canMeetDeadline reports whether w would be answered in time if a slot were
