--- a/internal/filter/conclude.go
+++ b/internal/filter/conclude.go
@@ -50,8 +50,8 @@
 }
 
 // journalOutcome starts to journal the outcome of a marked request. No caller
-// waits for it. The returned channel receives the error, which is logged
-// already; it is nil when nothing was started.
+// waits for it. The returned channel receives the result; an error has been
+// logged already. The channel is nil when nothing was started.
 func (c *Chain) journalOutcome(mark reqkey.Mark, answer *api.Answer, refusal *api.Refusal) <-chan error {
 	journaled := make(chan error, 1)
 	started := c.journal.start(func(ctx context.Context) {
--- a/internal/filter/copies_test.go
+++ b/internal/filter/copies_test.go
@@ -10,7 +10,7 @@
 
 // VM a is marking a request while VM b refuses a copy of it. The request runs
 // at a, so b must not answer not-run.
-func TestConcurrentCopiesAreNotToldNotRun(t *testing.T) {
+func TestConcurrentCopiesAreNotAnsweredNotRun(t *testing.T) {
 	for name, row := range map[string]struct {
 		want   string
 		before func(w *testCluster)
--- a/internal/filter/property_test.go
+++ b/internal/filter/property_test.go
@@ -185,8 +185,8 @@
 // not run.
 type endpointDenyingRuns struct{ Endpoint }
 
-func (l endpointDenyingRuns) Attempt(ctx context.Context, ep api.Endpoint, epoch api.Epoch, req *api.Request, n int64) (*api.Answer, platform.Feedback, error) {
-	answer, feedback, err := l.Endpoint.Attempt(ctx, ep, epoch, req, n)
+func (e endpointDenyingRuns) Attempt(ctx context.Context, ep api.Endpoint, epoch api.Epoch, req *api.Request, n int64) (*api.Answer, platform.Feedback, error) {
+	answer, feedback, err := e.Endpoint.Attempt(ctx, ep, epoch, req, n)
 	if err != nil {
 		err = &platform.AttemptError{Certainty: platform.CertainNotRun, Reason: api.ReasonConnectFailed, Cause: err}
 	}
