--- a/internal/capacity/measure_test.go
+++ b/internal/capacity/measure_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// Checks that every measurement is complete, has enough sizes for a fit and has a
-// unique name.
+// TestAllMeasurements checks that every measurement is complete, has enough sizes
+// for a fit and has a unique name.
 func TestAllMeasurements(t *testing.T) {
 	seen := make(map[string]bool)
 	for _, m := range AllMeasurements() {
