--- a/internal/ownership/authority.go
+++ b/internal/ownership/authority.go
@@ -21,9 +21,9 @@
 var accessNames = [...]string{"none", "floor", "full"}
 
 // String returns the name of the access level for logs.
-func (s Access) String() string {
-	if int(s) < len(accessNames) {
-		return accessNames[s]
+func (a Access) String() string {
+	if int(a) < len(accessNames) {
+		return accessNames[a]
 	}
 	return "invalid"
 }
@@ -163,8 +163,8 @@
 }
 
 // confirmation returns the access that the process has at now to the shards that
-// it holds, and whether grants confirm it.
-func (c Timing) confirmation(t *Table, e *Evidence, now time.Time) (state Access, granted bool) {
+// it holds, and whether that is confirmed by grants.
+func (c Timing) confirmation(t *Table, e *Evidence, now time.Time) (access Access, byGrants bool) {
 	if c.LogConfirmed(e, now) {
 		return AccessFull, false
 	}
--- a/internal/ownership/controller.go
+++ b/internal/ownership/controller.go
@@ -162,7 +162,7 @@
 }
 
 // inFlight returns what is in flight for each releasable shard. It is called
-// after these shards were closed, and without a lock, because Config.MaxInFlight
+// after these shards were closed, and without a lock, because Config.InFlight
 // takes locks of its own.
 func (c *Controller) inFlight(t *Table) map[Shard]int {
 	c.mu.RLock()
--- a/internal/ownership/failover_test.go
+++ b/internal/ownership/failover_test.go
@@ -78,14 +78,14 @@
 
 func (n *entryVM) Propose(ctx context.Context, e journal.Entry) error {
 	time.Sleep(appendDelay)
-	w := n.cluster
-	if w.logDown.Load() || ctx.Err() != nil {
+	c := n.cluster
+	if c.logDown.Load() || ctx.Err() != nil {
 		return journal.ErrNotWritten
 	}
-	w.mu.Lock()
-	offset := platform.Offset(len(w.entries))
-	w.entries = append(w.entries, e)
-	w.mu.Unlock()
+	c.mu.Lock()
+	offset := platform.Offset(len(c.entries))
+	c.entries = append(c.entries, e)
+	c.mu.Unlock()
 	for n.Applied() <= offset {
 		if ctx.Err() != nil {
 			return journal.ErrUnsettled
@@ -114,10 +114,10 @@
 	}
 }
 
-func (w *testCluster) dial(_ context.Context, addr string) (net.Conn, error) {
-	w.mu.Lock()
-	server := w.servers[addr]
-	w.mu.Unlock()
+func (c *testCluster) dial(_ context.Context, addr string) (net.Conn, error) {
+	c.mu.Lock()
+	server := c.servers[addr]
+	c.mu.Unlock()
 	if server == nil {
 		return nil, errors.New("connection refused")
 	}
@@ -137,11 +137,11 @@
 func init() { logrus.SetOutput(io.Discard) }
 
 // start starts entry VM number i.
-func (w *testCluster) start(i int) *entryVM {
-	n := &entryVM{cluster: w, machine: ownership.NewStateMachine(), address: fmt.Sprintf("10.0.0.%d:7400", i)}
+func (c *testCluster) start(i int) *entryVM {
+	n := &entryVM{cluster: c, machine: ownership.NewStateMachine(), address: fmt.Sprintf("10.0.0.%d:7400", i)}
 	n.id = ownership.Identity{Node: api.NodeID(fmt.Sprintf("entry-%02d", i)), Incarnation: api.Incarnation(1<<60 + i)}
 	n.server = peer.NewServer(peer.Limits{}, nil)
-	n.client = peer.NewClient(peer.Limits{}, w.dial)
+	n.client = peer.NewClient(peer.Limits{}, c.dial)
 	n.service = member.New(member.Config{
 		Self: n.id, DataCentre: "bne-1", Address: n.address, Caller: n, Applied: n.Applied,
 		Roster:     func() []ownership.Member { r, _ := n.machine.Roster(); return r },
@@ -151,7 +151,7 @@
 	})
 	n.controller = ownership.NewController(ownership.Config{
 		Self: n.id, Address: n.address, Machine: n.machine, Proposer: n, Follower: n,
-		Health: n.service.Health, Unlisted: w.unlisted,
+		Health: n.service.Health, Unlisted: c.unlisted,
 		InFlight: func(ownership.Shard) int { return int(n.inFlight.Load()) },
 	})
 	n.service.Bind(n.controller)
@@ -160,31 +160,31 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	n.stop = cancel
-	w.mu.Lock()
-	w.servers[n.address] = n.server
-	w.mu.Unlock()
-	w.group.Go(func() { n.follow(ctx) })
-	w.group.Go(func() { n.service.Run(ctx) })
-	w.group.Go(func() { n.controller.Run(ctx) })
-	w.nodes = append(w.nodes, n)
+	c.mu.Lock()
+	c.servers[n.address] = n.server
+	c.mu.Unlock()
+	c.group.Go(func() { n.follow(ctx) })
+	c.group.Go(func() { n.service.Run(ctx) })
+	c.group.Go(func() { n.controller.Run(ctx) })
+	c.nodes = append(c.nodes, n)
 	return n
 }
 
-func (w *testCluster) unlisted(now time.Time) map[api.NodeID]time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (c *testCluster) unlisted(now time.Time) map[api.NodeID]time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	out := make(map[api.NodeID]time.Duration)
-	for node, since := range w.unlistedSince {
+	for node, since := range c.unlistedSince {
 		out[node] = now.Sub(since)
 	}
 	return out
 }
 
 // kill stops a process without a graceful shutdown.
-func (w *testCluster) kill(n *entryVM) {
-	w.mu.Lock()
-	delete(w.servers, n.address)
-	w.mu.Unlock()
+func (c *testCluster) kill(n *entryVM) {
+	c.mu.Lock()
+	delete(c.servers, n.address)
+	c.mu.Unlock()
 	n.stop()
 	n.client.Close()
 	n.server.Close()
@@ -192,21 +192,21 @@
 
 // countAccess returns the number of shards at each level of access, summed over
 // nodes.
-func countAccess(nodes []*entryVM) (states [3]int) {
+func countAccess(nodes []*entryVM) (counts [3]int) {
 	for _, n := range nodes {
 		for _, s := range ownership.Shards() {
-			_, state := n.controller.Authority(s, time.Now())
-			states[state]++
+			_, access := n.controller.Authority(s, time.Now())
+			counts[access]++
 		}
 	}
-	return states
+	return counts
 }
 
 const allShards = ownership.EndpointShards + 1
 
 // allShardsFull reports whether some node has full access to each shard.
-func (w *testCluster) allShardsFull() bool {
-	return countAccess(w.nodes)[ownership.AccessFull] == allShards
+func (c *testCluster) allShardsFull() bool {
+	return countAccess(c.nodes)[ownership.AccessFull] == allShards
 }
 
 // waitFor waits until ok returns true and returns how long that took.
@@ -224,29 +224,29 @@
 // startCluster starts n entry VMs at the same time and waits until the
 // distribution of the shards is stable.
 func startCluster(t *testing.T, n int) *testCluster {
-	w := &testCluster{servers: make(map[string]*peer.Server), unlistedSince: make(map[api.NodeID]time.Time)}
+	c := &testCluster{servers: make(map[string]*peer.Server), unlistedSince: make(map[api.NodeID]time.Time)}
 	for i := range n {
-		w.start(i)
+		c.start(i)
 	}
-	took := waitFor(t, time.Minute, w.allShardsFull)
+	took := waitFor(t, time.Minute, c.allShardsFull)
 	t.Logf("%d nodes: every shard was in use %v after the start", n, took)
 	time.Sleep(20 * time.Second)
-	return w
+	return c
 }
 
-func (w *testCluster) killAll() {
-	for _, n := range w.nodes {
-		w.kill(n)
+func (c *testCluster) killAll() {
+	for _, n := range c.nodes {
+		c.kill(n)
 	}
-	w.group.Wait()
+	c.group.Wait()
 }
 
 // bytesPerSecond returns the traffic on the first node's connections, in both
 // directions.
-func (w *testCluster) bytesPerSecond() (sum int64) {
+func (c *testCluster) bytesPerSecond() (sum int64) {
 	const seconds = 10
 	read := func(sign int64) {
-		for _, vars := range []*expvar.Map{w.nodes[0].server.Vars(), w.nodes[0].client.Vars()} {
+		for _, vars := range []*expvar.Map{c.nodes[0].server.Vars(), c.nodes[0].client.Vars()} {
 			sum += sign * (vars.Get("bytes_in").(*expvar.Int).Value() + vars.Get("bytes_out").(*expvar.Int).Value())
 		}
 	}
@@ -264,18 +264,18 @@
 			continue
 		}
 		synctest.Test(t, func(t *testing.T) {
-			w := startCluster(t, n)
-			defer w.killAll()
-			t.Logf("%d nodes: %d B/s per node", n, w.bytesPerSecond())
-			roster, _ := w.nodes[0].machine.Roster()
+			c := startCluster(t, n)
+			defer c.killAll()
+			t.Logf("%d nodes: %d B/s per node", n, c.bytesPerSecond())
+			roster, _ := c.nodes[0].machine.Roster()
 			for _, m := range roster {
 				if m.Challenged != 0 {
 					t.Fatalf("%s was challenged while all members were alive", m.Process.Node)
 				}
 			}
-			w.kill(w.nodes[n-1])
-			w.nodes = w.nodes[:n-1]
-			took := waitFor(t, 10*time.Second, w.allShardsFull)
+			c.kill(c.nodes[n-1])
+			c.nodes = c.nodes[:n-1]
+			took := waitFor(t, 10*time.Second, c.allShardsFull)
 			t.Logf("%d nodes: all shards were in use again %v after the death", n, took)
 		})
 	}
@@ -305,9 +305,9 @@
 // those in flight, and that the leaving member stays until these are free.
 func TestDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := startCluster(t, 9)
-		defer w.killAll()
-		leaver, rest := w.nodes[8], w.nodes[:8]
+		c := startCluster(t, 9)
+		defer c.killAll()
+		leaver, rest := c.nodes[8], c.nodes[:8]
 		own := totalSlots([]*entryVM{leaver})
 		leaver.inFlight.Store(3)
 		left := make(chan error, 1)
@@ -316,7 +316,7 @@
 		took := waitFor(t, 10*time.Second, func() bool { return totalSlots(rest) == want })
 		t.Logf("all free slots were in use %v after the start of the drain", took)
 		time.Sleep(2 * time.Second)
-		if len(left) != 0 || totalSlots(w.nodes) != want || countAccess([]*entryVM{leaver})[ownership.AccessFull] != 0 {
+		if len(left) != 0 || totalSlots(c.nodes) != want || countAccess([]*entryVM{leaver})[ownership.AccessFull] != 0 {
 			t.Fatal("with requests in flight, the leaving member left, kept full access, or the slot limits changed")
 		}
 		leaver.inFlight.Store(0)
@@ -340,23 +340,23 @@
 // peer is lost, and that all shards are in use again when the log is back.
 func TestLogDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := startCluster(t, 9)
-		defer w.killAll()
-		w.logDown.Store(true)
+		c := startCluster(t, 9)
+		defer c.killAll()
+		c.logDown.Store(true)
 		for range 200 {
 			time.Sleep(100 * time.Millisecond)
-			if !w.allShardsFull() {
+			if !c.allShardsFull() {
 				t.Fatal("a shard is not in full use while the log is unavailable")
 			}
 		}
-		t.Logf("log unavailable: %d B/s per node", w.bytesPerSecond())
-		w.kill(w.nodes[8])
-		w.nodes = w.nodes[:8]
-		took := waitFor(t, 10*time.Second, func() bool { return countAccess(w.nodes)[ownership.AccessFull] == 0 })
-		floors := countAccess(w.nodes)[ownership.AccessFloor]
+		t.Logf("log unavailable: %d B/s per node", c.bytesPerSecond())
+		c.kill(c.nodes[8])
+		c.nodes = c.nodes[:8]
+		took := waitFor(t, 10*time.Second, func() bool { return countAccess(c.nodes)[ownership.AccessFull] == 0 })
+		floors := countAccess(c.nodes)[ownership.AccessFloor]
 		t.Logf("log unavailable and one node killed: %d shards at their floor share after %v", floors, took)
-		w.logDown.Store(false)
-		took = waitFor(t, 10*time.Second, w.allShardsFull)
+		c.logDown.Store(false)
+		took = waitFor(t, 10*time.Second, c.allShardsFull)
 		t.Logf("all shards were in use %v after the log was available again", took)
 	})
 }
@@ -365,18 +365,18 @@
 // lost but every member follows the log.
 func TestHeartbeatsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := startCluster(t, 3)
-		defer w.killAll()
-		before := w.nodes[0].machine.Holder(ownership.Cell)
-		w.peersCut.Store(true)
+		c := startCluster(t, 3)
+		defer c.killAll()
+		before := c.nodes[0].machine.Holder(ownership.Cell)
+		c.peersCut.Store(true)
 		for range 300 {
 			time.Sleep(100 * time.Millisecond)
-			if !w.allShardsFull() {
+			if !c.allShardsFull() {
 				t.Fatal("a shard is not in full use while the log is available")
 			}
 		}
-		status := w.nodes[0].controller.Status(time.Now())
-		if now := w.nodes[0].machine.Holder(ownership.Cell); now.Epoch != before.Epoch || !status.Members[1].Suspected {
+		status := c.nodes[0].controller.Status(time.Now())
+		if now := c.nodes[0].machine.Holder(ownership.Cell); now.Epoch != before.Epoch || !status.Members[1].Suspected {
 			t.Fatalf("epoch of the cell shard: %d, was %d; members: %+v", now.Epoch, before.Epoch, status.Members)
 		}
 	})
@@ -387,22 +387,22 @@
 // load.
 func TestReplacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := startCluster(t, 3)
-		defer w.killAll()
-		w.kill(w.nodes[2])
-		w.mu.Lock()
-		w.unlistedSince[w.nodes[2].id.Node] = time.Now()
-		w.mu.Unlock()
-		w.nodes = w.nodes[:2]
-		fresh := w.start(3)
+		c := startCluster(t, 3)
+		defer c.killAll()
+		c.kill(c.nodes[2])
+		c.mu.Lock()
+		c.unlistedSince[c.nodes[2].id.Node] = time.Now()
+		c.mu.Unlock()
+		c.nodes = c.nodes[:2]
+		fresh := c.start(3)
 		took := waitFor(t, 30*time.Second, func() bool { return countAccess([]*entryVM{fresh})[ownership.AccessFull] > 0 })
 		t.Logf("the replacement had its first shards after %v", took)
-		waitFor(t, 30*time.Second, w.allShardsFull)
-		loads := w.nodes[0].service.Candidates("torquebench")
+		waitFor(t, 30*time.Second, c.allShardsFull)
+		loads := c.nodes[0].service.Candidates("torquebench")
 		if len(loads) != 2 || loads[0].Node != fresh.id.Node || loads[0].Free != 3 {
 			t.Fatalf("candidates %+v", loads)
 		}
-		took = waitFor(t, 10*time.Second, func() bool { return totalSlots(w.nodes) == allSlots })
+		took = waitFor(t, 10*time.Second, func() bool { return totalSlots(c.nodes) == allSlots })
 		t.Logf("the floor shares of the killed node were in use after another %v", took)
 	})
 }
--- a/internal/ownership/sim_test.go
+++ b/internal/ownership/sim_test.go
@@ -63,7 +63,7 @@
 }
 
 type simNode struct {
-	slot          int // index of its VM, for faults
+	vmIndex       int // index of its VM, for faults
 	evidence      *Evidence
 	table         *Table
 	applied       int
@@ -93,18 +93,18 @@
 	lastIncarnation api.Incarnation
 }
 
-func newSim(nodes int, seed uint64, bad disabledRules) *sim {
-	s := &sim{disabled: bad, random: rand.New(rand.NewPCG(seed, 1)), peerCutUntil: make(map[[2]int]int)}
+func newSim(nodes int, seed uint64, disabled disabledRules) *sim {
+	s := &sim{disabled: disabled, random: rand.New(rand.NewPCG(seed, 1)), peerCutUntil: make(map[[2]int]int)}
 	for i := range nodes {
 		s.nodes = append(s.nodes, s.boot(i, api.NodeID(fmt.Sprint("n", i))))
 	}
 	return s
 }
 
-func (s *sim) boot(slot int, name api.NodeID) *simNode {
+func (s *sim) boot(vmIndex int, name api.NodeID) *simNode {
 	s.lastIncarnation++
 	return &simNode{
-		slot: slot, evidence: NewEvidence(Identity{Node: name, Incarnation: s.lastIncarnation}), table: NewTable(),
+		vmIndex: vmIndex, evidence: NewEvidence(Identity{Node: name, Incarnation: s.lastIncarnation}), table: NewTable(),
 		rate:          1 + simTiming.MaxClockDrift*s.random.Float64(),
 		lastHeartbeat: make(map[Identity]time.Time), aliveSince: make(map[Identity]time.Time),
 		proposing: make(map[string]*simEntry),
@@ -134,7 +134,7 @@
 }
 
 func (s *sim) connected(a, b *simNode) bool {
-	lo, hi := min(a.slot, b.slot), max(a.slot, b.slot)
+	lo, hi := min(a.vmIndex, b.vmIndex), max(a.vmIndex, b.vmIndex)
 	return !a.dead && !b.dead && s.peerCutUntil[[2]int{lo, hi}] <= s.step
 }
 
@@ -144,7 +144,7 @@
 	case faultCutLog:
 		n.logCutUntil = until
 	case faultCutPeer:
-		s.peerCutUntil[[2]int{min(n.slot, peer.slot), max(n.slot, peer.slot)}] = until
+		s.peerCutUntil[[2]int{min(n.vmIndex, peer.vmIndex), max(n.vmIndex, peer.vmIndex)}] = until
 	case faultPause:
 		n.pausedUntil = until
 	case faultLeave:
@@ -158,15 +158,15 @@
 			a := simTiming.Decide(n.table, n.evidence, shard, s.now(n))
 			n.usedAtLeave[shard] = SlotLimit(n.table, n.evidence, shard, a, simSlots) >= simInFlight
 		}
-		s.nodes[n.slot] = s.boot(n.slot, api.NodeID(fmt.Sprint("r", s.lastIncarnation)))
+		s.nodes[n.vmIndex] = s.boot(n.vmIndex, api.NodeID(fmt.Sprint("r", s.lastIncarnation)))
 		s.leavers = append(s.leavers, n)
 	case faultRestart:
 		n.dead = true
-		s.nodes[n.slot] = s.boot(n.slot, n.evidence.Self.Node)
+		s.nodes[n.vmIndex] = s.boot(n.vmIndex, n.evidence.Self.Node)
 	case faultReplace:
 		n.dead, n.diedAt = true, s.step
 		s.dead = append(s.dead, n)
-		s.nodes[n.slot] = s.boot(n.slot, api.NodeID(fmt.Sprint("r", s.lastIncarnation)))
+		s.nodes[n.vmIndex] = s.boot(n.vmIndex, api.NodeID(fmt.Sprint("r", s.lastIncarnation)))
 	}
 }
 
@@ -269,8 +269,8 @@
 	now := s.now(n)
 	health := make(map[api.NodeID]Health)
 	for node, m := range n.table.Members {
-		silent := now.Sub(n.lastHeartbeat[m.Process]) >= simSuspicionTime
-		health[node] = Health{Process: m.Process, Suspected: silent, AliveFor: now.Sub(n.aliveSince[m.Process])}
+		suspected := now.Sub(n.lastHeartbeat[m.Process]) >= simSuspicionTime
+		health[node] = Health{Process: m.Process, Suspected: suspected, AliveFor: now.Sub(n.aliveSince[m.Process])}
 	}
 	inFlight := make(map[Shard]int)
 	for shard, using := range n.usedAtLeave {
@@ -361,7 +361,7 @@
 			}
 			s.heartbeats(n)
 			s.read(n)
-			if (s.step+n.slot)%4 == 0 {
+			if (s.step+n.vmIndex)%4 == 0 {
 				s.plan(n)
 			}
 		}
