--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -70,7 +70,7 @@
 	// ErrNotWritten means that the entry certainly is not in the log and
 	// never will be.
 	ErrNotWritten = errors.New("journal: entry not written")
-	// ErrUnsettled means that the entry is in the log, or may still get there.
+	// ErrUnsettled means that the entry may be in the log, or may still get there.
 	ErrUnsettled = errors.New("journal: entry neither read back nor ruled out")
 )
 
--- a/internal/journal/read.go
+++ b/internal/journal/read.go
@@ -40,13 +40,13 @@
 
 // observe counts a read of rec and reports whether rec has been read often
 // enough with the same bytes.
-func (s *unreadableRecord) observe(rec platform.LogRecord) bool {
+func (u *unreadableRecord) observe(rec platform.LogRecord) bool {
 	checksum := xxhash.Sum64(rec.Data)
-	if s.offset != rec.Offset || s.checksum != checksum {
-		*s = unreadableRecord{offset: rec.Offset, checksum: checksum}
+	if u.offset != rec.Offset || u.checksum != checksum {
+		*u = unreadableRecord{offset: rec.Offset, checksum: checksum}
 	}
-	s.reads++
-	return s.reads >= requiredTornReads
+	u.reads++
+	return u.reads >= requiredTornReads
 }
 
 // readLoop reads and applies until ctx ends.
--- a/internal/journal/recovery_test.go
+++ b/internal/journal/recovery_test.go
@@ -308,11 +308,11 @@
 		links = append(links, &faultyLog{Log: log})
 		nodes = append(nodes, start(i, 1))
 	}
-	answers := make([]error, 2000)
+	results := make([]error, 2000)
 	var wg sync.WaitGroup
-	for i := range answers {
+	for i := range results {
 		n, limit := nodes[rng.IntN(3)], time.Duration(rng.IntN(6000))*time.Millisecond
-		wg.Go(func() { answers[i] = n.propose(fmt.Sprint(i), limit) })
+		wg.Go(func() { results[i] = n.propose(fmt.Sprint(i), limit) })
 		time.Sleep(time.Duration(rng.IntN(100)) * time.Millisecond)
 		if i%10 == 0 {
 			log.SetFaults(randomFaults(rng))
@@ -334,7 +334,7 @@
 	}
 	time.Sleep(time.Minute) // late appends are at most 5 s late
 	nodes = append(nodes, readyNode(t, log, "fresh", useSmallLimits))
-	checkResults(t, nodes[0].machine.list(), answers)
+	checkResults(t, nodes[0].machine.list(), results)
 	for _, n := range nodes {
 		wantSameState(t, nodes[0], n)
 		n.stopAndWait()
@@ -353,13 +353,13 @@
 }
 
 // checkResults compares every proposer's result with the applied entries.
-func checkResults(t *testing.T, applied []string, answers []error) {
+func checkResults(t *testing.T, applied []string, results []error) {
 	t.Helper()
 	count := make(map[string]int)
 	for _, body := range applied {
 		count[body]++
 	}
-	for i, err := range answers {
+	for i, err := range results {
 		n := count[fmt.Sprint(i)]
 		if n > 1 || (err == nil && n == 0) || (errors.Is(err, ErrNotWritten) && n > 0) {
 			t.Errorf("entry %d was applied %d times, its proposer got %v", i, n, err)
--- a/internal/journal/replica.go
+++ b/internal/journal/replica.go
@@ -45,8 +45,8 @@
 	snapshot         *snapshotWriter // nil unless a snapshot is being written
 	tornRecords      []TornRecord
 
-	snapshotID  uint64       // of the latest snapshot written by this replica; guarded by mu
-	recordLimit atomic.Int64 // maximum size of a record in bytes; reduced when the log refuses one as too large
+	snapshotID       uint64       // of the latest snapshot written by this replica; guarded by mu
+	recordLimitBytes atomic.Int64 // maximum size of a record in bytes; reduced when the log refuses one as too large
 
 	wake chan struct{} // signals the append loop that there may be work
 }
@@ -73,7 +73,7 @@
 		progress: make(chan struct{}),
 		wake:     make(chan struct{}, 1),
 	}
-	r.recordLimit.Store(int64(cfg.MaxRecordBytes))
+	r.recordLimitBytes.Store(int64(cfg.MaxRecordBytes))
 	r.schedule = snapshotSchedule{
 		maxRecords: cfg.MaxSnapshotRecords, maxInterval: cfg.MaxSnapshotInterval, retainedRecords: cfg.RetainedRecords, random: cfg.Random,
 	}
@@ -205,13 +205,13 @@
 
 // batchCapacity returns how many bytes of entries fit into one record.
 func (r *Replica) batchCapacity() int {
-	return entryCapacity(int(r.recordLimit.Load()), r.cfg.Origin)
+	return entryCapacity(int(r.recordLimitBytes.Load()), r.cfg.Origin)
 }
 
 // reduceRecordLimit limits later records to half of size bytes, the size of a
 // record that the log refused as too large.
 func (r *Replica) reduceRecordLimit(size int) {
-	r.recordLimit.Store(int64(max(size/2, minRecordBytes)))
+	r.recordLimitBytes.Store(int64(max(size/2, minRecordBytes)))
 }
 
 // notifyAppender signals the append loop that there may be work.
