--- a/internal/cell/bench_test.go
+++ b/internal/cell/bench_test.go
@@ -13,18 +13,18 @@
 // BenchmarkStartCycle starts, runs and ends tasks with entries of 25. With 25
 // starts in an entry, 5,000 starts a second need 200 appends a second.
 func BenchmarkStartCycle(b *testing.B) {
-	m, w := newBusyMachine(b, 1700, 42_000)
+	m, env := newBusyMachine(b, 1700, 42_000)
 	const perEntry = 25
 	bytes, starts := 0, 0
 	apply := func(e journal.Entry) {
 		bytes += len(e.Body)
-		if err := w.apply(m, e); err != nil {
+		if err := env.apply(m, e); err != nil {
 			b.Fatal(err)
 		}
 	}
 	for i := 0; b.Loop(); i++ {
 		job := fmt.Sprintf("burst-%d", i)
-		_ = w.apply(m, cell.SubmitEntry(benchSpec(job, perEntry), 0))
+		_ = env.apply(m, cell.SubmitEntry(benchSpec(job, perEntry), 0))
 		var list []cell.Start
 		for index := range uint32(perEntry) {
 			list = append(list, benchStart(job, index, 1, vmName((i*perEntry+int(index))%1700)))
@@ -43,7 +43,7 @@
 func BenchmarkStartEntry(b *testing.B) {
 	for _, perJob := range []int{1, 25} {
 		b.Run(fmt.Sprintf("%d-of-a-job", perJob), func(b *testing.B) {
-			m, w := newBusyMachine(b, 1700, 42_000)
+			m, env := newBusyMachine(b, 1700, 42_000)
 			const perEntry = 25
 			bytes, starts := 0, 0
 			for i := 0; b.Loop(); i++ {
@@ -52,19 +52,19 @@
 				for k := range perEntry {
 					job := fmt.Sprintf("burst-%d-%d", i, k/perJob)
 					if k%perJob == 0 {
-						_ = w.apply(m, cell.SubmitEntry(benchSpec(job, uint32(perJob)), 0))
+						_ = env.apply(m, cell.SubmitEntry(benchSpec(job, uint32(perJob)), 0))
 					}
 					list = append(list, benchStart(job, uint32(k%perJob), 1, vmName((i*perEntry+k)%1700)))
 				}
 				b.StartTimer()
 				e, _ := m.StartEntry(1, list)
-				if err := w.apply(m, e); err != nil {
+				if err := env.apply(m, e); err != nil {
 					b.Fatal(err)
 				}
 				b.StopTimer()
 				bytes += len(e.Body)
 				starts += perEntry
-				_ = w.apply(m, m.ReportEntry(1, reports(list, cell.AttemptSucceeded)))
+				_ = env.apply(m, m.ReportEntry(1, reports(list, cell.AttemptSucceeded)))
 				b.StartTimer()
 			}
 			b.ReportMetric(float64(starts)/b.Elapsed().Seconds(), "starts/s")
@@ -89,16 +89,16 @@
 	for b.Loop() {
 		b.StopTimer()
 		before := heapBytes()
-		m, w := newMachine()
+		m, env := newMachine()
 		ids := make([]api.JobID, jobCount)
 		for i := range ids {
 			ids[i] = api.JobID(fmt.Sprintf("wave-%06d", i))
-			_ = w.apply(m, cell.SubmitEntry(benchSpec(string(ids[i]), 50), 0))
+			_ = env.apply(m, cell.SubmitEntry(benchSpec(string(ids[i]), 50), 0))
 		}
 		perJob = float64(heapBytes()-before) / jobCount
 		b.StartTimer()
 		for i := 0; i < jobCount; i += perEntry {
-			if err := w.apply(m, cell.CancelEntry(ids[i:i+perEntry], 0)); err != nil {
+			if err := env.apply(m, cell.CancelEntry(ids[i:i+perEntry], 0)); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -111,7 +111,7 @@
 	for _, size := range []struct{ vms, tasks int }{{1700, 42_000}, {18_000, 460_000}} {
 		b.Run(fmt.Sprintf("%d-running", size.tasks), func(b *testing.B) {
 			before := heapBytes()
-			m, w := newBusyMachine(b, size.vms, size.tasks)
+			m, env := newBusyMachine(b, size.vms, size.tasks)
 			perTask := float64(heapBytes()-before) / float64(size.tasks)
 			var data []byte
 			for b.Loop() {
@@ -120,7 +120,7 @@
 			b.ReportMetric(float64(len(data)), "snapshot-bytes")
 			b.ReportMetric(perTask, "heap-bytes/task")
 			runtime.KeepAlive(m)
-			_ = w
+			_ = env
 		})
 	}
 }
@@ -128,10 +128,10 @@
 func BenchmarkRestore(b *testing.B) {
 	for _, size := range []struct{ vms, tasks int }{{1700, 42_000}, {18_000, 460_000}} {
 		b.Run(fmt.Sprintf("%d-running", size.tasks), func(b *testing.B) {
-			m, w := newBusyMachine(b, size.vms, size.tasks)
+			m, env := newBusyMachine(b, size.vms, size.tasks)
 			data, _ := m.Snapshot()
 			for b.Loop() {
-				if err := cell.New(w, nil).Restore(data); err != nil {
+				if err := cell.New(env, nil).Restore(data); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/cell/entries.go
+++ b/internal/cell/entries.go
@@ -19,14 +19,14 @@
 const (
 	TypeSubmit        = journal.TypeCellFirst + iota // Submit
 	TypeCancel                                       // Cancel
-	TypeVMUpdate                                     // VMs
+	TypeVMUpdate                                     // VMUpdate
 	TypeStart                                        // StartBatch
 	TypeReport                                       // ReportBatch
 	TypeStop                                         // StopBatch
 	TypeReplace                                      // Replace
-	TypeMoveJobs                                     // Move
-	TypeConfirmMoves                                 // Moved
-	TypePublishedJobs                                // Published
+	TypeMoveJobs                                     // MoveJobs
+	TypeConfirmMoves                                 // ConfirmMoves
+	TypePublishedJobs                                // PublishedJobs
 )
 
 // Submit adds a job. It is rejected if a job with the same ID is known.
--- a/internal/cell/machine_test.go
+++ b/internal/cell/machine_test.go
@@ -19,17 +19,17 @@
 	offset     uint32
 }
 
-func (w *testEnv) CellEpoch() api.Epoch            { return w.epoch }
-func (w *testEnv) Inc(_ string, reason api.Reason) { w.rejections[reason]++ }
+func (env *testEnv) CellEpoch() api.Epoch            { return env.epoch }
+func (env *testEnv) Inc(_ string, reason api.Reason) { env.rejections[reason]++ }
 
 func newMachine() (*cell.StateMachine, *testEnv) {
-	w := &testEnv{epoch: 1, rejections: map[api.Reason]int{}}
-	return cell.New(w, w), w
+	env := &testEnv{epoch: 1, rejections: map[api.Reason]int{}}
+	return cell.New(env, env), env
 }
 
-func (w *testEnv) apply(m *cell.StateMachine, e journal.Entry) error {
-	w.offset++
-	return m.Apply(journal.Position{Index: w.offset}, e)
+func (env *testEnv) apply(m *cell.StateMachine, e journal.Entry) error {
+	env.offset++
+	return m.Apply(journal.Position{Index: env.offset}, e)
 }
 
 // cores returns n processor cores without memory.
@@ -48,7 +48,7 @@
 }
 
 // addVMsAndJobs adds two VMs with 4 cores, a batch job and a gang job.
-func addVMsAndJobs(t testing.TB, m *cell.StateMachine, w *testEnv) {
+func addVMsAndJobs(t testing.TB, m *cell.StateMachine, env *testEnv) {
 	t.Helper()
 	observed := []cell.ObservedVM{{ID: "a", Rack: "r1", Capacity: cores(4)}, {ID: "b", Rack: "r2", Capacity: cores(4)}}
 	for _, e := range []journal.Entry{
@@ -56,7 +56,7 @@
 		cell.SubmitEntry(api.JobSpec{ID: "batch", Class: api.ClassBatch, Tasks: 6, Resources: cores(1), MaxAttempts: 2}, 0),
 		cell.SubmitEntry(api.JobSpec{ID: "gang", Class: api.ClassGang, Tasks: 3, Resources: cores(2)}, 0),
 	} {
-		if err := w.apply(m, e); err != nil {
+		if err := env.apply(m, e); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -84,22 +84,22 @@
 		{"cancelled job", 1, cell.Start{Task: task("gone", 0), Attempt: 1, VM: "b", Resources: cores(1)}, api.ReasonCancelled},
 		{"fits", 1, start(1, 1, "a", 1), ""},
 	} {
-		m, w := newMachine()
-		addVMsAndJobs(t, m, w)
+		m, env := newMachine()
+		addVMsAndJobs(t, m, env)
 		prior, _ := m.StartEntry(1, []cell.Start{start(0, 1, "a", 3)})
 		later, skipped := m.StartEntry(tt.epoch, []cell.Start{tt.start})
 		if tt.want == api.ReasonCancelled {
-			_ = w.apply(m, cell.SubmitEntry(api.JobSpec{ID: "gone", Tasks: 1, Resources: cores(1)}, 0))
+			_ = env.apply(m, cell.SubmitEntry(api.JobSpec{ID: "gone", Tasks: 1, Resources: cores(1)}, 0))
 			later, skipped = m.StartEntry(tt.epoch, []cell.Start{tt.start})
-			_ = w.apply(m, cell.CancelEntry([]api.JobID{"gone"}, 0))
+			_ = env.apply(m, cell.CancelEntry([]api.JobID{"gone"}, 0))
 		}
-		if err := w.apply(m, prior); err != nil || len(skipped) > 0 {
+		if err := env.apply(m, prior); err != nil || len(skipped) > 0 {
 			t.Fatal(tt.name, err, skipped)
 		}
-		if got := reasonOf(w.apply(m, later)); got != tt.want {
+		if got := reasonOf(env.apply(m, later)); got != tt.want {
 			t.Errorf("%s: got reason %q, want %q", tt.name, got, tt.want)
 		}
-		if tt.want != "" && w.rejections[tt.want] == 0 {
+		if tt.want != "" && env.rejections[tt.want] == 0 {
 			t.Errorf("%s: rejection not counted", tt.name)
 		}
 	}
@@ -107,8 +107,8 @@
 
 // A rejected gang leaves no allocation behind, even if only its last start doesn't fit.
 func TestGangStartsAllOrNothing(t *testing.T) {
-	m, w := newMachine()
-	addVMsAndJobs(t, m, w)
+	m, env := newMachine()
+	addVMsAndJobs(t, m, env)
 	var events []cell.Event
 	m.Subscribe(func(e []cell.Event) { events = append(events, e...) })
 	gang := func(vms ...api.VMID) journal.Entry {
@@ -119,10 +119,10 @@
 		e, _ := m.StartEntry(1, starts)
 		return e
 	}
-	if got := reasonOf(w.apply(m, gang("a", "a", "a"))); got != api.ReasonNoCapacity {
+	if got := reasonOf(env.apply(m, gang("a", "a", "a"))); got != api.ReasonNoCapacity {
 		t.Fatal(got)
 	}
-	if got := reasonOf(w.apply(m, gang("a", "b"))); got != api.ReasonGangWaiting {
+	if got := reasonOf(env.apply(m, gang("a", "b"))); got != api.ReasonGangWaiting {
 		t.Fatal("incomplete gang: got reason ", got)
 	}
 	for _, e := range events {
@@ -133,7 +133,7 @@
 	if used := m.VMs()[0].Used; !used.IsZero() {
 		t.Error("resources used after rejected gangs: ", used)
 	}
-	if err := w.apply(m, gang("a", "b", "a")); err != nil {
+	if err := env.apply(m, gang("a", "b", "a")); err != nil {
 		t.Fatal(err)
 	}
 	if pending := m.Pending("gang"); len(pending) > 0 || len(m.AllocatedTasks("gang")) != 3 {
@@ -142,18 +142,18 @@
 }
 
 func TestTaskFailsAfterMaxAttempts(t *testing.T) {
-	m, w := newMachine()
-	addVMsAndJobs(t, m, w)
+	m, env := newMachine()
+	addVMsAndJobs(t, m, env)
 	for attempt := uint32(1); attempt <= 2; attempt++ {
 		e, _ := m.StartEntry(1, []cell.Start{{Task: task("batch", 0), Attempt: attempt, VM: "a", Resources: cores(1)}})
-		if err := w.apply(m, e); err != nil {
+		if err := env.apply(m, e); err != nil {
 			t.Fatal(err)
 		}
 		failed := cell.Report{Task: task("batch", 0), Attempt: attempt, Status: cell.AttemptFailed, Reason: api.ReasonTaskFailed}
-		if err := w.apply(m, m.ReportEntry(1, []cell.Report{failed})); err != nil {
+		if err := env.apply(m, m.ReportEntry(1, []cell.Report{failed})); err != nil {
 			t.Fatal(err)
 		}
-		if got := reasonOf(w.apply(m, m.ReportEntry(1, []cell.Report{failed}))); got != api.ReasonWrongState {
+		if got := reasonOf(env.apply(m, m.ReportEntry(1, []cell.Report{failed}))); got != api.ReasonWrongState {
 			t.Fatal("repeated report: got reason ", got)
 		}
 	}
@@ -166,26 +166,26 @@
 // A replacement runs beside the task that it replaces. When the replaced task is
 // lost, it is not started again.
 func TestReplacedTaskIsNotRestarted(t *testing.T) {
-	m, w := newMachine()
-	addVMsAndJobs(t, m, w)
-	_ = w.apply(m, cell.SubmitEntry(api.JobSpec{ID: "svc", Class: api.ClassService, Tasks: 1, Resources: cores(1)}, 0))
+	m, env := newMachine()
+	addVMsAndJobs(t, m, env)
+	_ = env.apply(m, cell.SubmitEntry(api.JobSpec{ID: "svc", Class: api.ClassService, Tasks: 1, Resources: cores(1)}, 0))
 	start := func(index uint32, vm api.VMID) {
 		e, _ := m.StartEntry(1, []cell.Start{{Task: task("svc", index), Attempt: 1, VM: vm, Resources: cores(1)}})
-		if err := w.apply(m, e); err != nil {
+		if err := env.apply(m, e); err != nil {
 			t.Fatal(err)
 		}
 	}
 	start(0, "a")
 	replace, _ := m.ReplaceEntry(1, "svc", m.TasksOnVM("a"))
-	if err := w.apply(m, replace); err != nil {
+	if err := env.apply(m, replace); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.apply(m, replace); err == nil {
+	if err := env.apply(m, replace); err == nil {
 		t.Fatal("the same task was replaced twice")
 	}
 	start(1, "b")
 	lost := cell.Report{Task: task("svc", 0), Attempt: 1, Status: cell.AttemptLost, Reason: api.ReasonWorkerLost}
-	if err := w.apply(m, m.ReportEntry(1, []cell.Report{lost})); err != nil {
+	if err := env.apply(m, m.ReportEntry(1, []cell.Report{lost})); err != nil {
 		t.Fatal(err)
 	}
 	job, _ := m.Job("svc")
@@ -200,19 +200,19 @@
 func TestReplayFromSnapshotIsDeterministic(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 7))
-		a, w := newMachine()
-		addVMsAndJobs(t, a, w)
+		a, env := newMachine()
+		addVMsAndJobs(t, a, env)
 		b := (*cell.StateMachine)(nil)
 		for step := range 400 {
 			e := randomEntry(rng, a)
-			errA := w.apply(a, e)
+			errA := env.apply(a, e)
 			if b != nil {
-				if errB := b.Apply(journal.Position{Index: w.offset}, e); reasonOf(errA) != reasonOf(errB) {
+				if errB := b.Apply(journal.Position{Index: env.offset}, e); reasonOf(errA) != reasonOf(errB) {
 					t.Fatalf("seed %d step %d: original returned %v, restored copy %v", seed, step, errA, errB)
 				}
 			}
 			if step == 150 {
-				b = restoreSnapshot(t, a, w)
+				b = restoreSnapshot(t, a, env)
 			}
 			for _, vm := range a.VMs() {
 				if !vm.Used.Fits(vm.Capacity) || vm.Used.HasNegative() {
@@ -228,13 +228,13 @@
 	}
 }
 
-func restoreSnapshot(t *testing.T, m *cell.StateMachine, w *testEnv) *cell.StateMachine {
+func restoreSnapshot(t *testing.T, m *cell.StateMachine, env *testEnv) *cell.StateMachine {
 	t.Helper()
 	data, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	restored := cell.New(w, nil)
+	restored := cell.New(env, nil)
 	if err := restored.Restore(data); err != nil {
 		t.Fatal(err)
 	}
@@ -284,28 +284,28 @@
 
 // newBusyMachine returns a state machine with about 25 running tasks on each VM.
 func newBusyMachine(b *testing.B, vms, tasks int) (*cell.StateMachine, *testEnv) {
-	m, w := newMachine()
+	m, env := newMachine()
 	var observed []cell.ObservedVM
 	for i := range vms {
 		observed = append(observed, cell.ObservedVM{ID: vmName(i), Rack: fmt.Sprint("r", i/8), Capacity: api.Resources{MilliCPU: 64_000, MemoryMB: 1 << 18}})
 	}
-	if err := w.apply(m, cell.VMUpdateEntry(1, observed, nil)); err != nil {
+	if err := env.apply(m, cell.VMUpdateEntry(1, observed, nil)); err != nil {
 		b.Fatal(err)
 	}
 	const perJob = 50
 	for i := range tasks / perJob {
 		job := fmt.Sprintf("team-%02d/job-%06d", i%92, i)
-		_ = w.apply(m, cell.SubmitEntry(benchSpec(job, perJob), 0))
+		_ = env.apply(m, cell.SubmitEntry(benchSpec(job, perJob), 0))
 		var starts []cell.Start
 		for index := range uint32(perJob) {
 			starts = append(starts, benchStart(job, index, 1, vmName((i*perJob+int(index))%vms)))
 		}
 		e, _ := m.StartEntry(1, starts)
-		if err := w.apply(m, e); err != nil {
+		if err := env.apply(m, e); err != nil {
 			b.Fatal(err)
 		}
 	}
-	return m, w
+	return m, env
 }
 
 func vmName(i int) api.VMID { return api.VMID(fmt.Sprintf("worker-%05d", i)) }
