--- a/internal/controller/placement/end_latency_test.go
+++ b/internal/controller/placement/end_latency_test.go
@@ -36,14 +36,14 @@
 // The VM of a short task is free soon after the task ends, not only after the next
 // regular lease renewal.
 func TestEndOfShortTaskIsDetectedQuickly(t *testing.T) {
-	runCell(t, 4, func(b *testCell) {
+	runCell(t, 4, func(c *testCell) {
 		const tasks, maxDelay = 100, 100 * time.Millisecond
 		f := &freedTimes{at: make(map[api.TaskID]time.Time)}
-		b.machine.Subscribe(f.record)
+		c.machine.Subscribe(f.record)
 		rng := rand.New(rand.NewPCG(1, 1))
-		start, before := time.Now(), b.exchanges()
+		start, before := time.Now(), c.exchanges()
 		for i := range tasks {
-			b.submit(batchSpec(api.JobID(fmt.Sprintf("short-%02d", i)), 1, time.Duration(100+rng.IntN(3000))*time.Millisecond))
+			c.submit(batchSpec(api.JobID(fmt.Sprintf("short-%02d", i)), 1, time.Duration(100+rng.IntN(3000))*time.Millisecond))
 		}
 		for f.count() < tasks {
 			if time.Since(start) > time.Minute {
@@ -51,9 +51,9 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		took, sent := time.Since(start), b.exchanges()-before
+		took, sent := time.Since(start), c.exchanges()-before
 		var sum, maxSeen time.Duration
-		for _, w := range b.workers {
+		for _, w := range c.workers {
 			for _, r := range w.Record().Runs {
 				delay := f.at[r.Task].Sub(r.End)
 				sum += delay
@@ -67,8 +67,8 @@
 	})
 }
 
-func (b *testCell) exchanges() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.exchangeCount
+func (c *testCell) exchanges() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.exchangeCount
 }
--- a/internal/controller/placement/placement_test.go
+++ b/internal/controller/placement/placement_test.go
@@ -13,14 +13,14 @@
 )
 
 func TestJobRunsToCompletion(t *testing.T) {
-	runCell(t, 3, func(b *testCell) {
-		b.submit(batchSpec("sweep", 20, 10*time.Second))
-		b.await("sweep", api.TaskRunning, 12, 5*time.Second)
-		b.await("sweep", api.TaskFinished, 20, 40*time.Second)
-		if job, _ := b.machine.Job("sweep"); !job.Ended {
+	runCell(t, 3, func(c *testCell) {
+		c.submit(batchSpec("sweep", 20, 10*time.Second))
+		c.await("sweep", api.TaskRunning, 12, 5*time.Second)
+		c.await("sweep", api.TaskFinished, 20, 40*time.Second)
+		if job, _ := c.machine.Job("sweep"); !job.Ended {
 			t.Error("the job has not ended")
 		}
-		for _, w := range b.workers {
+		for _, w := range c.workers {
 			for _, r := range w.Record().Runs {
 				if r.Attempt != 1 || r.State != platform.RunSucceeded {
 					t.Errorf("%+v", r)
@@ -33,22 +33,22 @@
 // A VM that stops answering keeps its tasks until its lease has expired. Then they
 // run elsewhere, and checkRuns verifies that no task runs on two VMs at once.
 func TestFrozenVMLosesItsTasksAfterLeaseExpiry(t *testing.T) {
-	runCell(t, 3, func(b *testCell) {
-		b.submit(batchSpec("sweep", 8, time.Minute))
-		b.await("sweep", api.TaskRunning, 8, 5*time.Second)
-		b.workers["vm-0"].SetFaults(standin.Faults{Frozen: true})
+	runCell(t, 3, func(c *testCell) {
+		c.submit(batchSpec("sweep", 8, time.Minute))
+		c.await("sweep", api.TaskRunning, 8, 5*time.Second)
+		c.workers["vm-0"].SetFaults(standin.Faults{Frozen: true})
 		time.Sleep(4 * time.Second)
-		if n := len(b.machine.TasksOnVM("vm-0")); n != 4 {
+		if n := len(c.machine.TasksOnVM("vm-0")); n != 4 {
 			t.Errorf("%d attempts left before the lease can have expired, want 4", n)
 		}
 		time.Sleep(6 * time.Second)
-		if n := len(b.machine.TasksOnVM("vm-0")); n != 0 {
+		if n := len(c.machine.TasksOnVM("vm-0")); n != 0 {
 			t.Errorf("%d attempts left after the lease has certainly expired", n)
 		}
-		b.await("sweep", api.TaskRunning, 8, 5*time.Second)
-		b.workers["vm-0"].SetFaults(standin.Faults{})
-		b.await("sweep", api.TaskFinished, 8, 2*time.Minute)
-		view, _ := b.machine.Task(api.TaskID{Job: "sweep"})
+		c.await("sweep", api.TaskRunning, 8, 5*time.Second)
+		c.workers["vm-0"].SetFaults(standin.Faults{})
+		c.await("sweep", api.TaskFinished, 8, 2*time.Minute)
+		view, _ := c.machine.Task(api.TaskID{Job: "sweep"})
 		if view.Attempt != 2 || view.Failures != 0 {
 			t.Errorf("%+v", view)
 		}
@@ -56,14 +56,14 @@
 }
 
 func TestRestartedVMLosesItsTasksImmediately(t *testing.T) {
-	runCell(t, 2, func(b *testCell) {
-		b.submit(batchSpec("sweep", 4, time.Minute))
-		b.await("sweep", api.TaskRunning, 4, 5*time.Second)
-		b.workers["vm-0"].Restart()
+	runCell(t, 2, func(c *testCell) {
+		c.submit(batchSpec("sweep", 4, time.Minute))
+		c.await("sweep", api.TaskRunning, 4, 5*time.Second)
+		c.workers["vm-0"].Restart()
 		time.Sleep(3 * time.Second)
-		b.await("sweep", api.TaskRunning, 4, time.Second)
+		c.await("sweep", api.TaskRunning, 4, time.Second)
 		for index := range uint32(4) {
-			if view, _ := b.machine.Task(api.TaskID{Job: "sweep", Index: index}); view.Attempt != 2 {
+			if view, _ := c.machine.Task(api.TaskID{Job: "sweep", Index: index}); view.Attempt != 2 {
 				t.Errorf("%+v", view)
 			}
 		}
@@ -72,24 +72,24 @@
 
 // The tasks of a service on a leaving VM stop only after their replacements run.
 func TestLeavingVMIsDrained(t *testing.T) {
-	runCell(t, 3, func(b *testCell) {
+	runCell(t, 3, func(c *testCell) {
 		svc := batchSpec("bench", 3, 0)
 		svc.Class = api.ClassService
-		b.submit(svc)
-		b.submit(batchSpec("sweep", 1, time.Minute))
-		b.await("bench", api.TaskRunning, 3, 5*time.Second)
-		b.await("sweep", api.TaskRunning, 1, 5*time.Second)
-		b.list.markLeaving(0)
+		c.submit(svc)
+		c.submit(batchSpec("sweep", 1, time.Minute))
+		c.await("bench", api.TaskRunning, 3, 5*time.Second)
+		c.await("sweep", api.TaskRunning, 1, 5*time.Second)
+		c.list.markLeaving(0)
 		for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-			if job, _ := b.machine.Job("bench"); job.Counts[api.TaskRunning] < 3 {
-				b.t.Fatalf("task stopped before its replacement ran: %v", job.Counts)
+			if job, _ := c.machine.Job("bench"); job.Counts[api.TaskRunning] < 3 {
+				c.t.Fatalf("task stopped before its replacement ran: %v", job.Counts)
 			}
 		}
-		if n := len(b.machine.TasksOnVM("vm-0")); n != 0 {
+		if n := len(c.machine.TasksOnVM("vm-0")); n != 0 {
 			t.Errorf("%d attempts left on the leaving VM", n)
 		}
-		b.await("sweep", api.TaskFinished, 1, 2*time.Minute)
-		if job, _ := b.machine.Job("bench"); job.Counts[api.TaskCancelled] != 3 {
+		c.await("sweep", api.TaskFinished, 1, 2*time.Minute)
+		if job, _ := c.machine.Job("bench"); job.Counts[api.TaskCancelled] != 3 {
 			t.Errorf("%v", job.Counts)
 		}
 	})
@@ -97,46 +97,46 @@
 
 // When a VM with some tasks of a gang restarts, the other tasks stop and all start again.
 func TestBrokenGangRestartsAsAWhole(t *testing.T) {
-	runCell(t, 4, func(b *testCell) {
+	runCell(t, 4, func(c *testCell) {
 		gang := batchSpec("gang", 6, time.Minute)
 		gang.Class = api.ClassGang
-		b.submit(gang)
-		b.await("gang", api.TaskRunning, 6, 5*time.Second)
-		b.workers["vm-0"].Restart()
+		c.submit(gang)
+		c.await("gang", api.TaskRunning, 6, 5*time.Second)
+		c.workers["vm-0"].Restart()
 		time.Sleep(5 * time.Second)
-		b.await("gang", api.TaskRunning, 6, 10*time.Second)
+		c.await("gang", api.TaskRunning, 6, 10*time.Second)
 		for index := range uint32(6) {
-			if view, _ := b.machine.Task(api.TaskID{Job: "gang", Index: index}); view.Attempt != 2 {
+			if view, _ := c.machine.Task(api.TaskID{Job: "gang", Index: index}); view.Attempt != 2 {
 				t.Errorf("%+v", view)
 			}
 		}
-		b.await("gang", api.TaskFinished, 6, 2*time.Minute)
+		c.await("gang", api.TaskFinished, 6, 2*time.Minute)
 	})
 }
 
 // A new holder adopts the running tasks of VMs that answer, without restarting them.
 func TestTakeoverAdoptsRunningTasks(t *testing.T) {
-	runCell(t, 2, func(b *testCell) {
-		b.submit(batchSpec("sweep", 6, 30*time.Second))
-		b.await("sweep", api.TaskRunning, 6, 5*time.Second)
-		b.mu.Lock()
-		b.epoch, b.takeover = 2, time.Now()
-		b.mu.Unlock()
-		b.await("sweep", api.TaskFinished, 6, time.Minute)
-		if view, _ := b.machine.Task(api.TaskID{Job: "sweep"}); view.Attempt != 1 {
+	runCell(t, 2, func(c *testCell) {
+		c.submit(batchSpec("sweep", 6, 30*time.Second))
+		c.await("sweep", api.TaskRunning, 6, 5*time.Second)
+		c.mu.Lock()
+		c.epoch, c.takeover = 2, time.Now()
+		c.mu.Unlock()
+		c.await("sweep", api.TaskFinished, 6, time.Minute)
+		if view, _ := c.machine.Task(api.TaskID{Job: "sweep"}); view.Attempt != 1 {
 			t.Errorf("%+v", view)
 		}
 	})
 }
 
 func TestCancelledJobStopsItsTasks(t *testing.T) {
-	runCell(t, 2, func(b *testCell) {
-		b.submit(batchSpec("sweep", 20, time.Minute))
-		b.await("sweep", api.TaskRunning, 8, 5*time.Second)
-		if err := b.Propose(t.Context(), cell.CancelEntry([]api.JobID{"sweep"}, 0)); err != nil {
-			b.t.Fatal(err)
+	runCell(t, 2, func(c *testCell) {
+		c.submit(batchSpec("sweep", 20, time.Minute))
+		c.await("sweep", api.TaskRunning, 8, 5*time.Second)
+		if err := c.Propose(t.Context(), cell.CancelEntry([]api.JobID{"sweep"}, 0)); err != nil {
+			c.t.Fatal(err)
 		}
-		b.await("sweep", api.TaskCancelled, 20, 4*time.Second)
+		c.await("sweep", api.TaskCancelled, 20, 4*time.Second)
 	})
 }
 
@@ -144,35 +144,35 @@
 // VMs themselves do not fail, no task runs to completion twice.
 func TestNoTaskRunsTwiceUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(6) {
-		runCell(t, 4, func(b *testCell) {
-			b.vmFaults = seed%2 == 0
+		runCell(t, 4, func(c *testCell) {
+			c.vmFaults = seed%2 == 0
 			rng := rand.New(rand.NewPCG(seed, 3))
-			b.mu.Lock()
-			b.rng = rand.New(rand.NewPCG(seed, 4))
-			b.mu.Unlock()
-			for b.Propose(t.Context(), cell.SubmitEntry(batchSpec("sweep", 40, 20*time.Second), 0)) != nil {
+			c.mu.Lock()
+			c.rng = rand.New(rand.NewPCG(seed, 4))
+			c.mu.Unlock()
+			for c.Propose(t.Context(), cell.SubmitEntry(batchSpec("sweep", 40, 20*time.Second), 0)) != nil {
 				continue
 			}
 			for range 40 {
 				time.Sleep(time.Duration(rng.IntN(8)) * time.Second)
-				w := b.workers[api.VMID(fmt.Sprintf("vm-%d", rng.IntN(4)))]
+				w := c.workers[api.VMID(fmt.Sprintf("vm-%d", rng.IntN(4)))]
 				switch fault := rng.IntN(4); {
-				case fault == 0 && b.vmFaults:
+				case fault == 0 && c.vmFaults:
 					w.Restart()
-				case fault == 1 && b.vmFaults:
+				case fault == 1 && c.vmFaults:
 					w.SetFaults(standin.Faults{Frozen: true, IgnoreFences: true})
 				case fault == 2:
 					w.SetFaults(standin.Faults{IgnoreFences: true})
 				default:
-					b.mu.Lock()
-					b.epoch, b.takeover = b.epoch+1, time.Now()
-					b.mu.Unlock()
+					c.mu.Lock()
+					c.epoch, c.takeover = c.epoch+1, time.Now()
+					c.mu.Unlock()
 				}
 			}
-			for _, w := range b.workers {
+			for _, w := range c.workers {
 				w.SetFaults(standin.Faults{})
 			}
-			b.await("sweep", api.TaskFinished, 40, 10*time.Minute)
+			c.await("sweep", api.TaskFinished, 40, 10*time.Minute)
 		})
 	}
 }
@@ -181,23 +181,23 @@
 // other VMs must keep their leases.
 func TestUnresponsiveVMsDoNotStarveOthers(t *testing.T) {
 	const vms, healthy = 300, 50
-	runCell(t, vms, func(b *testCell) {
-		b.submit(batchSpec("sweep", 4*healthy, time.Hour))
-		b.await("sweep", api.TaskRunning, 4*healthy, 10*time.Second)
-		b.mu.Lock()
-		b.hanging = map[api.VMID]bool{}
-		for id := range b.workers {
-			b.hanging[id] = len(b.machine.TasksOnVM(id)) == 0
-		}
-		b.mu.Unlock()
+	runCell(t, vms, func(c *testCell) {
+		c.submit(batchSpec("sweep", 4*healthy, time.Hour))
+		c.await("sweep", api.TaskRunning, 4*healthy, 10*time.Second)
+		c.mu.Lock()
+		c.hanging = map[api.VMID]bool{}
+		for id := range c.workers {
+			c.hanging[id] = len(c.machine.TasksOnVM(id)) == 0
+		}
+		c.mu.Unlock()
 		time.Sleep(20 * time.Second)
-		b.mu.Lock()
-		b.epoch, b.takeover = 2, time.Now()
-		b.mu.Unlock()
+		c.mu.Lock()
+		c.epoch, c.takeover = 2, time.Now()
+		c.mu.Unlock()
 		time.Sleep(20 * time.Second)
 		for index := range uint32(4 * healthy) {
-			if view, _ := b.machine.Task(api.TaskID{Job: "sweep", Index: index}); view.State != api.TaskRunning || view.Attempt != 1 {
-				b.t.Fatalf("%+v", view)
+			if view, _ := c.machine.Task(api.TaskID{Job: "sweep", Index: index}); view.State != api.TaskRunning || view.Attempt != 1 {
+				c.t.Fatalf("%+v", view)
 			}
 		}
 	})
@@ -206,18 +206,18 @@
 // Running tasks continue while the log is unavailable. Their ends are journaled
 // afterwards.
 func TestTasksKeepRunningWhileLogIsDown(t *testing.T) {
-	runCell(t, 2, func(b *testCell) {
-		b.submit(batchSpec("long", 2, time.Minute))
-		b.submit(batchSpec("short", 2, 10*time.Second))
-		b.await("long", api.TaskRunning, 2, 5*time.Second)
-		b.await("short", api.TaskRunning, 2, 5*time.Second)
-		b.setLogDown(true)
+	runCell(t, 2, func(c *testCell) {
+		c.submit(batchSpec("long", 2, time.Minute))
+		c.submit(batchSpec("short", 2, 10*time.Second))
+		c.await("long", api.TaskRunning, 2, 5*time.Second)
+		c.await("short", api.TaskRunning, 2, 5*time.Second)
+		c.setLogDown(true)
 		time.Sleep(40 * time.Second)
-		b.setLogDown(false)
-		b.await("short", api.TaskFinished, 2, 3*time.Second)
-		b.await("long", api.TaskFinished, 2, time.Minute)
+		c.setLogDown(false)
+		c.await("short", api.TaskFinished, 2, 3*time.Second)
+		c.await("long", api.TaskFinished, 2, time.Minute)
 		for _, id := range []api.JobID{"long", "short"} {
-			if view, _ := b.machine.Task(api.TaskID{Job: id}); view.Attempt != 1 {
+			if view, _ := c.machine.Task(api.TaskID{Job: id}); view.Attempt != 1 {
 				t.Errorf("%+v", view)
 			}
 		}
@@ -227,15 +227,15 @@
 // An empty list removes no VM, because it is not trusted. A list that lacks a single
 // VM removes that VM.
 func TestUntrustedListRemovesNoVM(t *testing.T) {
-	runCell(t, 10, func(b *testCell) {
-		all := b.list.replace(nil)
+	runCell(t, 10, func(c *testCell) {
+		all := c.list.replace(nil)
 		time.Sleep(2 * time.Minute)
-		if n := len(b.machine.VMs()); n != 10 {
+		if n := len(c.machine.VMs()); n != 10 {
 			t.Errorf("got %d VMs after an empty list, want 10", n)
 		}
-		b.list.replace(all[1:])
+		c.list.replace(all[1:])
 		time.Sleep(time.Minute)
-		if n := len(b.machine.VMs()); n != 9 {
+		if n := len(c.machine.VMs()); n != 9 {
 			t.Errorf("got %d VMs after the removal of one, want 9", n)
 		}
 	})
--- a/internal/controller/placement/urgent_test.go
+++ b/internal/controller/placement/urgent_test.go
@@ -31,20 +31,20 @@
 // required delay, which includes planning, stop, checkpoint, report and start. The
 // preempted tasks complete later.
 func TestUrgentTasksStartInFullCell(t *testing.T) {
-	runCellWith(t, 4, newRealScheduler, func(b *testCell) {
+	runCellWith(t, 4, newRealScheduler, func(c *testCell) {
 		wave := batchSpec("wave", 16, time.Minute) // fills the four VMs
 		wave.Checkpointable = true
-		b.submit(wave)
-		b.await("wave", api.TaskRunning, 16, 10*time.Second)
+		c.submit(wave)
+		c.await("wave", api.TaskRunning, 16, 10*time.Second)
 		time.Sleep(10 * time.Second)
 
 		urgent := batchSpec("urgent", 2, 5*time.Second)
 		urgent.Priority = api.PriorityUrgent
-		b.submit(urgent)
+		c.submit(urgent)
 		start := time.Now()
-		b.await("urgent", api.TaskRunning, 2, maxUrgentStartDelay)
+		c.await("urgent", api.TaskRunning, 2, maxUrgentStartDelay)
 		t.Logf("urgent tasks running after %v", time.Since(start))
-		b.await("urgent", api.TaskFinished, 2, 30*time.Second)
-		b.await("wave", api.TaskFinished, 16, 3*time.Minute)
+		c.await("urgent", api.TaskFinished, 2, 30*time.Second)
+		c.await("wave", api.TaskFinished, 16, 3*time.Minute)
 	})
 }
