--- a/internal/entry/controllers.go
+++ b/internal/entry/controllers.go
@@ -48,27 +48,27 @@
 	s, st := n.settings, n.streams
 	auth := cellAuthority{owner: n.owner}
 	params := lease.Params{Lease: s.Hold.Lease.Std(), Hold: s.Hold.Hold.Std(), Drift: s.Hold.Drift}
-	p := new(cellControllers)
+	c := new(cellControllers)
 	vmsConfig := vms.DefaultConfig(s.DataCentre)
 	vmsConfig.PollInterval = s.VMList.Interval.Std()
 	vmsConfig.Timeout = s.VMList.Timeout.Std()
-	p.vms = vms.New(vmsConfig, n.adapters.VMList, n.router.Contacts, st.cellState, st.cell, auth, n.counters, n.log, time.Now)
-	p.learning = learning.New(st.configState.Policy, st.cellState, st.cell, auth, n.counters, time.Now)
-	p.worker = worker.New(worker.DefaultConfig(params), st.cellState, st.cell, n.adapters.Worker, p.vms, auth, p.learning, n.counters, n.log, time.Now)
-	view := fleet.New(s.DataCentre, st.cellState, p.vms, p.worker, p.learning)
-	p.placement = placement.New(placement.DefaultConfig(s.DataCentre), n.newSchedulerState, st.cellState, st.cell, auth, view, p.learning, n.counters, n.log, time.Now)
-	p.recovery = recovery.New(recovery.DefaultConfig(), st.cellState, st.cell, auth, view, n.counters, n.log, time.Now)
-	p.endpoints = endpoints.New(p.vms, n.owner, n.router, n.adapters.Endpoint, time.Now)
-	p.jobs = jobs.New(jobs.Config{
+	c.vms = vms.New(vmsConfig, n.adapters.VMList, n.router.Contacts, st.cellState, st.cell, auth, n.counters, n.log, time.Now)
+	c.learning = learning.New(st.configState.Policy, st.cellState, st.cell, auth, n.counters, time.Now)
+	c.worker = worker.New(worker.DefaultConfig(params), st.cellState, st.cell, n.adapters.Worker, c.vms, auth, c.learning, n.counters, n.log, time.Now)
+	view := fleet.New(s.DataCentre, st.cellState, c.vms, c.worker, c.learning)
+	c.placement = placement.New(placement.DefaultConfig(s.DataCentre), n.newSchedulerState, st.cellState, st.cell, auth, view, c.learning, n.counters, n.log, time.Now)
+	c.recovery = recovery.New(recovery.DefaultConfig(), st.cellState, st.cell, auth, view, n.counters, n.log, time.Now)
+	c.endpoints = endpoints.New(c.vms, n.owner, n.router, n.adapters.Endpoint, time.Now)
+	c.jobs = jobs.New(jobs.Config{
 		DataCentre: s.DataCentre, DataCentres: s.DataCentres, SelectHome: filter.HomeOf,
 	}, st.configState, st.cellState, st.cell, config.NewPublisher(st.configState, st.config), auth, n.counters, time.Now)
-	return p
+	return c
 }
 
 // runFuncs returns the functions that run until the node stops.
-func (p *cellControllers) runFuncs() []func(context.Context) error {
+func (c *cellControllers) runFuncs() []func(context.Context) error {
 	return []func(context.Context) error{
-		p.vms.Run, p.worker.Run, p.learning.Run, p.placement.Run, p.recovery.Run, p.endpoints.Run, p.jobs.Run,
+		c.vms.Run, c.worker.Run, c.learning.Run, c.placement.Run, c.recovery.Run, c.endpoints.Run, c.jobs.Run,
 	}
 }
 
--- a/internal/entry/jobs_test.go
+++ b/internal/entry/jobs_test.go
@@ -30,7 +30,7 @@
 // that the job was accepted.
 func (c *cluster) submit(dc api.DataCentre, name string, n int, runTime time.Duration) *jobSet {
 	c.t.Helper()
-	w := &jobSet{c: c}
+	s := &jobSet{c: c}
 	for i := range 2 * n {
 		class := api.ClassBatch
 		if i%2 == 1 {
@@ -47,9 +47,9 @@
 			_, job.Submitted, _, _ = c.do(http.MethodPost, c.callersURL(dc, i)+"/v1/jobs", string(body))
 			return job.Submitted == api.OutcomeRan
 		})
-		w.jobs = append(w.jobs, job)
+		s.jobs = append(s.jobs, job)
 	}
-	return w
+	return s
 }
 
 // callersURL returns the callers' URL of a live entry VM of a data centre.
@@ -64,14 +64,14 @@
 }
 
 // cancelAll cancels all jobs concurrently.
-func (w *jobSet) cancelAll() {
-	w.c.t.Helper()
+func (s *jobSet) cancelAll() {
+	s.c.t.Helper()
 	var calls sync.WaitGroup
-	for i := range w.jobs {
-		job := &w.jobs[i]
+	for i := range s.jobs {
+		job := &s.jobs[i]
 		calls.Go(func() {
-			job.Cancelled = w.c.poll(func() bool {
-				_, outcome, _, _ := w.c.do(http.MethodDelete, w.c.callersURL(dataCentreOf(job), i)+"/v1/jobs/"+string(job.Spec.ID), "")
+			job.Cancelled = s.c.poll(func() bool {
+				_, outcome, _, _ := s.c.do(http.MethodDelete, s.c.callersURL(dataCentreOf(job), i)+"/v1/jobs/"+string(job.Spec.ID), "")
 				return outcome == api.OutcomeRan
 			})
 		})
@@ -82,12 +82,12 @@
 func dataCentreOf(job *history.Job) api.DataCentre { return api.DataCentre(job.Spec.ID[:3]) }
 
 // waitEnded waits until every task has ended.
-func (w *jobSet) waitEnded() {
-	w.c.t.Helper()
-	for i := range w.jobs {
-		job := &w.jobs[i]
-		w.c.await("end of "+string(job.Spec.ID), func() bool {
-			_, _, answer, err := w.c.do(http.MethodGet, w.c.callersURL(dataCentreOf(job), 0)+"/v1/jobs/"+string(job.Spec.ID), "")
+func (s *jobSet) waitEnded() {
+	s.c.t.Helper()
+	for i := range s.jobs {
+		job := &s.jobs[i]
+		s.c.await("end of "+string(job.Spec.ID), func() bool {
+			_, _, answer, err := s.c.do(http.MethodGet, s.c.callersURL(dataCentreOf(job), 0)+"/v1/jobs/"+string(job.Spec.ID), "")
 			var status front.JobStatus
 			if err != nil || json.Unmarshal(answer, &status) != nil {
 				return false
@@ -99,11 +99,11 @@
 }
 
 // waitAndRecord waits until every task has ended and records the jobs.
-func (w *jobSet) waitAndRecord() {
-	w.c.t.Helper()
-	w.waitEnded()
-	for _, job := range w.jobs {
-		w.c.recorder.AddJob(job)
+func (s *jobSet) waitAndRecord() {
+	s.c.t.Helper()
+	s.waitEnded()
+	for _, job := range s.jobs {
+		s.c.recorder.AddJob(job)
 	}
 }
 
@@ -147,8 +147,8 @@
 				c.site.Workers.VM(c.site.VMs[0].ID).SetFaults(worker.Faults{})
 			}
 			third := c.submit("bne", "third", 2, runTime)
-			for _, w := range []*jobSet{first, second, third} {
-				w.waitAndRecord()
+			for _, s := range []*jobSet{first, second, third} {
+				s.waitAndRecord()
 			}
 			c.stopAndCheck()
 		})
@@ -211,11 +211,11 @@
 // the log loses answers.
 func TestConcurrentCancellations(t *testing.T) {
 	c := startCluster(t)
-	w := c.submit("bne", "wave", 15, time.Hour)
+	s := c.submit("bne", "wave", 15, time.Hour)
 	c.waitRunning("bne", 8)
 	c.site.Log.SetFaults(logserver.Faults{LoseAnswers: 20})
-	w.cancelAll()
-	w.waitAndRecord()
+	s.cancelAll()
+	s.waitAndRecord()
 	c.site.Log.SetFaults(logserver.Faults{})
 	c.stopAndCheck()
 }
--- a/internal/entry/loghealth.go
+++ b/internal/entry/loghealth.go
@@ -43,38 +43,38 @@
 }
 
 // Append implements platform.Log.
-func (w *logHealth) Append(ctx context.Context, stream string, data []byte) (platform.Offset, error) {
-	offset, err := w.Log.Append(ctx, stream, data)
-	w.record(&w.appends, err)
+func (h *logHealth) Append(ctx context.Context, stream string, data []byte) (platform.Offset, error) {
+	offset, err := h.Log.Append(ctx, stream, data)
+	h.record(&h.appends, err)
 	return offset, err
 }
 
 // Read implements platform.Log.
-func (w *logHealth) Read(ctx context.Context, stream string, from platform.Offset, max int, wait time.Duration) (platform.LogBatch, error) {
-	batch, err := w.Log.Read(ctx, stream, from, max, wait)
-	w.record(&w.reads, err)
+func (h *logHealth) Read(ctx context.Context, stream string, from platform.Offset, max int, wait time.Duration) (platform.LogBatch, error) {
+	batch, err := h.Log.Read(ctx, stream, from, max, wait)
+	h.record(&h.reads, err)
 	return batch, err
 }
 
-func (w *logHealth) record(s *callHealth, err error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (h *logHealth) record(s *callHealth, err error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	if !errors.Is(err, platform.ErrUnavailable) && !errors.Is(err, platform.ErrUncertain) {
 		*s = callHealth{}
 		return
 	}
-	s.lastFailure = w.now()
+	s.lastFailure = h.now()
 	if s.failingSince.IsZero() {
 		s.failingSince = s.lastFailure
 	}
 }
 
 // isDown reports whether the log has been failing for at least outageThreshold.
-func (w *logHealth) isDown() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	now := w.now()
-	return w.reads.isFailing(now) || w.appends.isFailing(now) && now.Sub(w.appends.lastFailure) < appendFailureExpiry
+func (h *logHealth) isDown() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	now := h.now()
+	return h.reads.isFailing(now) || h.appends.isFailing(now) && now.Sub(h.appends.lastFailure) < appendFailureExpiry
 }
 
 func (s callHealth) isFailing(now time.Time) bool {
--- a/internal/entry/loghealth_test.go
+++ b/internal/entry/loghealth_test.go
@@ -11,22 +11,22 @@
 
 func TestLogHealthDetectsOutage(t *testing.T) {
 	now := time.Now()
-	w := newLogHealth(nil, func() time.Time { return now })
-	fail := func(s *callHealth) { w.record(s, platform.ErrUnavailable) }
+	h := newLogHealth(nil, func() time.Time { return now })
+	fail := func(s *callHealth) { h.record(s, platform.ErrUnavailable) }
 	check := func(when string, want bool) {
 		t.Helper()
-		if w.isDown() != want {
-			t.Errorf("%s: isDown is %t, want %t", when, w.isDown(), want)
+		if h.isDown() != want {
+			t.Errorf("%s: isDown is %t, want %t", when, h.isDown(), want)
 		}
 	}
 	check("before any call", false)
-	fail(&w.reads)
+	fail(&h.reads)
 	check("after one failure", false)
 	now = now.Add(outageThreshold)
 	check("after failures for the threshold", true)
-	w.record(&w.reads, nil)
+	h.record(&h.reads, nil)
 	check("after a successful read", false)
-	fail(&w.appends)
+	fail(&h.appends)
 	now = now.Add(outageThreshold)
 	check("with working reads and failing appends", true)
 	now = now.Add(appendFailureExpiry)
--- a/internal/entry/requests.go
+++ b/internal/entry/requests.go
@@ -17,8 +17,8 @@
 }
 
 // Acquire implements filter.Router.
-func (s routerAdapter) Acquire(ctx context.Context, service string, class api.Class, caller string, exclude []api.EndpointID) (filter.Ticket, error) {
-	t, err := s.router.Acquire(ctx, service, class, caller, exclude)
+func (a routerAdapter) Acquire(ctx context.Context, service string, class api.Class, caller string, exclude []api.EndpointID) (filter.Ticket, error) {
+	t, err := a.router.Acquire(ctx, service, class, caller, exclude)
 	if err != nil {
 		return nil, err
 	}
@@ -26,13 +26,13 @@
 }
 
 // FreeSlots implements filter.Router.
-func (s routerAdapter) FreeSlots(service string) int {
-	return s.router.Free(service)
+func (a routerAdapter) FreeSlots(service string) int {
+	return a.router.Free(service)
 }
 
 // Check implements filter.Router.
-func (s routerAdapter) Check(ctx context.Context, service string, class api.Class, caller string) *api.Refusal {
-	return s.router.Check(ctx, service, class, caller)
+func (a routerAdapter) Check(ctx context.Context, service string, class api.Class, caller string) *api.Refusal {
+	return a.router.Check(ctx, service, class, caller)
 }
 
 // ticketAdapter returns a slot of the filter chain to the router.
@@ -55,13 +55,13 @@
 }
 
 // Service implements filter.Services.
-func (r configAdapter) Service(name string) (api.ServiceSpec, bool) {
-	return r.configState.Service(name)
+func (a configAdapter) Service(name string) (api.ServiceSpec, bool) {
+	return a.configState.Service(name)
 }
 
 // CallerLimits implements filter.Limits.
-func (r configAdapter) CallerLimits(caller string) api.LimitsSpec {
-	return r.configState.Limits(caller)
+func (a configAdapter) CallerLimits(caller string) api.LimitsSpec {
+	return a.configState.Limits(caller)
 }
 
 // Requests serves requests that other entry VMs hand over. Its methods are called
--- a/internal/entry/schedulerstate.go
+++ b/internal/entry/schedulerstate.go
@@ -23,41 +23,41 @@
 // newSchedulerState returns an empty scheduler state.
 func (n *Node) newSchedulerState() placement.SchedulerState {
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	w := &schedulerState{
+	s := &schedulerState{
 		State:       scheduler.NewState(),
 		scheduler:   scheduler.New(scheduler.Config{Policy: n.streams.configState.Policy()}, random),
 		configState: n.streams.configState,
 		quotas:      make(map[string]api.QuotaSpec),
 	}
-	w.refresh()
-	return w
+	s.refresh()
+	return s
 }
 
 // Cycle implements placement.SchedulerState.
-func (w *schedulerState) Cycle(now time.Time, maxStarts int) scheduler.Plan {
-	if w.configState.Revision() != w.configRevision {
-		w.refresh()
+func (s *schedulerState) Cycle(now time.Time, maxStarts int) scheduler.Plan {
+	if s.configState.Revision() != s.configRevision {
+		s.refresh()
 	}
-	return w.scheduler.Cycle(w.State, now, maxStarts)
+	return s.scheduler.Cycle(s.State, now, maxStarts)
 }
 
 // refresh applies the policy and the quotas in force. It reads the revision first,
 // so that a record that is accepted in the meantime causes another refresh.
-func (w *schedulerState) refresh() {
-	w.configRevision = w.configState.Revision()
-	w.scheduler.SetPolicy(w.configState.Policy())
+func (s *schedulerState) refresh() {
+	s.configRevision = s.configState.Revision()
+	s.scheduler.SetPolicy(s.configState.Policy())
 	current := make(map[string]bool)
-	for _, quota := range w.configState.Quotas() {
+	for _, quota := range s.configState.Quotas() {
 		current[quota.Team] = true
-		if w.quotas[quota.Team] != quota {
-			w.quotas[quota.Team] = quota
-			w.PutQuota(quota)
+		if s.quotas[quota.Team] != quota {
+			s.quotas[quota.Team] = quota
+			s.PutQuota(quota)
 		}
 	}
-	for team := range w.quotas {
+	for team := range s.quotas {
 		if !current[team] {
-			delete(w.quotas, team)
-			w.RemoveQuota(team)
+			delete(s.quotas, team)
+			s.RemoveQuota(team)
 		}
 	}
 }
--- a/internal/entry/schedulerstate_test.go
+++ b/internal/entry/schedulerstate_test.go
@@ -24,12 +24,12 @@
 func TestQuotaChangeAppliesToNextCycle(t *testing.T) {
 	configs := config.NewStateMachine()
 	publisher := config.NewPublisher(configs, applyingProposer{configs})
-	w := (&Node{streams: &streams{configState: configs}}).newSchedulerState()
+	s := (&Node{streams: &streams{configState: configs}}).newSchedulerState()
 	now := time.Now()
-	w.PutVM(scheduler.VM{ID: "v", Schedulable: true, Capacity: api.Resources{MilliCPU: 10, MemoryMB: 10}})
+	s.PutVM(scheduler.VM{ID: "v", Schedulable: true, Capacity: api.Resources{MilliCPU: 10, MemoryMB: 10}})
 	one := api.Resources{MilliCPU: 1, MemoryMB: 1}
 	spec := api.JobSpec{ID: "j", Team: "t", Class: api.ClassBatch, Tasks: 4, Resources: one, RunTime: time.Minute}
-	w.PutJob(scheduler.Job{Spec: spec, Submitted: now, Pending: []uint32{0, 1, 2, 3}, Estimate: one})
+	s.PutJob(scheduler.Job{Spec: spec, Submitted: now, Pending: []uint32{0, 1, 2, 3}, Estimate: one})
 
 	publish := func(basedOn api.Revision, deleted bool) api.Revision {
 		t.Helper()
@@ -44,11 +44,11 @@
 		return revision
 	}
 	revision := publish(0, false)
-	if n := len(w.Cycle(now, 10).Starts); n != 2 {
+	if n := len(s.Cycle(now, 10).Starts); n != 2 {
 		t.Fatalf("%d starts under the new quota, want 2", n)
 	}
 	publish(revision, true)
-	if n := len(w.Cycle(now.Add(time.Second), 10).Starts); n != 2 {
+	if n := len(s.Cycle(now.Add(time.Second), 10).Starts); n != 2 {
 		t.Fatalf("%d starts after the quota was deleted, want the other 2", n)
 	}
 }
