--- a/internal/assist/assist.go
+++ b/internal/assist/assist.go
@@ -52,7 +52,7 @@
 	HasContent bool    // the machine keeps the content of all records, which a leader needs
 }
 
-// AttachAnswer holds the epoch that the called machine leads, or 0 if it is not the leader.
+// AttachAnswer holds the epoch in which the called machine leads, or 0 if it is not the leader.
 type AttachAnswer struct {
 	_     struct{} `cbor:",toarray"`
 	Epoch api.Epoch
@@ -313,8 +313,8 @@
 	return err
 }
 
-// Attach attaches this machine to the leader at the given address and returns the epoch that the
-// called machine leads.
+// Attach attaches this machine to the leader at the given address and returns the epoch in which
+// the called machine leads, or 0 if it is not the leader.
 func Attach(ctx context.Context, c Caller, leader string, a Attachment) (api.Epoch, error) {
 	var answer AttachAnswer
 	err := c.Call(ctx, leader, methodAttach, &a, &answer)
--- a/internal/assist/demand.go
+++ b/internal/assist/demand.go
@@ -112,11 +112,11 @@
 // assignScarce assigns machines when there are fewer of them than requested classes.
 func (d *demand) assignScarce(n int) [numCallClasses]peerRange {
 	var out [numCallClasses]peerRange
-	machine := n
+	unassigned := n
 	for i := int(numCallClasses) - 1; i >= 0; i-- {
-		if d.active(i) && machine > 1 {
-			machine--
-			out[i] = peerRange{machine, machine + 1}
+		if d.active(i) && unassigned > 1 {
+			unassigned--
+			out[i] = peerRange{unassigned, unassigned + 1}
 			continue
 		}
 		out[i] = peerRange{0, min(1, n)}
--- a/internal/assist/peers.go
+++ b/internal/assist/peers.go
@@ -24,7 +24,7 @@
 	// attachmentTTL is how long an attachment is valid; machines repeat it every second
 	// (node.attachInterval).
 	attachmentTTL = 2500 * time.Millisecond
-	// adviserSilenceLimit is how long a machine may be silent before advice calls at it are
+	// adviserSilenceLimit is how long a machine may be silent before advice calls through it are
 	// abandoned and it gets no further ones. Otherwise a data centre that is cut off would
 	// delay each call there by its whole timeout. The leader hears from each machine at
 	// least every 0.2 s.
@@ -166,7 +166,7 @@
 	return others
 }
 
-// Slot is the right to make one call at one machine.
+// Slot is the right to make one advice call through one machine.
 type Slot struct {
 	machine *machine
 	long    bool
