--- a/internal/capacity/cell.go
+++ b/internal/capacity/cell.go
@@ -81,17 +81,17 @@
 	return starts
 }
 
-// startTasks starts tasks, with up to startsPerEntry starts in an entry, and applies
-// a report of each of the endings for them.
-func (s *cellState) startTasks(starts []cell.Start, endings ...cell.AttemptStatus) error {
+// startTasks starts tasks, with up to startsPerEntry starts in an entry, and then
+// reports every task with each of the statuses in turn.
+func (s *cellState) startTasks(starts []cell.Start, statuses ...cell.AttemptStatus) error {
 	for len(starts) > 0 {
 		n := min(startsPerEntry, len(starts))
 		entry, _ := s.machine.StartEntry(1, starts[:n])
 		if err := s.apply(entry); err != nil {
 			return err
 		}
-		for _, ending := range endings {
-			if err := s.apply(s.machine.ReportEntry(1, newReports(starts[:n], ending))); err != nil {
+		for _, status := range statuses {
+			if err := s.apply(s.machine.ReportEntry(1, newReports(starts[:n], status))); err != nil {
 				return err
 			}
 		}
@@ -100,24 +100,24 @@
 	return nil
 }
 
-// newReports returns a report with this ending for each start.
-func newReports(starts []cell.Start, ending cell.AttemptStatus) []cell.Report {
+// newReports returns a report with this status for each start.
+func newReports(starts []cell.Start, status cell.AttemptStatus) []cell.Report {
 	reports := make([]cell.Report, len(starts))
 	for i, s := range starts {
-		reports[i] = cell.Report{Task: s.Task, Attempt: s.Attempt, Status: ending}
+		reports[i] = cell.Report{Task: s.Task, Attempt: s.Attempt, Status: status}
 	}
 	return reports
 }
 
-// runTasks submits jobs of perJob tasks, starts all tasks and applies a report of
-// each of the endings for them.
-func (s *cellState) runTasks(tasks int, perJob uint32, endings ...cell.AttemptStatus) error {
+// runTasks submits jobs of perJob tasks, starts all tasks and reports every task with
+// each of the statuses in turn.
+func (s *cellState) runTasks(tasks int, perJob uint32, statuses ...cell.AttemptStatus) error {
 	for range tasks / int(perJob) {
 		starts, err := s.submitJob(perJob)
 		if err != nil {
 			return err
 		}
-		if err := s.startTasks(starts, endings...); err != nil {
+		if err := s.startTasks(starts, statuses...); err != nil {
 			return err
 		}
 	}
--- a/internal/capacity/log.go
+++ b/internal/capacity/log.go
@@ -63,29 +63,29 @@
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &runningReplica{Replica: replica, client: client, cancel: cancel, done: make(chan struct{})}
+	r := &runningReplica{Replica: replica, client: client, cancel: cancel, done: make(chan struct{})}
 	go func() {
-		defer close(f.done)
+		defer close(r.done)
 		_ = replica.Run(ctx)
 	}()
-	return f, f.awaitReady()
+	return r, r.awaitReady()
 }
 
 // awaitReady waits until the replica is ready, and closes it if it isn't in time.
-func (f *runningReplica) awaitReady() error {
-	for deadline := time.Now().Add(readyTimeout); !f.Ready(); time.Sleep(time.Millisecond) {
+func (r *runningReplica) awaitReady() error {
+	for deadline := time.Now().Add(readyTimeout); !r.Ready(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			f.close()
+			r.close()
 			return errors.New("replica not ready")
 		}
 	}
 	return nil
 }
 
-func (f *runningReplica) close() {
-	f.cancel()
-	<-f.done
-	f.client.Close()
+func (r *runningReplica) close() {
+	r.cancel()
+	<-r.done
+	r.client.Close()
 }
 
 // burstCost is the cost of starts at a steady rate, for the log and its readers.
--- a/internal/capacity/members.go
+++ b/internal/capacity/members.go
@@ -35,8 +35,8 @@
 		}
 	}
 	for _, shard := range ownership.Shards() {
-		who := t.Members[ownership.PreferredNode(shard, nodes)].Process
-		if err := t.Apply(ownership.Claim{Process: who, Shards: []ownership.ShardAt{{Shard: shard}}}); err != nil {
+		holder := t.Members[ownership.PreferredNode(shard, nodes)].Process
+		if err := t.Apply(ownership.Claim{Process: holder, Shards: []ownership.ShardAt{{Shard: shard}}}); err != nil {
 			return nil, err
 		}
 	}
@@ -53,8 +53,8 @@
 	}
 	v.Evidence.ConfirmedAt = now
 	for i := 1; i < members; i++ {
-		who := identity(i)
-		v.Health[who.Node] = ownership.Health{Process: who, AliveFor: time.Minute}
+		process := identity(i)
+		v.Health[process.Node] = ownership.Health{Process: process, AliveFor: time.Minute}
 	}
 	return v
 }
--- a/internal/capacity/records.go
+++ b/internal/capacity/records.go
@@ -34,7 +34,7 @@
 	restoreMs     float64 // processor time
 }
 
-// measureMachine calls step for size entries, which must apply them to m. It then
+// measureMachine calls step size times; each call must apply one entry to m. It then
 // takes a snapshot of m and restores it in empty.
 func measureMachine(m, empty journal.StateMachine, size int, step func(i int) error) (machineCost, error) {
 	var cost machineCost
