--- a/internal/cell/job.go
+++ b/internal/cell/job.go
@@ -18,7 +18,7 @@
 type task struct {
 	vm       uint32
 	attempt  uint32 // latest attempt started
-	failures uint16 // attempts that failed by themselves
+	failures uint16 // attempts that ended with AttemptFailed
 	state    api.TaskState
 	reason   uint8 // of the latest move, stop or failure
 	flags    uint8
@@ -181,7 +181,7 @@
 }
 
 // maxFailures returns the number of failed attempts after which a task fails.
-// Services without a limit are restarted without end.
+// Services without a limit are restarted indefinitely.
 func (j *job) maxFailures() uint32 {
 	switch {
 	case j.spec.MaxAttempts > 0:
--- a/internal/cell/read.go
+++ b/internal/cell/read.go
@@ -12,8 +12,8 @@
 	Task             api.TaskID
 	State            api.TaskState
 	Attempt          uint32   // latest attempt started, zero before the first start
-	VM               api.VMID // empty unless State.Holds()
-	Failures         uint16   // attempts that failed by themselves
+	VM               api.VMID // empty unless State.HoldsResources()
+	Failures         uint16   // attempts that ended with AttemptFailed
 	Reason           api.Reason
 	HasCheckpoint    bool // the next start restores a checkpoint
 	CheckpointOnStop bool // the stop order requests a checkpoint
