--- a/internal/plan/job.go
+++ b/internal/plan/job.go
@@ -65,7 +65,7 @@
 	lastRun      uint32 // number of the newest run
 	failures     int
 	losses       losses
-	lastLostOn   work.ExecutorIncarnation // executor incarnation with which the newest lost run was lost
+	lastLostOn   work.ExecutorIncarnation // executor incarnation that the newest lost run was on
 	checkpoint   string
 	allocations  int                      // number of runs that may exist
 	incarnation  work.ExecutorIncarnation // executor incarnation of the newest run
--- a/internal/plan/loss_log.go
+++ b/internal/plan/loss_log.go
@@ -64,8 +64,8 @@
 // newestFirst returns the executor's allocations, newest orders first.
 func (v *vm) newestFirst() []*allocation { return v.unlistedNewestFirst(nil) }
 
-// unlistedNewestFirst returns the executor's allocations whose runs aren't listed, newest
-// orders first.
+// unlistedNewestFirst returns the executor's allocations whose runs are not in listed,
+// newest orders first.
 func (v *vm) unlistedNewestFirst(listed map[platform.Run]bool) []*allocation {
 	var allocs []*allocation
 	for _, alloc := range v.allocations {
@@ -79,8 +79,8 @@
 	return allocs
 }
 
-// lostSince returns when the executor first gave no answer since its newest report, or the
-// time of that report.
+// lostSince returns when the executor first failed to answer after its newest report, or the
+// time of that report if no failure followed it.
 func (v *vm) lostSince() time.Time {
 	if v.unresponsiveSince.After(v.reportedAt) {
 		return v.unresponsiveSince
--- a/internal/plan/preempt.go
+++ b/internal/plan/preempt.go
@@ -23,7 +23,7 @@
 	// preemptionSlack is the spare time that a job must have, beside the work of the
 	// preempted step, for a new advice call and the wait for capacity.
 	preemptionSlack = 2 * time.Second
-	// minPreemptedRunTime is how long a run has to have been running to be preempted.
+	// minPreemptedRunTime is how long a run must have been running before it may be preempted.
 	// Stopping a run that has just started would waste its start.
 	minPreemptedRunTime = 300 * time.Millisecond
 	// nominationTimeout is how long capacity stays nominated to a gang: executors stop a
