--- a/internal/work/incarnation.go
+++ b/internal/work/incarnation.go
@@ -10,7 +10,7 @@
 
 // ExecutorIncarnation identifies one run of an executor process from its start to
 // its end. A restarted executor may reuse its ID, but has no memory of earlier
-// runs and restarts its counters.
+// incarnations and restarts its counters.
 type ExecutorIncarnation struct {
 	ID          string
 	StartTimeMs int64 // by the executor's clock, milliseconds since 1970; 0: unknown
