--- a/internal/assist/peers_test.go
+++ b/internal/assist/peers_test.go
@@ -113,9 +113,10 @@
 	}
 }
 
-// After a change of the leader hundreds of short calls wait at once. Machines used to be divided by
-// the demand before the change, so only 140 short calls a second found a machine, although 33
-// machines were available that can each answer 40. Short calls may use any machine that makes no call.
+// After a change of the leader hundreds of short calls wait at once. Machines used to be divided
+// between the classes of calls by the demand before the change, so only 140 short calls a second found
+// a machine, although 33 machines were available that can each answer 40. Short calls may use any
+// machine that makes no call.
 func TestWaitingShortCallsUseIdleMachines(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	peers := NewPeers("self", nil, nil)
--- a/internal/assist/slowlink_test.go
+++ b/internal/assist/slowlink_test.go
@@ -81,7 +81,8 @@
 )
 
 // simulateSlowLink runs the load of a leader on a slow link and returns the longest time that a renewal
-// of its leadership took, the machines and the end of the partition.
+// of its leadership took, the machines and the end of the partition. It calls deliver, unless nil, for
+// each batch of records.
 func simulateSlowLink(t *testing.T, deliver func(p *Publisher, l *slowLink, a replica.AppliedBatch)) (slowest time.Duration, machines map[string]*fakeMachine, end platform.Offset) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(1, 2))
@@ -144,7 +145,7 @@
 	return slowest, machines, end
 }
 
-// A leader on a link of 2 Mbit/s lost its cell under normal load, and so did each of its 23 successors.
+// A leader on a link of 2 Mbit/s lost leadership under normal load, and so did each of its 23 successors.
 // Deliveries of every record to every machine filled the link (152 of 190 KB a second), appends took 60
 // to 110 ms, and renewals of leadership waited behind the deliveries until another machine claimed it.
 func TestLeaderOnSlowLinkKeepsLeadership(t *testing.T) {
--- a/internal/assist/unresponsive_test.go
+++ b/internal/assist/unresponsive_test.go
@@ -55,7 +55,7 @@
 	})
 }
 
-// A long call is awaited at a machine that gives signs of life.
+// A long call to a machine that still answers other calls is not abandoned.
 func TestLongAdviceCallToResponsiveMachineIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		peers := NewPeers("self", emptyAdviser{}, unreachableCaller{})
