--- a/internal/cell/machine_test.go
+++ b/internal/cell/machine_test.go
@@ -164,7 +164,7 @@
 }
 
 // A replacement runs beside the task that it replaces. When the replaced task is
-// lost, it is not started again.
+// lost, it is not started again, and the job keeps its number of tasks.
 func TestReplacedTaskIsNotRestarted(t *testing.T) {
 	m, env := newMachine()
 	addVMsAndJobs(t, m, env)
