--- a/internal/controller/placement/testcell_test.go
+++ b/internal/controller/placement/testcell_test.go
@@ -42,7 +42,7 @@
 	offset        platform.Offset
 	rng           *rand.Rand // draws message and log faults; nil for none
 	logDown       bool
-	hanging       map[api.VMID]bool // VMs whose messages are swallowed
+	hanging       map[api.VMID]bool // VMs that messages don't reach; each exchange with them times out
 	lateMessages  sync.WaitGroup
 	exchangeCount int  // number of exchanges requested
 	vmFaults      bool // VMs restart and freeze, so the end of a task can be lost with its VM
@@ -115,7 +115,7 @@
 	if c.drawFault(5) {
 		return platform.WorkerReport{}, platform.ErrWorkerUnreachable
 	}
-	if c.drawFault(5) { // a late message, sometimes as a duplicate of one in time
+	if c.drawFault(5) { // the message arrives late, or twice: now and late
 		c.mu.Lock()
 		delay := time.Duration(c.rng.IntN(8000)) * time.Millisecond
 		c.mu.Unlock()
@@ -258,7 +258,7 @@
 		for _, c := range []interface{ Run(context.Context) error }{directory, workers, placements, recoveries} {
 			running.Go(func() { _ = c.Run(ctx) })
 		}
-		time.Sleep(5 * time.Second) // until every VM accepts starts, so that every run places the same way
+		time.Sleep(5 * time.Second) // until every VM accepts starts, so that each run of the test places tasks in the same way
 		f(c)
 		cancel()
 		running.Wait()
--- a/internal/controller/recovery/recovery_test.go
+++ b/internal/controller/recovery/recovery_test.go
@@ -88,7 +88,7 @@
 		t.Errorf("got jobs %v, want %v", got, want)
 	}
 	if got := target.Pending("old-batch"); !slices.Equal(got, []uint32{0, 2}) {
-		t.Errorf("got pending tasks %v, want [0 2]", got)
+		t.Errorf("got pending tasks %v, want [0 2]; task 1 has ended", got)
 	}
 	if job, _ := lost.Job("held"); job.Ended {
 		t.Error("a job was moved while its task may be running")
--- a/internal/controller/worker/bench_test.go
+++ b/internal/controller/worker/bench_test.go
@@ -39,8 +39,8 @@
 	return d.report, nil
 }
 
-// BenchmarkExchange measures the cost of one exchange for the holder, with a VM that
-// runs 25 tasks and without the network.
+// BenchmarkExchange measures what one exchange with a VM that runs 25 tasks costs the
+// holder of the cell, without the network.
 func BenchmarkExchange(b *testing.B) {
 	d := &fakeDeps{report: platform.WorkerReport{VM: "a", Incarnation: 1}}
 	d.machine = cell.New(d, nil)
