--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -31,8 +31,10 @@
 	return n
 }
 
-// Starts with a view of 50 VMs. Each case changes the list, keeps it changed, and checks
-// how many VMs are kept and whether the list is trusted; then the full list returns.
+// A list from which many VMs are missing is not trusted: VMs that still answer are kept
+// until they have been missing for DefaultMaxMissingTime. Each case starts with a view of
+// 50 VMs, changes the list, keeps it changed, and checks how many VMs are kept and whether
+// the list is trusted; then the full list returns.
 func TestShrinkingListIsVerified(t *testing.T) {
 	full := vms(50)
 	cases := []struct {
