--- a/internal/dispatch/admission_test.go
+++ b/internal/dispatch/admission_test.go
@@ -19,8 +19,8 @@
 // refusals 1,262 were due to that limit and one to the wait of the job itself; 1,028 of the
 // refused jobs had almost nothing ahead of them.
 //
-// Here two gangs that do not fit stand for 10 s of the executor's time. The executor is idle when
-// a job is submitted that needs a hundredth of it for half a second.
+// Here two gangs that do not fit make up a backlog of 10 s of the executor's time. The executor is
+// idle when a job is submitted that needs a hundredth of it for half a second.
 func TestBacklogDoesNotRefuseJobsThatCanStartImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestCell(t)
--- a/internal/dispatch/advice_test.go
+++ b/internal/dispatch/advice_test.go
@@ -66,10 +66,11 @@
 	}
 }
 
-// A job used to be added to the cell by the cycle that stored it, so its advice was requested only
-// after the append in flight, although advice takes a tenth of the time of an append. At a slow
-// store a third of the users' checks ended late. In this test the job started after 892 ms,
-// including a repeated append; it starts after 431 ms since advice is requested on submission.
+// A job submitted during an append used to be added to the cell only by the cycle that stored it. That
+// cycle requested its advice and the next one stored its start, so the job waited a whole append for
+// advice that takes a tenth of that time. At a slow store a third of the users' checks ended late. In
+// this test the job started after 892 ms, including a repeated append; it starts after 431 ms since
+// advice is requested on submission.
 func TestAdviceIsRequestedWhileSubmissionWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const appendLatency = 240 * time.Millisecond
--- a/internal/dispatch/cancel_test.go
+++ b/internal/dispatch/cancel_test.go
@@ -43,7 +43,7 @@
 }
 
 // A new leader finds runs of jobs that were cancelled before, and starts of its predecessor that
-// are carried out late.
+// are carried out late. It must stop these runs in time too.
 func TestNewLeaderStopsRunsOfCancelledJobs(t *testing.T) {
 	for _, c := range []struct {
 		name                            string
--- a/internal/dispatch/cleanup_refused_test.go
+++ b/internal/dispatch/cleanup_refused_test.go
@@ -8,7 +8,8 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// A store that refuses the cleanup append as unavailable must not end leadership.
+// A store that refuses the cleanup append temporarily, as unavailable, must not end leadership: the
+// process would continue to renew its claim while nobody plans.
 func TestLeaderContinuesWhenStoreRefusesCleanup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestCell(t)
--- a/internal/dispatch/cleanup_toolarge_test.go
+++ b/internal/dispatch/cleanup_toolarge_test.go
@@ -25,8 +25,8 @@
 	return s.memoryStore.Append(ctx, a)
 }
 
-// A cleanup append that the store refuses as too large must not end leadership: the process would
-// continue to renew its claim while nobody plans.
+// A cleanup append that the store refuses permanently, as too large, must not end leadership: the
+// process would continue to renew its claim while nobody plans.
 func TestLeaderContinuesWhenCleanupIsTooLarge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestCell(t)
--- a/internal/dispatch/registry_test.go
+++ b/internal/dispatch/registry_test.go
@@ -120,7 +120,8 @@
 
 func names(listed map[string]*fleet.Executor) []string { return slices.Sorted(maps.Keys(listed)) }
 
-// refresh reports each difference from the previous record as a change, but no repetition.
+// refresh reports a change whenever a record differs from the previous one of its executor, but not
+// when it repeats it.
 func TestRefreshReportsEachChange(t *testing.T) {
 	log := &memoryPartition{}
 	log.put("e", executorRecord("other", "ready", "r1"))
@@ -199,6 +200,8 @@
 	}
 }
 
+// findFormer returns the last record of each executor that is no longer registered, unless that
+// record has been trimmed.
 func TestFormerExecutorsAreFoundInHistory(t *testing.T) {
 	log := &memoryPartition{}
 	log.put("a", executorRecord("svc", "ready", "r1"))
--- a/internal/dispatch/runner_test.go
+++ b/internal/dispatch/runner_test.go
@@ -153,7 +153,8 @@
 	}
 }
 
-// Submissions are accepted while the first append is in flight for as long as while later appends are.
+// A leader whose first append is in flight accepts submissions for as long as one that has made appends
+// before.
 func TestSubmissionsAreAcceptedDuringFirstAppend(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New(Config{Logger: logging.Nop()})
--- a/internal/dispatch/stop_test.go
+++ b/internal/dispatch/stop_test.go
@@ -37,8 +37,8 @@
 
 // A leader that is told to stop while it takes over must answer the records that are submitted to
 // it until its end. Only a Runner that had completed its takeover used to answer pending
-// submissions when it stopped and to refuse later ones; Store then returned with its context,
-// here after an hour.
+// submissions when it stopped and to refuse later ones. Otherwise Store returned only when the
+// client's context ended, here after an hour.
 func TestLeaderStoppedDuringTakeoverRefusesSubmissions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
--- a/internal/dispatch/takeover_test.go
+++ b/internal/dispatch/takeover_test.go
@@ -44,6 +44,8 @@
 	return time.Since(start)
 }
 
+// A new leader reads the jobs while its fence is in flight. If it read them only afterwards, planning
+// would start after two calls of the store instead of one.
 func TestNewLeaderReadsWhileFencingFormerLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const latency = 100 * time.Millisecond // of each call
@@ -68,7 +70,8 @@
 }
 
 // The former leader stores a record and delivers the job's summary while the new leader's fence
-// is in progress. The new leader then knows the state of the job but has not read its content.
+// is in progress. The new leader then knows the state of the job but has not read its content. It
+// must read the content, or the job does not start.
 func TestNewLeaderReadsContentOfJobsKnownBySummary(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestCell(t)
--- a/internal/dispatch/testcell_test.go
+++ b/internal/dispatch/testcell_test.go
@@ -216,10 +216,10 @@
 	return report, nil
 }
 
-func (e *fakeExecutor) allEndsAcknowledged(seen uint64) bool {
+func (e *fakeExecutor) allEndsAcknowledged(acknowledged uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return uint64(len(e.ended)) <= seen
+	return uint64(len(e.ended)) <= acknowledged
 }
 
 // setFaults sets the delay of starts and the number of stops to lose.
--- a/internal/dispatch/writer_test.go
+++ b/internal/dispatch/writer_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// A fence uses no sequence number, and a higher epoch ends the writer.
+// A fence uses no sequence number. An append fails with ErrFenced once a higher epoch has written.
 func TestFenceAndHigherEpoch(t *testing.T) {
 	s := &scriptedLog{}
 	runWriter(t, s, func(ctx context.Context, w *writer) {
@@ -159,9 +159,9 @@
 	})
 }
 
-// A new leader knows from its claim how slow the store is. Its first append used to get 120, 240
-// and 480 ms in turn, which delayed planning: users saw nothing start for 1.8 and 2.2 s after the
-// claim.
+// A new leader knows from its claim how slow the store is. Its first append used to be sent with
+// timeouts of 120, 240 and 480 ms one after the other, which delayed planning: users saw nothing start
+// for 1.8 and 2.2 s after the claim.
 func TestFirstAppendTimeoutAtSlowStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const latency = 355 * time.Millisecond
