--- a/internal/entry/bootstrap_test.go
+++ b/internal/entry/bootstrap_test.go
@@ -16,8 +16,8 @@
 )
 
 // TestStartWithLogDownTakesStateFromPeers checks that an entry VM that starts
-// while the log is down imports the configuration in force from a peer, and is
-// not ready before that.
+// while the log is down imports the configuration in force from a peer and serves
+// by it, and is not ready before that.
 func TestStartWithLogDownTakesStateFromPeers(t *testing.T) {
 	t.Parallel()
 	s, err := site.Start(site.Config{
