--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -13,8 +13,9 @@
 	outage       bool // the store is down for all data centres and none is cut off
 }
 
-// at returns the machine's connectivity at time t. Before time 0 the store's last answer
-// was up to 0.8 s old, a delivery up to 0.2 s.
+// at returns the machine's connectivity at time t. At time 0 the store's last answer is up
+// to 0.8 s old and a delivery up to 0.2 s. The means of these ages are assumed, except that
+// what a machine knows of its leader's state is 0.2 s old.
 func (m machine) at(t time.Duration) Connectivity {
 	s := Connectivity{SinceStore: t + 400*time.Millisecond, Leads: m.leads, HasRemotePeers: true}
 	switch {
