--- a/internal/replica/content_test.go
+++ b/internal/replica/content_test.go
@@ -154,7 +154,8 @@
 	})
 }
 
-// A reader that is to keep content again reads it from the store by itself.
+// A reader that is to keep content again reads it from the store by itself. Meanwhile it
+// answers clients' queries from the summaries that the leader delivers.
 func TestReaderRestoresNeededContent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newKeyedStore(3*pageKeys, 100*time.Millisecond)
--- a/internal/replica/dropped_history_test.go
+++ b/internal/replica/dropped_history_test.go
@@ -28,7 +28,8 @@
 }
 
 // A restore after the store has dropped its history also completes on a slow link where
-// it takes longer than catchUpTimeout: pages that were read aren't read again.
+// it takes longer than catchUpTimeout, whichever call makes it: pages that were read before
+// the timeout aren't read again.
 func TestDroppedHistoryIsRestoredOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const pages = 10 // take 13 s, catchUpTimeout is 10 s
