--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -141,8 +141,10 @@
 		if took != 300*time.Millisecond {
 			t.Errorf("dropped after %v", took)
 		}
-		// Long requests among short ones: the caller of a short request knows
-		// how much time it needs.
+		// Requests of 20 ms and of 2 s share the service. A short request with a
+		// timeout of 900 ms waits for a slot although the upper bound of the
+		// service's latency is longer, because its caller knows how much time
+		// it needs.
 		r.SetEndpoints(time.Now(), []HeldEndpoint{heldEndpoint("e1", "s", 1), heldEndpoint("e2", "s", 15)})
 		for i := range 200 {
 			took := []time.Duration{20 * time.Millisecond, 2 * time.Second}[i%2]
--- a/internal/router/simulation_test.go
+++ b/internal/router/simulation_test.go
@@ -246,7 +246,8 @@
 	}
 }
 
-// Faults of single endpoints cost at most one request in a thousand.
+// Faults of single endpoints cost at most one request in a thousand. The case without a
+// fault shows how many requests are lost anyway.
 func TestSimulatedEndpointFaults(t *testing.T) {
 	cases := []struct {
 		name  string
