--- a/internal/entry/loghealth_test.go
+++ b/internal/entry/loghealth_test.go
@@ -32,6 +32,6 @@
 	now = now.Add(appendFailureExpiry)
 	check("after no append for a long time", false)
 	if !errors.Is(errLogDown, journal.ErrNotWritten) {
-		t.Error("errLogDown must wrap journal.ErrNotWritten")
+		t.Error("errLogDown does not wrap journal.ErrNotWritten: a mark refused while the log is down is certainly not written")
 	}
 }
