--- a/internal/controller/placement/placement_test.go
+++ b/internal/controller/placement/placement_test.go
@@ -224,8 +224,8 @@
 	})
 }
 
-// An empty list removes no VM, because it is not trusted. A list that lacks a single
-// VM removes that VM.
+// A list that suddenly shrinks, here to no VM at all, is not trusted and removes no VM.
+// A list that lacks a single VM removes that VM.
 func TestUntrustedListRemovesNoVM(t *testing.T) {
 	runCell(t, 10, func(c *testCell) {
 		all := c.list.replace(nil)
