--- a/internal/filter/cluster_test.go
+++ b/internal/filter/cluster_test.go
@@ -220,7 +220,8 @@
 
 func (p *fakePeers) EntryVMs(dc api.DataCentre) []api.NodeID { return []api.NodeID{api.NodeID(dc)} }
 
-// reach returns the peer, and an error if its reply will be lost.
+// reach returns the peer. lost is set if the peer's reply will be lost, and err if
+// the peer is unreachable.
 func (p *fakePeers) reach(node api.NodeID) (c *Chain, lost, err error) {
 	p.w.mu.Lock()
 	c = p.w.chains[node]
