--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -13,7 +13,7 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// fakeLog answers appends as configured and counts them.
+// fakeLog answers appends as configured and counts all of them and those in flight.
 type fakeLog struct {
 	randomDuration func(time.Duration) time.Duration // nil: the default
 	platform.PartitionLog
