--- a/internal/jobapi/retry_test.go
+++ b/internal/jobapi/retry_test.go
@@ -24,9 +24,10 @@
 	return intake.ErrNotStored
 }
 
-// Retry-After is a share of the job's latency objective, in whole seconds. Guards
-// against a fixed Retry-After of 1 s: clients retry only a few times, so they had no
-// retry left when an outage of 5 s ended, even for jobs that could wait 10 s or longer.
+// Retry-After is a share of the job's latency objective, in whole seconds. The
+// test guards against a fixed Retry-After of 1 s: clients retry only a few times, so
+// they had no retry left when an outage of 5 s ended, even for jobs that could wait 10 s
+// or longer.
 func TestRetryAfterFollowsTheLatencyObjective(t *testing.T) {
 	for _, c := range []struct {
 		name       string
