--- a/cmd/skylarklock/main_test.go
+++ b/cmd/skylarklock/main_test.go
@@ -22,8 +22,8 @@
 // the entry process.
 const childEnvVar = "SKYLARKLOCK_TEST_CHILD"
 
-// waitTimeout bounds each wait. No test result depends on the duration of a
-// wait that ends before it.
+// waitTimeout bounds each wait. No test result depends on how long a wait
+// takes, as long as it ends in time.
 const waitTimeout = 60 * time.Second
 
 func TestMain(m *testing.M) {
