--- a/internal/journal/replica_test.go
+++ b/internal/journal/replica_test.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// waitIdle waits until every loop is idle, for the time of several polls.
+// waitIdle waits for the time of several polls and then until every loop is idle.
 func waitIdle() {
 	time.Sleep(5 * time.Second)
 	synctest.Wait()
