--- a/internal/leader/elector_test.go
+++ b/internal/leader/elector_test.go
@@ -56,8 +56,8 @@
 	leads      bool
 }
 
-// election returns the processes of an election, which differ in their processors. They
-// know of each other after a second.
+// election returns one process for each of the given numbers of processors. They take
+// part in the same election and know each other's processors after a second.
 func election(t *testing.T, processors ...float64) []*candidate {
 	t.Helper()
 	start := time.Now()
--- a/internal/leader/lost_leader_test.go
+++ b/internal/leader/lost_leader_test.go
@@ -10,7 +10,8 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// failingLog rejects appends while unavailable is set.
+// failingLog rejects appends while unavailable is set. This simulates an outage of the
+// store, or the loss of a process, from which the log gets no more records.
 type failingLog struct {
 	platform.PartitionLog
 	unavailable atomic.Bool
--- a/internal/leader/silence_factor_test.go
+++ b/internal/leader/silence_factor_test.go
@@ -7,8 +7,9 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// After two takeovers in a row the next leader is given more time. Leaders that stepped
-// down don't count, and takeovers stop counting after takeoverWindow.
+// After two takeovers in a row, in which leaders were replaced for their silence, the next
+// leader is given more time. Leaders that stepped down don't count, and takeovers stop
+// counting after takeoverWindow.
 func TestSeveralTakeoversSlowDownClaims(t *testing.T) {
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	s := NewState(Leader{Node: "a", Incarnation: 1}, 0, start)
--- a/internal/leader/stop_test.go
+++ b/internal/leader/stop_test.go
@@ -8,7 +8,8 @@
 )
 
 // Guards against requests that waited in vain at a stopping process while leadership
-// changed. An elector that was asked to stop did not read the partition any more. The
+// changed, which happens when the leader is asked to stop as well and another process
+// claims. An elector that was asked to stop did not read the partition any more. The
 // process served requests for some seconds and meanwhile called the former leader, or
 // knew no leader if it had led itself, unless the next leader delivered to it.
 func TestStoppingProcessFollowsTheElection(t *testing.T) {
