--- a/internal/node/ended_test.go
+++ b/internal/node/ended_test.go
@@ -17,7 +17,7 @@
 const maxEndedJobBytes = 60
 
 // Guards against start-up reads that grow with every job ever accepted. After 110 s of
-// traffic they were 8.9 MB, which take 13 s on a link of 10 Mbit/s. Restarted machines
+// traffic they were 8.9 MB, which took 13 s on a link of 10 Mbit/s. Restarted machines
 // were not ready for that long, and after a power loss neither was the whole cell. It
 // was seen in the bytes that a machine with a fast link received until it was ready,
 // and in how long the other machines received at the full rate of their links.
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -19,10 +19,10 @@
 // Guards against connections that a stopping process closes without an answer. The
 // process was asked to stop, kept serving for 2.5 s, ended its loops, gave its server a
 // fixed 2 s and exited 1.5 s before it would have been killed. Clients wait 3 s for an
-// answer, so requests that were sent shortly before the listener was closed and waited
-// for the leader or the store were cut off at 4.5 s. Requests of 18 of 81 processes were
-// cut off, all 4.50 to 4.54 s after the signal; the other answers of that time went to
-// status requests that had waited for a delivery or for the leader.
+// answer, longer than these 2 s, so requests that were sent shortly before the listener
+// was closed and waited for the leader or the store were cut off at 4.5 s. Requests of 18
+// of 81 processes were cut off, all 4.50 to 4.54 s after the signal; the other answers of
+// that time went to status requests that had waited for a delivery or for the leader.
 func TestReadRequestsAreAnsweredBeforeExit(t *testing.T) {
 	t.Run("a status request that waits for the leader", testStatusRequestThatWaits)
 }
