--- a/internal/ownership/failover_test.go
+++ b/internal/ownership/failover_test.go
@@ -24,7 +24,7 @@
 	"github.com/skylarklock/skylarklock/internal/platform"
 )
 
-// Delays of the fake log.
+// Delays of the fake log, and the interval at which its followers read it.
 const (
 	appendDelay  = 30 * time.Millisecond
 	readDelay    = 5 * time.Millisecond
@@ -204,7 +204,8 @@
 
 const allShards = ownership.EndpointShards + 1
 
-// allShardsFull reports whether some node has full access to each shard.
+// allShardsFull reports whether every shard is in full use: as many times as there are
+// shards, a node has full access to one.
 func (c *testCluster) allShardsFull() bool {
 	return countAccess(c.nodes)[ownership.AccessFull] == allShards
 }
@@ -329,7 +330,7 @@
 		}
 		for _, n := range rest {
 			if _, ok, at := n.controller.CellAuthority(time.Now()); ok && at.IsZero() {
-				t.Fatal("the time of the takeover is not known")
+				t.Fatal("the time of the takeover is not known, so the former holder's last lease renewal can't be dated")
 			}
 		}
 	})
--- a/internal/ownership/sim_test.go
+++ b/internal/ownership/sim_test.go
@@ -46,7 +46,7 @@
 	At, Steps  int
 }
 
-// disabledRules disables rules of the protocol.
+// disabledRules disables rules of the protocol on purpose, to check that each is needed.
 type disabledRules struct {
 	takeoverWait, grantCheck, acknowledgements bool
 }
