--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -175,8 +175,8 @@
 	}
 }
 
-// FuzzServer checks that the server survives arbitrary bytes on a connection, counts them
-// as malformed and serves other connections.
+// FuzzServer checks that the server survives arbitrary bytes on a connection: it ends that
+// connection, counts malformed frames and serves other connections.
 func FuzzServer(f *testing.F) {
 	valid, err := encodeFrame(header{Seq: 1, Method: "Probe.Echo"}, "a", 1000)
 	if err != nil {
