--- a/internal/plan/avoid_test.go
+++ b/internal/plan/avoid_test.go
@@ -87,5 +87,5 @@
 			return
 		}
 	}
-	t.Error("a gang of two tasks never starts on an executor that is on trial")
+	t.Error("a gang of two tasks never starts: the trial of the only executor doesn't end")
 }
