--- a/internal/plan/incarnation_test.go
+++ b/internal/plan/incarnation_test.go
@@ -14,8 +14,8 @@
 const shortRestartDelay = 600 * time.Millisecond
 
 // checkAcknowledgedEnds fails the test if a task was started again after one of its runs had
-// ended as done, or after as many had failed as its queue allows. Only ends that were
-// acknowledged count, at whatever time they were.
+// ended as done, or after as many had failed as its queue allows. Only acknowledged ends
+// count, including those that were acknowledged after the start.
 func (sim *crashSimulation) checkAcknowledgedEnds() {
 	sim.t.Helper()
 	lastRun := make(map[work.TaskKey]uint32)
@@ -64,9 +64,9 @@
 	sim.checkAcknowledgedEnds()
 }
 
-// An unconfirmed start is settled once the executor's clock has passed its end. The clock of
-// a new incarnation starts at 0, so a time by the clock of the former one might be reached
-// only after minutes.
+// An unconfirmed start is settled once the executor's clock has passed the time at which the
+// order becomes void. The clock of a new incarnation starts at 0, so it might reach a time by
+// the clock of the former one only after minutes.
 func TestUnconfirmedStartIgnoresClockOfFormerIncarnation(t *testing.T) {
 	sim := newCrashSimulation(t, 2, firstTaskCrashes())
 	sim.enableIDReuse(shortRestartDelay)
@@ -84,8 +84,9 @@
 	}
 }
 
-// An answer of another incarnation ends the executor while its ticket is still valid. A task
-// that is placed there would count an allocation that nothing ends.
+// A call that another incarnation answers shows that the one called has ended, while the
+// ticket for it is still valid. A task that is placed on the ended incarnation would count an
+// allocation that nothing ends.
 func TestTaskIsNotPlacedOnEndedIncarnation(t *testing.T) {
 	env := newTestEnv(t, 2)
 	env.submitJob(1, testAdvisedQueue, work.Step{TaskCount: 2, TaskResources: cpus(20), Estimate: time.Second})
@@ -376,8 +377,8 @@
 	}
 }
 
-// A new leader that has read a late record calls a former incarnation. That this one has
-// ended must not end the runs of the current incarnation.
+// A new leader that has read a late record calls a former incarnation and learns that it has
+// ended. This must not end the runs of the current incarnation.
 func TestLossNamedByLateRecordEndsNoOtherRuns(t *testing.T) {
 	env := newIncarnationEnv(t, 2)
 	for id := range env.registry {
@@ -400,9 +401,11 @@
 	}
 }
 
-// A task whose run was lost with an executor starts on another one, so that of three crashes
-// two are of different executors. The executor that restarts first, and empty, would
-// otherwise often be the best choice again.
+// The platform allows a job to be failed only after crashes of two executors, and doesn't say
+// whether two incarnations of one executor count as two. A task whose run was lost with an
+// executor therefore starts on another one next, so that three crashes are of at least two
+// executors. Otherwise the executor that restarts first, and is empty, would often be chosen
+// again.
 func TestLostTaskStartsOnOtherExecutor(t *testing.T) {
 	sim := newCrashSimulation(t, 2, firstTaskCrashes(1))
 	sim.enableIDReuse(shortRestartDelay)
--- a/internal/plan/preempt_test.go
+++ b/internal/plan/preempt_test.go
@@ -85,7 +85,8 @@
 	}
 }
 
-// Runs are preempted for a gang only if that costs their jobs nothing but spare time.
+// A run is preempted for a gang only if its queue is less urgent and its job loses nothing
+// but spare time. A run without checkpoints would lose its work.
 func TestPreemptibleRuns(t *testing.T) {
 	const tasks = 16
 	for _, c := range []struct {
@@ -182,7 +183,7 @@
 }
 
 // No task may be preempted more often than allowed or for a less urgent gang, and no gang may
-// wait for long where preemption makes enough capacity free.
+// wait for more than 4 s where preemption would make enough capacity free.
 func TestPreemptionIsBounded(t *testing.T) {
 	for seed := range uint64(30) {
 		sim := &preemptionSimulation{
--- a/internal/plan/refusal_test.go
+++ b/internal/plan/refusal_test.go
@@ -31,7 +31,7 @@
 
 // A start that every executor refuses must not be sent again in each cycle.
 func TestRefusedStartsBackOff(t *testing.T) {
-	const maxStarts = 4 * 10 // one each second and executor, and one more each second
+	const maxStarts = 4 * 10 // in 10 s: one a second on each of the 3 executors, and one more a second
 	for _, reason := range []platform.Refusal{
 		platform.RefusedNoCapacity, platform.RefusedLeaseExpired, platform.RefusedInvalidOrder, platform.RefusedUnhealthy, platform.RefusedOldRun,
 	} {
--- a/internal/plan/restore_test.go
+++ b/internal/plan/restore_test.go
@@ -8,7 +8,9 @@
 )
 
 // An executor crashes just before the leader does, and its record is gone when the next
-// leader takes over. Its runs must start again once the new leader knows that it is lost.
+// leader takes over. Its runs must start again once the new leader knows that it is lost. With
+// the last record the new leader can call the executor's address, where its replacement
+// answers. With only the ID it has to wait until the orders and leases of the runs have expired.
 func TestRunsLostBeforeTakeoverRestart(t *testing.T) {
 	for _, c := range []struct {
 		name          string
--- a/internal/plan/simulation_test.go
+++ b/internal/plan/simulation_test.go
@@ -57,8 +57,8 @@
 type endRecord struct {
 	platform.EndedRun
 	clock             platform.ExecutorClock // when the run ended
-	acknowledged      bool                   // it was acknowledged before the lease expired
-	leaseExpiredFirst bool                   // the lease expired before it was acknowledged
+	acknowledged      bool                   // it was acknowledged, and the lease had not expired since the run ended
+	leaseExpiredFirst bool                   // the lease expired between the end of the run and the acknowledgement
 }
 
 // newSimulatedExecutor returns an executor whose clock reads 0 when the simulation's
--- a/internal/plan/suspect_test.go
+++ b/internal/plan/suspect_test.go
@@ -8,8 +8,8 @@
 	"github.com/skylarklock/skylarklock/internal/work"
 )
 
-// markSuspected sets the crashes of a job's first task such that it is suspected, and returns
-// its step.
+// markSuspected counts suspectCrashes crashed executors for a job's first task, which makes the
+// task suspected, and returns its step.
 func (env *testEnv) markSuspected(id work.ID) *step {
 	env.t.Helper()
 	s := env.cell.jobs[id].activeOccurrences[0].steps[0]
