--- a/internal/leader/observe.go
+++ b/internal/leader/observe.go
@@ -115,8 +115,9 @@
 }
 
 // LeaderDenied records that the process at the given leader's address says that it
-// doesn't lead, for example after a restart. The cell may then be claimed once the
-// silence exceeds Timing.AbandonedSilence.
+// doesn't lead, for example after a restart. If the silence already exceeds
+// Timing.AbandonedSilence, the leader counts as having stepped down. Otherwise the call
+// has no effect.
 func (e *Elector) LeaderDenied(epoch api.Epoch) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/leader/suitability.go
+++ b/internal/leader/suitability.go
@@ -7,12 +7,15 @@
 
 // Levels of suitability.
 const (
-	// Suitable means that no other machine is known to have many more processors.
+	// Suitable means that this machine has at least sufficientProcessors, that its number
+	// of processors is unknown, or that other machines could lead now but none of them has
+	// many more processors.
 	Suitable Suitability = iota
-	// Outclassed means that an available machine has many more processors.
+	// Outclassed means that this machine has fewer than sufficientProcessors, and that
+	// another machine that could lead now has many more than this one.
 	Outclassed
-	// Underpowered means that no other machine is known and that this one is too
-	// weak to lead a large cell.
+	// Underpowered means that this machine has too few processors to lead a large cell,
+	// and that no other machine is known that could lead now.
 	Underpowered
 	// Unsynced means that this machine has not read the cell's jobs yet, for example
 	// after a restart. It can't plan until then, so it doesn't claim.
