--- a/internal/ownership/authority.go
+++ b/internal/ownership/authority.go
@@ -15,7 +15,7 @@
 const (
 	AccessNone  Access = iota // no new requests
 	AccessFloor               // only the floor share of each endpoint's slots
-	AccessFull                // everything except the slots of former holders
+	AccessFull                // all slots except those that former holders may still use
 )
 
 var accessNames = [...]string{"none", "floor", "full"}
