--- a/internal/assist/assist.go
+++ b/internal/assist/assist.go
@@ -1,11 +1,11 @@
-// Package assist is what the machines of a cell and its leader do for each
-// other. The machines make calls to the advice service, which answers one call
-// of a machine at a time, so that a single machine could not ask for a whole
-// cell. The leader stores what clients hand in at the machines together with
-// its own records, in one append, and delivers to them what was stored.
+// Package assist holds the calls that the machines of a cell and its leader make to each other.
+// The machines make advice calls for the leader: the advice service answers one call per machine
+// at a time, so a single machine could not get advice for a whole cell. The leader stores what
+// clients submit at the machines together with its own records, in one append, and delivers to
+// the machines what was stored.
 //
-// Each machine attaches to the leader again and again; the leader then hands
-// it calls to make and records.
+// Each machine attaches to the leader periodically. The leader then gives it advice calls to make
+// and delivers records to it.
 package assist
 
 import (
@@ -22,7 +22,7 @@
 	"github.com/skylarklock/skylarklock/internal/work"
 )
 
-// ServiceName is the name to register a Handler under.
+// ServiceName is the name under which a Handler is registered.
 const ServiceName = "Assist"
 
 // Methods of the peer service.
@@ -37,22 +37,22 @@
 	methodInvite  = ServiceName + ".Invite"
 )
 
-// Caller calls a peer once; *peer.Client is one.
+// Caller makes calls to peers, without retries; *peer.Client implements it.
 type Caller interface {
 	Call(ctx context.Context, addr, method string, args, reply any) error
 }
 
-// Attachment offers a machine's help to the leader.
+// Attachment offers a machine's capacity for advice calls and leadership to the leader.
 type Attachment struct {
 	_          struct{} `cbor:",toarray"`
 	Node       api.NodeID
-	Address    string // of its peer service
+	Address    string // of the machine's peer service
 	DataCentre api.DataCentre
-	Fitness    float64 // processors with which the machine could lead; 0: it couldn't now
-	HasContent bool    // it keeps the content of all records, without which it can't lead
+	Fitness    float64 // processors that the machine could use as leader; 0: it cannot lead now
+	HasContent bool    // the machine keeps the content of all records, which a leader needs
 }
 
-// AttachAnswer tells which epoch the asked machine leads; 0: it leads none.
+// AttachAnswer holds the epoch that the called machine leads, or 0 if it is not the leader.
 type AttachAnswer struct {
 	_     struct{} `cbor:",toarray"`
 	Epoch api.Epoch
@@ -65,14 +65,14 @@
 	Executors []string
 }
 
-// AdviceAnswer is what the advice service said.
+// AdviceAnswer is the answer of the advice service.
 type AdviceAnswer struct {
 	_        struct{} `cbor:",toarray"`
 	Grants   []platform.Grant
 	ValidFor time.Duration
 }
 
-// Record is a record of the cell's partition between two processes.
+// Record is the form in which processes exchange a record of the cell's partition.
 type Record struct {
 	_     struct{} `cbor:",toarray"`
 	Key   string
@@ -85,26 +85,26 @@
 	Records []Record
 }
 
-// StoreOutcome says what became of records.
+// StoreOutcome is the outcome of storing a record.
 type StoreOutcome uint8
 
-// Outcomes of storing.
+// Outcomes of storing a record.
 const (
-	StoreUnknown StoreOutcome = iota // they may be stored, or may come to be
+	StoreUnknown StoreOutcome = iota // it may be stored now or later
 	Stored
-	NotStored // and never will be
-	NotLeader // the asked machine doesn't lead; it did nothing
-	TooBusy   // not stored: the job could not be of use in time
+	NotStored // it is not stored and never will be
+	NotLeader // the called machine is not the leader and did nothing
+	TooBusy   // not stored: the job could not end in time to be of use
 )
 
-// StoreResult is what became of one record.
+// StoreResult is the result of storing one record.
 type StoreResult struct {
 	_          struct{} `cbor:",toarray"`
 	Outcome    StoreOutcome
-	RetryAfter time.Duration // with TooBusy: when to come back
+	RetryAfter time.Duration // with TooBusy: delay before the client should retry
 }
 
-// UniformResults returns the same result for n records.
+// UniformResults returns n results with the same outcome.
 func UniformResults(outcome StoreOutcome, n int) []StoreResult {
 	results := make([]StoreResult, n)
 	for i := range results {
@@ -113,104 +113,105 @@
 	return results
 }
 
-// StoreAnswer tells what became of each record.
+// StoreAnswer holds the result for each record, in the order of the request.
 type StoreAnswer struct {
 	_       struct{} `cbor:",toarray"`
 	Results []StoreResult
 }
 
-// Delivery brings the states of jobs to a machine, in the order of the partition,
-// and tells it who leads: one that can't reach the store learns it only so.
+// Delivery brings the states of jobs to a machine, in the order of the partition. It also names the
+// leader, which a machine that cannot reach the store learns only from deliveries.
 type Delivery struct {
 	_           struct{} `cbor:",toarray"`
 	Leader      leader.Leader
-	LastRenewal leader.Renewal  // the leader's last that was confirmed
-	Span        replica.Span    // of the records whose news these are
-	Jobs        work.Summaries  // of all jobs that they changed
-	End         platform.Offset // of the partition as far as the leader knows
-	Role        Role            // what this machine should keep
-	Machines    []Attachment    // for standbys: those that the leader delivers to; empty: as before
+	LastRenewal leader.Renewal  // the leader's last confirmed renewal
+	Span        replica.Span    // of the records that the summaries cover
+	Jobs        work.Summaries  // of all jobs that these records changed
+	End         platform.Offset // of the partition, as far as the leader knows
+	Role        Role            // what the receiving machine should keep
+	Machines    []Attachment    // for standbys: the machines that the leader delivers to; empty: unchanged
 	CutOff      bool            // the leader reaches neither the store nor another data centre
 }
 
-// DeliveryAnswer tells up to where the machine knows the partition, and the
-// highest epoch that it has heard of.
+// DeliveryAnswer reports how far the machine knows the partition and the highest epoch that it
+// knows.
 type DeliveryAnswer struct {
 	_               struct{}        `cbor:",toarray"`
-	Position        platform.Offset // up to where it knows the states of jobs
-	ContentPosition platform.Offset // up to where it keeps the content of records
-	HasContent      bool            // it keeps the content at all
+	Position        platform.Offset // up to which it knows the states of jobs
+	ContentPosition platform.Offset // up to which it keeps the content of records
+	HasContent      bool            // it keeps the content of all records
 	Epoch           api.Epoch
 }
 
-// SyncRequest asks the leader to read what the store holds.
+// SyncRequest asks the leader to read everything that the store holds.
 type SyncRequest struct {
 	_ struct{} `cbor:",toarray"`
 }
 
-// SyncAnswer tells where the cell's partition ends.
+// SyncAnswer holds the end of the cell's partition.
 type SyncAnswer struct {
 	_   struct{} `cbor:",toarray"`
 	End platform.Offset
 }
 
-// Storer stores records as the leader, and tells what became of each;
-// *dispatch.Runner is one.
+// Storer stores records as the leader and returns the result for each; *dispatch.Runner
+// implements it.
 type Storer interface {
 	Store(ctx context.Context, records []platform.Record) []StoreResult
 }
 
-// Receiver takes in deliveries; *replica.Reader is one.
+// Receiver applies deliveries; *replica.Reader implements it.
 type Receiver interface {
-	// Deliver takes in the news of a span of a partition that ends somewhere.
+	// Deliver applies the summaries of a span of a partition with the given end and returns
+	// the position that the receiver has reached.
 	Deliver(span replica.Span, jobs []work.Summary, end platform.Offset) platform.Offset
-	// DeliverContent takes in the content of records of a span.
+	// DeliverContent applies the content of the records of a span.
 	DeliverContent(span replica.Span, records []platform.Record)
-	// ContentPosition returns up to where the content of records is kept, and whether
+	// ContentPosition returns the position up to which the content of records is kept, and whether
 	// it is kept at all.
 	ContentPosition() (platform.Offset, bool)
-	// KeepContent has the content of records kept, Shed dropped.
+	// KeepContent makes the receiver keep the content of records, Shed makes it drop the content.
 	KeepContent()
 	DropContent()
 	Sync(ctx context.Context) error
 	Position() platform.Offset
 }
 
-// Elector knows who leads; *leader.Elector is one.
+// Elector tracks who leads the cell; *leader.Elector implements it.
 type Elector interface {
-	// ObserveLeader takes in who leads and returns the highest epoch known.
+	// ObserveLeader records who leads and returns the highest known epoch.
 	ObserveLeader(l leader.Leader) api.Epoch
-	// ObserveRenewal takes in the leader's last confirmed renewal.
+	// ObserveRenewal records the leader's last confirmed renewal.
 	ObserveRenewal(epoch api.Epoch, r leader.Renewal)
-	// Invite has this process claim the cell after a leader that has stepped down.
+	// Invite makes this process claim the cell after a leader has stepped down.
 	Invite(i leader.Invitation)
 }
 
-// Handler answers peers' calls.
+// Handler answers the calls of peers.
 type Handler struct {
-	LeadingEpoch    func() api.Epoch // 0: this machine doesn't lead
-	Storer          func() Storer    // nil: this machine doesn't lead
+	LeadingEpoch    func() api.Epoch // 0: this machine is not the leader
+	Storer          func() Storer    // nil: this machine is not the leader
 	Receiver        Receiver
 	Elector         Elector
-	SetLeaderCutOff func(cut bool) // takes in whether the leader is cut off; nil: nobody asks
+	SetLeaderCutOff func(cut bool) // records whether the leader is cut off; may be nil
 	Peers           *Peers
 	Adviser         platform.Adviser
 	Executors       platform.Executors
-	CallTimeout     time.Duration // bound of a call to the advice service or the store
+	CallTimeout     time.Duration // limit of a call to the advice service or the store
 }
 
-// InviteAnswer says nothing.
+// InviteAnswer is the empty answer to an invitation.
 type InviteAnswer struct {
 	_ struct{} `cbor:",toarray"`
 }
 
-// Invite takes in that the leader has stepped down and that this machine should follow it.
+// Invite handles a leader's invitation to succeed it after it has stepped down.
 func (h *Handler) Invite(i *leader.Invitation, _ *InviteAnswer) error {
 	h.Elector.Invite(*i)
 	return nil
 }
 
-// Store stores records for another machine.
+// Store stores records for another machine, if this one is the leader.
 func (h *Handler) Store(request *StoreRequest, reply *StoreAnswer) error {
 	storer := h.Storer()
 	if storer == nil {
@@ -223,11 +224,11 @@
 	return nil
 }
 
-// Deliver takes in records from the leader.
+// Deliver handles a delivery of job summaries from the leader.
 func (h *Handler) Deliver(d *Delivery, reply *DeliveryAnswer) error {
 	reply.Epoch = h.Elector.ObserveLeader(d.Leader)
 	if reply.Epoch != d.Leader.Epoch {
-		return nil // a former leader; what it brings may be behind
+		return nil // a former leader, whose delivery may be outdated
 	}
 	h.Elector.ObserveRenewal(d.Leader.Epoch, d.LastRenewal)
 	if h.SetLeaderCutOff != nil {
@@ -242,18 +243,18 @@
 	}
 	jobs, readable := d.Jobs.Unpack()
 	if !readable {
-		return errors.New("assist: news of another version")
+		return errors.New("assist: job summaries of an unsupported version")
 	}
 	reply.Position = h.Receiver.Deliver(d.Span, jobs, d.End)
 	reply.ContentPosition, reply.HasContent = h.Receiver.ContentPosition()
 	return nil
 }
 
-// Content takes in the content of records from the leader.
+// Content handles a delivery of record content from the leader.
 func (h *Handler) Content(c *ContentDelivery, reply *DeliveryAnswer) error {
 	reply.Epoch = h.Elector.ObserveLeader(c.Leader)
 	if reply.Epoch != c.Leader.Epoch {
-		return nil // a former leader; what it brings may be behind
+		return nil // a former leader, whose delivery may be outdated
 	}
 	h.Receiver.DeliverContent(c.Span, unpackContent(c.Records))
 	reply.Position = h.Receiver.Position()
@@ -261,10 +262,10 @@
 	return nil
 }
 
-// Sync reads what the store holds and tells where the partition ends.
+// Sync reads everything that the store holds and returns the end of the partition.
 func (h *Handler) Sync(_ *SyncRequest, reply *SyncAnswer) error {
 	if h.LeadingEpoch() == 0 {
-		return errors.New("assist: this machine doesn't lead")
+		return errors.New("assist: this machine is not the leader")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), h.CallTimeout)
 	defer cancel()
@@ -289,7 +290,7 @@
 	return out
 }
 
-// Attach takes in a machine's offer.
+// Attach handles the attachment of a machine.
 func (h *Handler) Attach(a *Attachment, reply *AttachAnswer) error {
 	reply.Epoch = h.LeadingEpoch()
 	if reply.Epoch != 0 {
@@ -301,7 +302,7 @@
 // Advise makes a call to the advice service.
 func (h *Handler) Advise(request *AdviceRequest, reply *AdviceAnswer) error {
 	if h.Adviser == nil {
-		return errors.New("assist: this machine knows no advice service")
+		return errors.New("assist: no advice service is configured on this machine")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), h.CallTimeout)
 	defer cancel()
@@ -311,16 +312,15 @@
 	return err
 }
 
-// Attach offers the help of this machine to the leader at an address and
-// returns the epoch that it says it leads.
+// Attach attaches this machine to the leader at the given address and returns the epoch that the
+// called machine leads.
 func Attach(ctx context.Context, c Caller, leader string, a Attachment) (api.Epoch, error) {
 	var answer AttachAnswer
 	err := c.Call(ctx, leader, methodAttach, &a, &answer)
 	return answer.Epoch, err
 }
 
-// Store asks the leader at an address to store records and returns what became
-// of each.
+// Store asks the leader at the given address to store records and returns the result for each.
 func Store(ctx context.Context, c Caller, leader string, records []platform.Record) []StoreResult {
 	var answer StoreAnswer
 	err := c.Call(ctx, leader, methodStore, &StoreRequest{Records: pack(records)}, &answer)
@@ -334,12 +334,12 @@
 	}
 }
 
-// Invite asks the machine at an address to follow a leader that has stepped down.
+// Invite asks the machine at the given address to succeed a leader that has stepped down.
 func Invite(ctx context.Context, c Caller, address string, i leader.Invitation) error {
 	return c.Call(ctx, address, methodInvite, &i, &InviteAnswer{})
 }
 
-// Sync asks the leader at an address where the cell's partition ends.
+// Sync asks the leader at the given address for the end of the cell's partition.
 func Sync(ctx context.Context, c Caller, leader string) (platform.Offset, error) {
 	var answer SyncAnswer
 	err := c.Call(ctx, leader, methodSync, &SyncRequest{}, &answer)
--- a/internal/assist/content.go
+++ b/internal/assist/content.go
@@ -10,25 +10,24 @@
 	"github.com/skylarklock/skylarklock/internal/replica"
 )
 
-// Bounds of deliveries of content to standbys.
+// Limits of content deliveries to standbys.
 const (
-	// contentEvery is the time between two deliveries of content: what a job's
-	// records say is out of date several times a second, and only the newest is
-	// sent. A standby that comes to lead reads the rest from the store.
-	contentEvery = time.Second
-	// contentShare is the share of the leader's link for all content.
-	contentShare   = 0.08
-	contentTimeout = 2 * time.Second
-	// keptRecords and keptBytes bound what is kept for standbys that are
-	// behind, which otherwise read the store: what the leader clears up in
-	// one append, up to 2,000 jobs with four records each, and some seconds of
-	// other records.
-	keptRecords = 10_000
-	keptBytes   = 4 << 20
-	// sentRecords and sentBytes bound what one delivery brings, so that it arrives
-	// within contentTimeout on a thin link.
-	sentRecords = 2000
-	sentBytes   = 256 << 10
+	// contentInterval is the time between two deliveries of content. A job's records are
+	// replaced several times a second, and only the newest is sent. A standby that becomes
+	// leader reads the rest from the store.
+	contentInterval = time.Second
+	// contentLinkShare is the share of the leader's link that all content deliveries may use.
+	contentLinkShare = 0.08
+	contentTimeout   = 2 * time.Second
+	// maxKeptRecords and maxKeptBytes bound what is kept for standbys that lag behind; a
+	// standby that lags further reads the store. They cover the largest cleanup append of
+	// the leader, up to 2,000 jobs with four records each, and some seconds of other records.
+	maxKeptRecords = 10_000
+	maxKeptBytes   = 4 << 20
+	// maxDeliveryRecords and maxDeliveryBytes bound one delivery, so that it arrives within
+	// contentTimeout on a slow link.
+	maxDeliveryRecords = 2000
+	maxDeliveryBytes   = 256 << 10
 )
 
 // ContentDelivery brings the content of records to a standby.
@@ -36,10 +35,10 @@
 	_       struct{} `cbor:",toarray"`
 	Leader  leader.Leader
 	Span    replica.Span
-	Records []ContentRecord // the newest of each key that was written in the span
+	Records []ContentRecord // the newest record of each key that was written in the span
 }
 
-// ContentRecord is a record with its place.
+// ContentRecord is a record with its offset.
 type ContentRecord struct {
 	_      struct{} `cbor:",toarray"`
 	Offset platform.Offset
@@ -63,37 +62,37 @@
 	return out
 }
 
-// nextContent returns the content that a standby should be sent now, if any.
+// nextContent returns the content that is due for a standby, if any.
 func (p *Publisher) nextContent(node api.NodeID, now time.Time) (ContentDelivery, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.target(node)
 	end := p.end()
-	if !p.standbys[node] || !t.whole || t.contentBusy || now.Sub(t.contentSent) < contentEvery || t.content < p.first || t.content >= end {
+	if !p.standbys[node] || !t.hasContent || t.contentInFlight || now.Sub(t.lastContentDelivery) < contentInterval || t.contentPosition < p.firstOffset || t.contentPosition >= end {
 		return ContentDelivery{}, false
 	}
-	records := p.records[t.content-p.first:]
-	most := sentBytes
+	records := p.records[t.contentPosition-p.firstOffset:]
+	maxBytes := maxDeliveryBytes
 	if p.cfg.LinkBytesPerSecond > 0 {
-		most = min(most, p.budget.Burst())
+		maxBytes = min(maxBytes, p.contentLimiter.Burst())
 	}
-	n, size := fitting(records, most)
-	if !p.budget.AllowN(now, min(size, p.budget.Burst())) {
+	n, size := countFitting(records, maxBytes)
+	if !p.contentLimiter.AllowN(now, min(size, p.contentLimiter.Burst())) {
 		return ContentDelivery{}, false
 	}
-	t.contentBusy = true
-	t.contentSent = now
-	span := replica.Span{From: t.content, To: t.content + platform.Offset(n)}
-	return ContentDelivery{Leader: p.cfg.Self, Span: span, Records: packContent(newestOfKeys(records[:n]))}, true
+	t.contentInFlight = true
+	t.lastContentDelivery = now
+	span := replica.Span{From: t.contentPosition, To: t.contentPosition + platform.Offset(n)}
+	return ContentDelivery{Leader: p.cfg.Self, Span: span, Records: packContent(latestPerKey(records[:n]))}, true
 }
 
-// fitting returns how many of the first records fit into some bytes, at least one,
-// where only the newest of each key counts, and their size.
-func fitting(records []platform.Record, most int) (n, size int) {
+// countFitting returns how many of the first records fit into maxBytes, but at least one, and
+// their size. Only the newest record of each key counts.
+func countFitting(records []platform.Record, maxBytes int) (n, size int) {
 	sizes := make(map[string]int)
 	for i, r := range records {
 		grown := size + r.Size() - sizes[r.Key]
-		if i > 0 && (len(sizes) == sentRecords || grown > most) {
+		if i > 0 && (len(sizes) == maxDeliveryRecords || grown > maxBytes) {
 			return i, size
 		}
 		size = grown
@@ -102,8 +101,8 @@
 	return len(records), size
 }
 
-// newestOfKeys returns the newest record of each key, in the order of offsets.
-func newestOfKeys(records []platform.Record) []platform.Record {
+// latestPerKey returns the newest record of each key, ordered by offset.
+func latestPerKey(records []platform.Record) []platform.Record {
 	last := make(map[string]int, len(records))
 	for i, r := range records {
 		last[r.Key] = i
@@ -120,14 +119,14 @@
 func (p *Publisher) deliverContent(ctx context.Context, m Attachment, c ContentDelivery) {
 	ctx, cancel := context.WithTimeout(ctx, contentTimeout)
 	defer cancel()
-	answer, known := p.call(ctx, p.cfg.BulkCaller, m, methodContent, &c)
+	answer, ok := p.call(ctx, p.cfg.BulkCaller, m, methodContent, &c)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.target(m.Node)
-	t.contentBusy = false
-	if !known {
+	t.contentInFlight = false
+	if !ok {
 		return
 	}
-	t.content = answer.ContentPosition
-	t.whole = answer.HasContent
+	t.contentPosition = answer.ContentPosition
+	t.hasContent = answer.HasContent
 }
--- a/internal/assist/demand.go
+++ b/internal/assist/demand.go
@@ -6,126 +6,125 @@
 	"github.com/skylarklock/skylarklock/internal/queue"
 )
 
-// length sorts calls by how long they are expected to take.
-type length int
+// callClass classifies advice calls by their expected duration.
+type callClass int
 
 const (
-	shortest length = iota
-	middling
-	long
-	lengths // how many there are
+	shortCalls callClass = iota
+	mediumCalls
+	longCalls
+	numCallClasses // number of classes
 )
 
-// Bounds between the lengths, of the fixed part of a call: a call may delay another of
-// its own length, not a shorter one. How many executors a call names doesn't count, or
-// the calls of one queue would be of two lengths.
+// Limits of the classes, applied to the fixed part of a call's duration: a call may delay others of
+// its own class, but not shorter ones. The number of executors that a call names is left out;
+// otherwise calls of one queue would fall into two classes.
 const (
-	shortestUpTo = 40 * time.Millisecond
-	middlingUpTo = 200 * time.Millisecond
+	maxShortCall  = 40 * time.Millisecond
+	maxMediumCall = 200 * time.Millisecond
 )
 
-func lengthOf(call queue.CallTime) length {
+func classOf(call queue.CallTime) callClass {
 	switch {
-	case call.Fixed <= shortestUpTo:
-		return shortest
-	case call.Fixed <= middlingUpTo:
-		return middling
+	case call.Fixed <= maxShortCall:
+		return shortCalls
+	case call.Fixed <= maxMediumCall:
+		return mediumCalls
 	default:
-		return long
+		return longCalls
 	}
 }
 
-// ClassName names the length of a call: calls of one length share machines.
+// ClassName returns the name of a call's class. Calls of one class share machines.
 func ClassName(call queue.CallTime) string {
-	return [lengths]string{"short calls", "middling calls", "long calls"}[lengthOf(call)]
+	return [numCallClasses]string{"short calls", "middling calls", "long calls"}[classOf(call)]
 }
 
-// headroom is how many times the machines that its calls keep busy are dealt to a
-// length, where there are enough. Dealt by what each takes, all lengths wait alike
-// when calls are more than machines, which short work can't afford.
-var headroom = [lengths]float64{shortest: 2, middling: 1.5, long: 1}
+// overprovision is the number of machines that a class gets for each machine that its calls keep
+// busy, as long as there are enough machines. With the same factor for all classes, all would wait
+// equally long when there are more calls than machines can make, which short work cannot afford.
+var overprovision = [numCallClasses]float64{shortCalls: 2, mediumCalls: 1.5, longCalls: 1}
 
-// demandHalf is the time after which the demand of the past counts half.
-const demandHalf = 2 * time.Second
+// demandHalfLife is the time after which past demand counts half.
+const demandHalfLife = 2 * time.Second
 
-// demand is how much time the calls of each length have taken lately.
+// demand tracks the recent duration of advice calls for each class.
 type demand struct {
-	taken [lengths]float64   // seconds, halved every demandHalf
-	asked [lengths]time.Time // when a slot was last asked for
-	at    time.Time          // when taken was last halved
+	callSeconds   [numCallClasses]float64   // expected duration of all calls, halved every demandHalfLife
+	lastRequested [numCallClasses]time.Time // last request for a slot
+	decayedAt     time.Time                 // last time at which callSeconds was halved
 }
 
-// note takes in that a slot for a call of this length is asked for.
-func (d *demand) note(of length, now time.Time) {
-	if d.at.IsZero() {
-		d.at = now
+// recordRequest records a request for a slot for a call of the class.
+func (d *demand) recordRequest(class callClass, now time.Time) {
+	if d.decayedAt.IsZero() {
+		d.decayedAt = now
 	}
-	for now.Sub(d.at) >= demandHalf {
-		d.at = d.at.Add(demandHalf)
-		for i := range d.taken {
-			d.taken[i] /= 2
+	for now.Sub(d.decayedAt) >= demandHalfLife {
+		d.decayedAt = d.decayedAt.Add(demandHalfLife)
+		for i := range d.callSeconds {
+			d.callSeconds[i] /= 2
 		}
 	}
-	d.asked[of] = now
+	d.lastRequested[class] = now
 }
 
-// add counts a call.
-func (d *demand) add(of length, cost time.Duration) { d.taken[of] += cost.Seconds() }
-
-// span is a range of machines in their order.
-type span struct{ from, to int }
-
-// divide deals n machines out to the lengths that were asked for lately, by
-// their demand, at least one to each. Where there are fewer machines than
-// lengths, the shorter lengths share the first: a long call would keep them
-// waiting longest.
-func (d *demand) divide(n int) [lengths]span {
-	var out [lengths]span
-	total, wanted := 0.0, 0
-	for i := range d.taken {
-		if d.wanted(i) {
-			wanted++
-			total += headroom[i] * d.taken[i]
+// addCost adds the expected duration of a call to the demand of its class.
+func (d *demand) addCost(class callClass, cost time.Duration) { d.callSeconds[class] += cost.Seconds() }
+
+// peerRange is a range of machines, ordered as returned by Peers.responsive.
+type peerRange struct{ from, to int }
+
+// assignRanges divides n machines among the recently requested classes by demand, with at least one
+// machine for each. With fewer machines than classes, the shorter classes share the first machine,
+// because a long call would delay them most.
+func (d *demand) assignRanges(n int) [numCallClasses]peerRange {
+	var out [numCallClasses]peerRange
+	total, active := 0.0, 0
+	for i := range d.callSeconds {
+		if d.active(i) {
+			active++
+			total += overprovision[i] * d.callSeconds[i]
 		}
 	}
-	if n < wanted {
-		return d.crowd(n)
+	if n < active {
+		return d.assignScarce(n)
 	}
 	if total == 0 {
 		total = 1
 	}
-	spare := n - wanted
+	spare := n - active
 	from, given := 0, 0.0
-	for i := range d.taken {
-		if !d.wanted(i) {
-			out[i] = span{from, from}
+	for i := range d.callSeconds {
+		if !d.active(i) {
+			out[i] = peerRange{from, from}
 			continue
 		}
 		before := int(given/total*float64(spare) + 0.5)
-		given += headroom[i] * d.taken[i]
+		given += overprovision[i] * d.callSeconds[i]
 		share := int(given/total*float64(spare)+0.5) - before
-		out[i] = span{from, from + 1 + share}
+		out[i] = peerRange{from, from + 1 + share}
 		from = out[i].to
 	}
 	return out
 }
 
-// crowd deals out fewer machines than there are lengths asked for.
-func (d *demand) crowd(n int) [lengths]span {
-	var out [lengths]span
+// assignScarce assigns machines when there are fewer of them than requested classes.
+func (d *demand) assignScarce(n int) [numCallClasses]peerRange {
+	var out [numCallClasses]peerRange
 	machine := n
-	for i := int(lengths) - 1; i >= 0; i-- {
-		if d.wanted(i) && machine > 1 {
+	for i := int(numCallClasses) - 1; i >= 0; i-- {
+		if d.active(i) && machine > 1 {
 			machine--
-			out[i] = span{machine, machine + 1}
+			out[i] = peerRange{machine, machine + 1}
 			continue
 		}
-		out[i] = span{0, min(1, n)}
+		out[i] = peerRange{0, min(1, n)}
 	}
 	return out
 }
 
-// wanted reports whether calls of this length were asked for lately.
-func (d *demand) wanted(i int) bool {
-	return !d.asked[i].IsZero() && d.at.Sub(d.asked[i]) < 2*demandHalf
+// active reports whether a slot for the class has been requested recently.
+func (d *demand) active(i int) bool {
+	return !d.lastRequested[i].IsZero() && d.decayedAt.Sub(d.lastRequested[i]) < 2*demandHalfLife
 }
--- a/internal/assist/orders.go
+++ b/internal/assist/orders.go
@@ -15,22 +15,21 @@
 	"github.com/skylarklock/skylarklock/internal/work"
 )
 
-// Orders to executors go by a machine of their data centre, the relay: starts of
-// one job share its specification on the leader's link.
+// Orders to executors are relayed by a machine of their data centre, so that the starts of one job
+// share its specification on the leader's link.
 
 // Timing of relayed orders.
 const (
-	// OrderTimeout bounds one order, whoever sends it; executors answer within a few
-	// milliseconds.
+	// OrderTimeout bounds one order, whichever machine sends it; executors answer within a
+	// few milliseconds.
 	OrderTimeout = 250 * time.Millisecond
-	// relayTimeout bounds a batch, which is answered with its last order.
+	// relayTimeout bounds a batch, which is answered once its last order is.
 	relayTimeout = 350 * time.Millisecond
-	// distrustFor is for how long a machine is no relay that gave no answer. A
-	// machine that is gone is forgotten after attachedFor.
-	distrustFor = 3 * time.Second
-	// relaySilence is the age of a machine's last sign of life above which it is
-	// no relay.
-	relaySilence = time.Second
+	// relaySuspension is how long a machine that gave no answer does not relay orders. A
+	// machine that has left is forgotten after attachmentTTL.
+	relaySuspension = 3 * time.Second
+	// relaySilenceLimit is how long a machine may be silent before it no longer relays orders.
+	relaySilenceLimit = time.Second
 )
 
 // StartItem is a start in a batch.
@@ -43,10 +42,10 @@
 type StopItem struct {
 	To    platform.ExecutorRef
 	Run   platform.Run
-	Token uint64 // fencing token
+	Token uint64 // the fencing token
 }
 
-// OrderBatch is the form of orders between processes.
+// OrderBatch is the form in which orders are sent between processes.
 type OrderBatch struct {
 	_              struct{} `cbor:",toarray"`
 	Specifications []string
@@ -60,7 +59,7 @@
 	Executor      string
 	Address       string
 	Task          PackedTask
-	Specification int // index into the batch's
+	Specification int // index into OrderBatch.Specifications
 	Checkpoint    string
 	LeaseUntil    int64
 	Token         uint64
@@ -76,7 +75,7 @@
 	Token    uint64
 }
 
-// PackedTask names a run of a task.
+// PackedTask identifies a run of a task.
 type PackedTask struct {
 	_          struct{} `cbor:",toarray"`
 	Job        work.ID
@@ -98,16 +97,16 @@
 
 func packOrders(starts []StartItem, stops []StopItem) *OrderBatch {
 	b := &OrderBatch{}
-	places := make(map[string]int)
+	indexes := make(map[string]int)
 	for _, s := range starts {
-		place, known := places[s.Order.Specification]
+		index, known := indexes[s.Order.Specification]
 		if !known {
-			place = len(b.Specifications)
-			places[s.Order.Specification] = place
+			index = len(b.Specifications)
+			indexes[s.Order.Specification] = index
 			b.Specifications = append(b.Specifications, s.Order.Specification)
 		}
 		b.Starts = append(b.Starts, PackedStart{
-			Executor: s.To.ID, Address: s.To.Address, Task: packTask(s.Order.Run), Specification: place,
+			Executor: s.To.ID, Address: s.To.Address, Task: packTask(s.Order.Run), Specification: index,
 			Checkpoint: s.Order.Checkpoint, LeaseUntil: int64(s.Order.LeaseExpiry), Token: s.Order.FencingToken, Ticket: s.Order.Ticket,
 		})
 	}
@@ -117,24 +116,24 @@
 	return b
 }
 
-// OrderOutcome says what became of an order.
+// OrderOutcome is the outcome of an order.
 type OrderOutcome uint8
 
 const (
-	orderUnanswered OrderOutcome = iota // it may have been carried out, or may be later
-	orderTaken
+	orderUnanswered OrderOutcome = iota // it may have been carried out, now or later
+	orderAccepted
 	orderNotSent
 	orderRefused
 )
 
-// OrderResult says what became of one order.
+// OrderResult is the result of one order.
 type OrderResult struct {
 	_       struct{} `cbor:",toarray"`
 	Outcome OrderOutcome
 	Reason  platform.Refusal // with orderRefused
 }
 
-// OrderAnswer holds the results of starts and then of stops, in their order.
+// OrderAnswer holds the results of the starts followed by those of the stops, in the order of the batch.
 type OrderAnswer struct {
 	_       struct{} `cbor:",toarray"`
 	Results []OrderResult
@@ -144,7 +143,7 @@
 	var refused *platform.RefusedError
 	switch {
 	case err == nil:
-		return OrderResult{Outcome: orderTaken}
+		return OrderResult{Outcome: orderAccepted}
 	case errors.As(err, &refused):
 		return OrderResult{Outcome: orderRefused, Reason: refused.Reason}
 	case errors.Is(err, platform.ErrNotReached):
@@ -156,7 +155,7 @@
 
 func (r OrderResult) err() error {
 	switch r.Outcome {
-	case orderTaken:
+	case orderAccepted:
 		return nil
 	case orderRefused:
 		return &platform.RefusedError{Reason: r.Reason}
@@ -167,7 +166,7 @@
 	}
 }
 
-// Orders sends orders to executors for the leader.
+// Orders sends the leader's orders to executors.
 func (h *Handler) Orders(b *OrderBatch, reply *OrderAnswer) error {
 	ctx, cancel := context.WithTimeout(context.Background(), OrderTimeout)
 	defer cancel()
@@ -175,7 +174,7 @@
 	var calls sync.WaitGroup
 	for i, s := range b.Starts {
 		if s.Specification < 0 || s.Specification >= len(b.Specifications) {
-			return errors.New("assist: start without its specification")
+			return errors.New("assist: start refers to a missing specification")
 		}
 		order := platform.StartOrder{
 			Run: s.Task.run(), Specification: b.Specifications[s.Specification], Checkpoint: s.Checkpoint,
@@ -196,21 +195,21 @@
 	return nil
 }
 
-// Relay sends orders of one data centre by a machine there, and returns what
-// became of each start and then of each stop. It returns false, and nothing was
-// sent, if there is no such machine or it didn't get them.
-func (h *Peers) Relay(ctx context.Context, centre string, starts []StartItem, stops []StopItem, now time.Time) ([]error, bool) {
-	m := h.relayIn(api.DataCentre(centre), now)
+// Relay sends the orders of one data centre through a machine there and returns the result of each
+// start followed by that of each stop. It returns false if there is no such machine or it did not
+// receive the orders; then nothing was sent.
+func (p *Peers) Relay(ctx context.Context, dataCentre string, starts []StartItem, stops []StopItem, now time.Time) ([]error, bool) {
+	m := p.relayFor(api.DataCentre(dataCentre), now)
 	if m.Address == "" {
 		return nil, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	var answer OrderAnswer
-	err := h.caller.Call(ctx, m.Address, methodOrders, packOrders(starts, stops), &answer)
+	err := p.caller.Call(ctx, m.Address, methodOrders, packOrders(starts, stops), &answer)
 	n := len(starts) + len(stops)
 	if err != nil {
-		h.distrust(m.Node, now)
+		p.suspendRelay(m.Node, now)
 	}
 	if errors.Is(err, peer.ErrNotSent) {
 		return nil, false
@@ -225,21 +224,21 @@
 	return errs, true
 }
 
-// relayIn returns the relay of a data centre: the fittest machine there. Its
-// address is empty if there is none.
-func (h *Peers) relayIn(centre api.DataCentre, now time.Time) Attachment {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	var there []*helper
-	for _, m := range h.machines {
-		if m.centre == centre && m.address != "" && m.fitness > 0 && now.Sub(m.seen) < relaySilence && now.After(m.distrusted) {
-			there = append(there, m)
+// relayFor returns the relay of a data centre, which is the fittest machine there. Its address is
+// empty if there is none.
+func (p *Peers) relayFor(dataCentre api.DataCentre, now time.Time) Attachment {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	var candidates []*machine
+	for _, m := range p.machines {
+		if m.dataCentre == dataCentre && m.address != "" && m.fitness > 0 && now.Sub(m.lastSeen) < relaySilenceLimit && now.After(m.relaySuspendedUntil) {
+			candidates = append(candidates, m)
 		}
 	}
-	if len(there) == 0 {
+	if len(candidates) == 0 {
 		return Attachment{}
 	}
-	best := slices.MinFunc(there, func(a, b *helper) int {
+	best := slices.MinFunc(candidates, func(a, b *machine) int {
 		switch {
 		case a.fitness > b.fitness:
 			return -1
@@ -252,11 +251,11 @@
 	return Attachment{Node: best.node, Address: best.address}
 }
 
-// distrust has a machine be no relay for a while.
-func (h *Peers) distrust(node api.NodeID, now time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if m := h.machines[node]; m != nil {
-		m.distrusted = now.Add(distrustFor)
+// suspendRelay keeps a machine from relaying orders for relaySuspension.
+func (p *Peers) suspendRelay(node api.NodeID, now time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if m := p.machines[node]; m != nil {
+		m.relaySuspendedUntil = now.Add(relaySuspension)
 	}
 }
--- a/internal/assist/publisher.go
+++ b/internal/assist/publisher.go
@@ -16,142 +16,140 @@
 	"github.com/skylarklock/skylarklock/internal/work"
 )
 
-// Bounds of deliveries.
+// Limits of deliveries.
 const (
-	// deliverEvery is the least time between two deliveries to a machine. Clients
-	// see the end of their job with this delay.
-	deliverEvery = 25 * time.Millisecond
-	// deliverIdle is the longest time after which a delivery without news says
-	// that there is none (replica.Timing.DeliveryValidity is over twice that), idlePaces how many
-	// times that between two with news it is, and idleLeast the shortest.
-	deliverIdle = 200 * time.Millisecond
-	idlePaces   = 4
-	idleLeast   = 100 * time.Millisecond
-	// deliverMost is the longest time between two deliveries of news.
-	deliverMost = 150 * time.Millisecond
-	// deliverAtMost bounds the deliveries of news a second to all machines: with as
-	// many, a leader of 97 machines and 540 executors used 0.42 of a core, of 0.8.
-	deliverAtMost = 2000
-	// deliverShare is the share of the leader's link for the deliveries of news,
-	// of which each takes about deliverBytes. What orders and reports take comes first.
-	deliverShare = 0.1
-	deliverBytes = 160
-	// deliverTimeout bounds a delivery.
-	deliverTimeout = 500 * time.Millisecond
-	// keptNews bounds the news kept for machines that are behind, which otherwise
-	// read the store.
-	keptNews = 10_000
-	// sentNews bounds what one delivery brings.
-	sentNews = 2000
-	// chooseEvery is the time between two choices of standbys.
-	chooseEvery = 250 * time.Millisecond
+	// minDeliveryInterval is the minimum time between two deliveries to a machine. Clients see
+	// the end of their job with this delay.
+	minDeliveryInterval = 25 * time.Millisecond
+	// maxIdleInterval is the maximum time between two deliveries when there are no updates;
+	// replica.Timing.DeliveryValidity is more than twice as long. The interval is idleIntervalFactor times
+	// that between two deliveries of updates, but at least minIdleInterval.
+	maxIdleInterval    = 200 * time.Millisecond
+	idleIntervalFactor = 4
+	minIdleInterval    = 100 * time.Millisecond
+	// maxDeliveryInterval is the maximum time between two deliveries of updates.
+	maxDeliveryInterval = 150 * time.Millisecond
+	// maxDeliveriesPerSecond bounds the deliveries of updates to all machines. At this rate, a
+	// leader of 97 machines and 540 executors used 0.42 of a core, with 0.8 available.
+	maxDeliveriesPerSecond = 2000
+	// updateLinkShare is the share of the leader's link for deliveries of updates, each of about
+	// updateDeliveryBytes. Orders and reports have priority.
+	updateLinkShare     = 0.1
+	updateDeliveryBytes = 160
+	// deliveryTimeout bounds one delivery.
+	deliveryTimeout = 500 * time.Millisecond
+	// maxKeptUpdates bounds the updates kept for machines that lag behind; a machine that lags
+	// further reads the store.
+	maxKeptUpdates = 10_000
+	// maxDeliveryUpdates bounds the updates in one delivery.
+	maxDeliveryUpdates = 2000
+	// standbyInterval is the time between two selections of standbys.
+	standbyInterval = 250 * time.Millisecond
 )
 
-// PublisherConfig is what a Publisher works with.
+// PublisherConfig configures a Publisher.
 type PublisherConfig struct {
 	Self               leader.Leader
 	DataCentre         api.DataCentre
-	LinkBytesPerSecond float64 // bytes a second that this machine's link carries; 0: not told
+	LinkBytesPerSecond float64 // capacity of this machine's link; 0: unknown
 	Peers              *Peers
 	Caller             Caller
-	BulkCaller         Caller                // on connections of its own, so that news never waits for content
-	LastRenewal        func() leader.Renewal // the last that was confirmed
-	CutOff             func() bool           // this machine reaches neither the store nor another data centre; nil: never
-	OnReplaced         func(epoch api.Epoch) // a machine has heard of a higher epoch
+	BulkCaller         Caller                // for content, on separate connections, so that updates never wait for it
+	LastRenewal        func() leader.Renewal // the last confirmed renewal of leadership
+	CutOff             func() bool           // whether this machine reaches neither the store nor another data centre; nil: never
+	OnReplaced         func(epoch api.Epoch) // called when a machine knows a higher epoch
 	Logger             *logrus.Entry
 }
 
-// Publisher delivers what the leader's replica applies to the machines that
-// are attached: to all of them what clients may ask, to standbys also the content
-// of the records.
+// Publisher delivers what the leader's replica applies to the attached machines: job summaries,
+// which clients may ask for, to all of them, and the content of the records to standbys.
 type Publisher struct {
-	cfg    PublisherConfig
-	budget *rate.Limiter // of content, in bytes
+	cfg            PublisherConfig
+	contentLimiter *rate.Limiter // limits the bytes of content
 
-	mu       sync.Mutex
-	first    platform.Offset // of the first kept record
-	records  []platform.Record
-	bytes    int             // of these
-	newsFrom platform.Offset // from here on all news is kept
-	news     []replica.SummaryUpdate
-	targets  map[api.NodeID]*target
-	standbys map[api.NodeID]bool
-	enough   bool // standbys keep the content, so that others need not
-	chosen   time.Time
+	mu               sync.Mutex
+	firstOffset      platform.Offset // offset of the first kept record
+	records          []platform.Record
+	recordBytes      int             // size of the kept records
+	updatesFrom      platform.Offset // all updates from this offset on are kept
+	updates          []replica.SummaryUpdate
+	targets          map[api.NodeID]*target
+	standbys         map[api.NodeID]bool
+	standbysReady    bool // all standbys keep the content, so that other machines may drop it
+	standbysChosenAt time.Time
 }
 
-// target is one machine that is delivered to.
+// target is the delivery state of one machine.
 type target struct {
-	position platform.Offset // up to where it knows the states of jobs
-	sent     time.Time       // of the last delivery
-	busy     bool
-	listed   time.Time // of the last list of machines
+	position        platform.Offset // up to which the machine knows the states of jobs
+	lastDelivery    time.Time
+	inFlight        bool
+	lastMachineList time.Time
 
-	content     platform.Offset // up to where it keeps the content of records
-	whole       bool            // it keeps it at all
-	contentSent time.Time
-	contentBusy bool
+	contentPosition     platform.Offset // up to which the machine keeps the content of records
+	hasContent          bool            // the machine keeps the content of all records
+	lastContentDelivery time.Time
+	contentInFlight     bool
 }
 
-// NewPublisher returns a publisher of records from an offset on.
+// NewPublisher returns a publisher of the records from the given offset on.
 func NewPublisher(cfg PublisherConfig, from platform.Offset) *Publisher {
 	p := &Publisher{
-		cfg:      cfg,
-		budget:   rate.NewLimiter(rate.Inf, 0),
-		first:    from,
-		newsFrom: from,
-		targets:  make(map[api.NodeID]*target),
+		cfg:            cfg,
+		contentLimiter: rate.NewLimiter(rate.Inf, 0),
+		firstOffset:    from,
+		updatesFrom:    from,
+		targets:        make(map[api.NodeID]*target),
 	}
 	if cfg.LinkBytesPerSecond > 0 {
-		share := contentShare * cfg.LinkBytesPerSecond
-		p.budget = rate.NewLimiter(rate.Limit(share), int(share)) // what one second allows, at once
+		share := contentLinkShare * cfg.LinkBytesPerSecond
+		p.contentLimiter = rate.NewLimiter(rate.Limit(share), int(share)) // allows bursts of one second's worth
 	}
 	return p
 }
 
-// end returns the offset after the last record; p.mu is held.
-func (p *Publisher) end() platform.Offset { return p.first + platform.Offset(len(p.records)) }
+// end returns the offset after the last record. The caller holds p.mu.
+func (p *Publisher) end() platform.Offset { return p.firstOffset + platform.Offset(len(p.records)) }
 
-// Add takes in what was applied. If it doesn't follow on the
-// last, as when the replica was read anew, machines that miss what lies
-// between read it from the store.
+// Add adds what the replica applied. If the records do not follow the last ones, as after the
+// replica has read everything again, machines that miss records in between read them from the store.
 func (p *Publisher) Add(a replica.AppliedBatch) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if a.Records[0].Offset != p.end() {
-		p.first = a.Records[0].Offset
-		p.newsFrom = p.first
-		p.records, p.news = nil, nil
-		p.bytes = 0
+		p.firstOffset = a.Records[0].Offset
+		p.updatesFrom = p.firstOffset
+		p.records, p.updates = nil, nil
+		p.recordBytes = 0
 	}
 	p.records = append(p.records, a.Records...)
 	for _, r := range a.Records {
-		p.bytes += r.Size()
+		p.recordBytes += r.Size()
 	}
-	p.news = append(p.news, a.Updates...)
+	p.updates = append(p.updates, a.Updates...)
 	p.trim()
 }
 
-// trim drops what is over the bounds; p.mu is held.
+// trim drops records and updates that exceed the limits. The caller holds p.mu.
 func (p *Publisher) trim() {
-	over := 0
-	for len(p.records)-over > keptRecords || p.bytes > keptBytes {
-		p.bytes -= p.records[over].Size()
-		over++
+	excess := 0
+	for len(p.records)-excess > maxKeptRecords || p.recordBytes > maxKeptBytes {
+		p.recordBytes -= p.records[excess].Size()
+		excess++
 	}
-	if over > 0 {
-		p.records = append([]platform.Record(nil), p.records[over:]...)
-		p.first += platform.Offset(over)
+	if excess > 0 {
+		p.records = append([]platform.Record(nil), p.records[excess:]...)
+		p.firstOffset += platform.Offset(excess)
 	}
-	if over := len(p.news) - keptNews; over > 0 {
-		p.newsFrom = p.news[over-1].Offset + 1
-		p.news = append([]replica.SummaryUpdate(nil), p.news[over:]...)
+	if excess := len(p.updates) - maxKeptUpdates; excess > 0 {
+		p.updatesFrom = p.updates[excess-1].Offset + 1
+		p.updates = append([]replica.SummaryUpdate(nil), p.updates[excess:]...)
 	}
 }
 
 // Run delivers until ctx ends.
 func (p *Publisher) Run(ctx context.Context) {
-	ticker := time.NewTicker(deliverEvery)
+	ticker := time.NewTicker(minDeliveryInterval)
 	defer ticker.Stop()
 	var calls sync.WaitGroup
 	defer calls.Wait()
@@ -161,11 +159,11 @@
 			return
 		case now := <-ticker.C:
 			machines := p.cfg.Peers.Others(now)
-			p.choose(machines, now)
-			pace := p.pace(len(machines))
+			p.updateStandbys(machines, now)
+			updateInterval := p.updateInterval(len(machines))
 			for _, m := range machines {
-				if d, due := p.next(m.Node, pace, now); due {
-					if d.Role == Standby && p.lists(m.Node, now) {
+				if d, due := p.nextDelivery(m.Node, updateInterval, now); due {
+					if d.Role == Standby && p.machineListDue(m.Node, now) {
 						d.Machines = machines
 					}
 					calls.Go(func() { p.deliver(ctx, m, d) })
@@ -178,52 +176,52 @@
 	}
 }
 
-// pace returns the time between two deliveries of news to a machine: the more
-// machines there are, and the thinner this one's link is, the longer.
-func (p *Publisher) pace(machines int) time.Duration {
-	processor := time.Duration(machines) * time.Second / deliverAtMost
-	link := time.Duration(0)
+// updateInterval returns the time between two deliveries of updates to a machine. It grows with the
+// number of machines and with the slowness of the leader's link.
+func (p *Publisher) updateInterval(machines int) time.Duration {
+	byProcessor := time.Duration(machines) * time.Second / maxDeliveriesPerSecond
+	byLink := time.Duration(0)
 	if p.cfg.LinkBytesPerSecond > 0 {
-		link = time.Duration(float64(machines) * deliverBytes / (deliverShare * p.cfg.LinkBytesPerSecond) * float64(time.Second))
+		byLink = time.Duration(float64(machines) * updateDeliveryBytes / (updateLinkShare * p.cfg.LinkBytesPerSecond) * float64(time.Second))
 	}
-	return min(max(deliverEvery, processor, link), deliverMost)
+	return min(max(minDeliveryInterval, byProcessor, byLink), maxDeliveryInterval)
 }
 
-// listEvery is the time between two lists of all machines to a standby: machines
-// make themselves known to a new leader within about a second.
-const listEvery = time.Second
+// machineListInterval is the time between two lists of all machines to a standby. Machines attach to
+// a new leader within about a second.
+const machineListInterval = time.Second
 
-// lists reports whether a standby should be told of all machines, and counts it as
-// told.
-func (p *Publisher) lists(node api.NodeID, now time.Time) bool {
+// machineListDue reports whether a standby should be sent the list of all machines, and records it as
+// sent.
+func (p *Publisher) machineListDue(node api.NodeID, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.target(node)
-	if now.Sub(t.listed) < listEvery {
+	if now.Sub(t.lastMachineList) < machineListInterval {
 		return false
 	}
-	t.listed = now
+	t.lastMachineList = now
 	return true
 }
 
-// choose works out, now and then, who is a standby.
-func (p *Publisher) choose(machines []Attachment, now time.Time) {
+// updateStandbys selects the standbys again once standbyInterval has passed.
+func (p *Publisher) updateStandbys(machines []Attachment, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Sub(p.chosen) < chooseEvery {
+	if now.Sub(p.standbysChosenAt) < standbyInterval {
 		return
 	}
-	p.chosen = now
+	p.standbysChosenAt = now
 	p.standbys = chooseStandbys(machines, p.cfg.DataCentre)
-	p.enough = enoughWhole(machines, p.standbys)
+	p.standbysReady = allStandbysReady(machines, p.standbys)
 }
 
-// role returns what a machine should keep; p.mu is held.
+// role returns the role of a machine. The caller holds p.mu.
 func (p *Publisher) role(node api.NodeID) Role {
 	switch {
 	case p.standbys[node]:
 		return Standby
-	case p.enough:
+	case p.standbysReady:
 		return Follower
 	default:
 		return Unassigned
@@ -239,68 +237,68 @@
 	return t
 }
 
-// next returns the news that a machine should be sent now, if any. Between two
-// deliveries of news there is a time of pace.
-func (p *Publisher) next(node api.NodeID, pace time.Duration, now time.Time) (Delivery, bool) {
+// nextDelivery returns the delivery that is due for a machine, if any. Two deliveries of updates are
+// at least interval apart.
+func (p *Publisher) nextDelivery(node api.NodeID, interval time.Duration, now time.Time) (Delivery, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.target(node)
 	end := p.end()
-	// A machine that knows less than is kept reads the store. Deliveries bring
-	// it nothing yet, and at the pace of those that do they would be 40 calls
-	// a second to each machine that was restarted.
-	follows := t.position >= p.newsFrom && t.position <= end
-	news := p.newsSince(t.position)
-	wait := deliverIdle
+	// A machine that has missed updates that are no longer kept reads the store. Deliveries
+	// bring it nothing yet, and at the interval of other machines they would be 40 calls a
+	// second to each restarted machine.
+	follows := t.position >= p.updatesFrom && t.position <= end
+	updates := p.updatesSince(t.position)
+	wait := maxIdleInterval
 	switch {
-	case follows && len(news) > 0:
-		wait = min(pace, deliverIdle)
+	case follows && len(updates) > 0:
+		wait = min(interval, maxIdleInterval)
 	case follows:
-		wait = min(max(idlePaces*pace, idleLeast), deliverIdle)
+		wait = min(max(idleIntervalFactor*interval, minIdleInterval), maxIdleInterval)
 	}
-	if t.busy || now.Sub(t.sent) < wait {
+	if t.inFlight || now.Sub(t.lastDelivery) < wait {
 		return Delivery{}, false
 	}
-	t.busy = true
-	t.sent = now
+	t.inFlight = true
+	t.lastDelivery = now
 	d := Delivery{
 		Leader: p.cfg.Self, LastRenewal: p.cfg.LastRenewal(), Span: replica.Span{From: end, To: end}, End: end, Role: p.role(node),
 		CutOff: p.cfg.CutOff != nil && p.cfg.CutOff(),
 	}
 	if follows {
 		d.Span.From = t.position
-		if len(news) > sentNews {
-			news = news[:sentNews]
-			d.Span.To = news[sentNews-1].Offset + 1
+		if len(updates) > maxDeliveryUpdates {
+			updates = updates[:maxDeliveryUpdates]
+			d.Span.To = updates[maxDeliveryUpdates-1].Offset + 1
 		}
-		d.Jobs = work.PackSummaries(newest(news))
+		d.Jobs = work.PackSummaries(latestPerJob(updates))
 	}
 	return d, true
 }
 
-// newsSince returns the news from an offset on; p.mu is held.
-func (p *Publisher) newsSince(from platform.Offset) []replica.SummaryUpdate {
-	i := sort.Search(len(p.news), func(i int) bool { return p.news[i].Offset >= from })
-	return p.news[i:]
+// updatesSince returns the updates from an offset on. The caller holds p.mu.
+func (p *Publisher) updatesSince(from platform.Offset) []replica.SummaryUpdate {
+	i := sort.Search(len(p.updates), func(i int) bool { return p.updates[i].Offset >= from })
+	return p.updates[i:]
 }
 
-// newest returns the newest summary of each job.
-func newest(news []replica.SummaryUpdate) []work.Summary {
-	places := make(map[work.ID]int, len(news))
-	out := make([]work.Summary, 0, len(news))
-	for _, n := range news {
-		if i, again := places[n.Summary.ID]; again {
+// latestPerJob returns the newest summary of each job.
+func latestPerJob(updates []replica.SummaryUpdate) []work.Summary {
+	indexes := make(map[work.ID]int, len(updates))
+	out := make([]work.Summary, 0, len(updates))
+	for _, n := range updates {
+		if i, found := indexes[n.Summary.ID]; found {
 			out[i] = n.Summary
 			continue
 		}
-		places[n.Summary.ID] = len(out)
+		indexes[n.Summary.ID] = len(out)
 		out = append(out, n.Summary)
 	}
 	return out
 }
 
-// call makes a delivery and returns the machine's answer, or false if it gave none or
-// knows a later leader.
+// call makes a delivery and returns the machine's answer. It returns false if there was none or if
+// the machine knows a later leader.
 func (p *Publisher) call(ctx context.Context, c Caller, m Attachment, method string, delivery any) (DeliveryAnswer, bool) {
 	var answer DeliveryAnswer
 	if err := c.Call(ctx, m.Address, method, delivery, &answer); err != nil {
@@ -315,20 +313,20 @@
 }
 
 func (p *Publisher) deliver(ctx context.Context, m Attachment, d Delivery) {
-	ctx, cancel := context.WithTimeout(ctx, deliverTimeout)
+	ctx, cancel := context.WithTimeout(ctx, deliveryTimeout)
 	defer cancel()
-	answer, known := p.call(ctx, p.cfg.Caller, m, methodDeliver, &d)
+	answer, ok := p.call(ctx, p.cfg.Caller, m, methodDeliver, &d)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.target(m.Node)
-	t.busy = false
-	if !known {
+	t.inFlight = false
+	if !ok {
 		return
 	}
 	t.position = answer.Position
-	t.whole = answer.HasContent
-	if !t.contentBusy {
-		t.content = answer.ContentPosition
+	t.hasContent = answer.HasContent
+	if !t.contentInFlight {
+		t.contentPosition = answer.ContentPosition
 	}
 	p.cfg.Peers.RecordAnswer(m.Node, answer.HasContent, time.Now())
 }
--- a/internal/assist/round.go
+++ b/internal/assist/round.go
@@ -6,38 +6,37 @@
 	"github.com/skylarklock/skylarklock/internal/queue"
 )
 
-// Round hands out calls for one pass over the steps that wait. Once no machine
-// has time for a call of a length, none is looked for again in the same pass:
-// hundreds of steps may wait.
+// Round assigns advice calls during one pass over the waiting steps. Once no machine can make a call
+// of a class, none is searched for again in the same pass, because hundreds of steps may wait.
 type Round struct {
-	helpers *Peers
-	now     time.Time
-	full    [lengths]bool
-	slots   []*Slot
+	peers     *Peers
+	now       time.Time
+	exhausted [numCallClasses]bool
+	slots     []*Slot
 }
 
-// Round begins a pass.
-func (h *Peers) Round(now time.Time) *Round { return &Round{helpers: h, now: now} }
+// Round starts a pass.
+func (p *Peers) Round(now time.Time) *Round { return &Round{peers: p, now: now} }
 
-// Free reports whether about such a call could be made now.
+// Free reports whether a machine could make the call now.
 func (r *Round) Free(call queue.CallTime) bool {
-	of := lengthOf(call)
-	if !r.full[of] {
-		r.full[of] = !r.helpers.Free(call, r.now)
+	class := classOf(call)
+	if !r.exhausted[class] {
+		r.exhausted[class] = !r.peers.Free(call, r.now)
 	}
-	return !r.full[of]
+	return !r.exhausted[class]
 }
 
-// Take gives a call to a machine, or returns false.
+// Take reserves a slot for the call and reports whether a machine had capacity for it.
 func (r *Round) Take(call queue.CallTime) bool {
-	slot := r.helpers.Take(call, r.now)
+	slot := r.peers.Take(call, r.now)
 	if slot == nil {
-		r.full[lengthOf(call)] = true
+		r.exhausted[classOf(call)] = true
 		return false
 	}
 	r.slots = append(r.slots, slot)
 	return true
 }
 
-// Slots returns the slots taken, in order.
+// Slots returns the reserved slots, in the order of the calls.
 func (r *Round) Slots() []*Slot { return r.slots }
--- a/internal/assist/standby.go
+++ b/internal/assist/standby.go
@@ -7,32 +7,32 @@
 	"github.com/skylarklock/skylarklock/api"
 )
 
-// Role is what the leader wants a machine to keep.
+// Role tells a machine what the leader wants it to keep.
 type Role uint8
 
-// Roles.
+// Roles of a machine.
 const (
-	Unassigned Role = iota // it stays as it is
-	Standby                // it keeps the content of all records, to take over at once
-	Follower               // it keeps what clients ask for
+	Unassigned Role = iota // it keeps what it has
+	Standby                // it keeps the content of all records, so that it can take over at once
+	Follower               // it keeps only what clients ask for
 )
 
 const (
-	// standbys is how many machines, beside the leader, keep the content of all
-	// records. Where all of them are lost, others read the store before they can lead.
-	standbys = 3
-	// steadiness is how many times as fit another machine must be to take the
-	// place of a standby that keeps the content already.
-	steadiness = 1.5
+	// standbyCount is how many machines other than the leader keep the content of all records.
+	// If all of them are lost, other machines read the store before they can lead.
+	standbyCount = 3
+	// incumbentFactor is how many times as fit another machine must be to replace a standby
+	// that already keeps the content.
+	incumbentFactor = 1.5
 )
 
-// chooseStandbys returns the machines that should keep the content of all
-// records: the fittest, in data centres of their own as far as there are any
-// beside that of the leader. Those that keep it already are preferred.
-func chooseStandbys(machines []Attachment, own api.DataCentre) map[api.NodeID]bool {
+// chooseStandbys returns the machines that should keep the content of all records: the fittest
+// ones, if possible each in a different data centre that is not the leader's. Machines that
+// already keep the content are preferred.
+func chooseStandbys(machines []Attachment, leaderDataCentre api.DataCentre) map[api.NodeID]bool {
 	weight := func(m Attachment) float64 {
 		if m.HasContent {
-			return steadiness * m.Fitness
+			return incumbentFactor * m.Fitness
 		}
 		return m.Fitness
 	}
@@ -48,10 +48,10 @@
 		}
 	})
 	chosen := make(map[api.NodeID]bool)
-	used := map[api.DataCentre]bool{own: true}
+	used := map[api.DataCentre]bool{leaderDataCentre: true}
 	for _, spread := range []bool{true, false} {
 		for _, m := range ranked {
-			if len(chosen) == standbys {
+			if len(chosen) == standbyCount {
 				return chosen
 			}
 			if chosen[m.Node] || (spread && used[m.DataCentre]) {
@@ -64,14 +64,14 @@
 	return chosen
 }
 
-// enoughWhole reports whether so many of the machines keep the content of all
-// records that the others need not.
-func enoughWhole(machines []Attachment, chosen map[api.NodeID]bool) bool {
-	whole := 0
+// allStandbysReady reports whether all standbys keep the content of all records, so that other
+// machines may drop it.
+func allStandbysReady(machines []Attachment, standbys map[api.NodeID]bool) bool {
+	ready := 0
 	for _, m := range machines {
-		if chosen[m.Node] && m.HasContent {
-			whole++
+		if standbys[m.Node] && m.HasContent {
+			ready++
 		}
 	}
-	return whole == standbys
+	return ready == standbyCount
 }
